--- a/crates/badgerwind-fleet/src/disk.rs
+++ b/crates/badgerwind-fleet/src/disk.rs
@@ -53,7 +53,7 @@
         let store = Database::create(path).map_err(|e| Disk::failed(path)(e.into()))?;
         let disk = Disk { store, path: path.to_owned() };
         disk.transaction(|log, state| {
-            let first = postcard::to_allocvec(&storage.first()).unwrap_or_default();
+            let first = postcard::to_allocvec(&storage.initial_snapshot()).unwrap_or_default();
             state.insert("form", FORM)?;
             state.insert("snapshot", first.as_slice())?;
             log.retain(|_, _| false)?;
@@ -96,7 +96,7 @@
             let (_, bytes) = row.map_err(|e| failed(e.into()))?;
             entries.push(postcard::from_bytes(bytes.value()).map_err(|_| form())?);
         }
-        let storage = VoterStorage::read(snapshot, hard, entries)
+        let storage = VoterStorage::restore(snapshot, hard, entries)
             .map_err(|e| DiskError::Damaged(path.to_owned(), e))?;
         drop((state, log));
         drop(read);
@@ -128,18 +128,18 @@
                 let bytes = postcard::to_allocvec(s).unwrap_or_default();
                 state.insert("snapshot", bytes.as_slice())?;
             }
-            if let Some(first) = write.entries.first().map(Write::index) {
+            if let Some(first) = write.entries.first().map(Write::entry_index) {
                 log.retain_in(first.., |_, _| false)?;
             }
             for e in &write.entries {
                 let bytes = postcard::to_allocvec(e).unwrap_or_default();
-                log.insert(Write::index(e), bytes.as_slice())?;
+                log.insert(Write::entry_index(e), bytes.as_slice())?;
             }
-            if let Some(h) = &write.hard {
+            if let Some(h) = &write.hard_state {
                 let bytes = postcard::to_allocvec(h).unwrap_or_default();
                 state.insert("hard", bytes.as_slice())?;
             }
-            if let Some(cut) = write.cut {
+            if let Some(cut) = write.compact_to {
                 log.retain_in(..=cut, |_, _| false)?;
             }
             Ok(())
--- a/crates/badgerwind-fleet/src/member.rs
+++ b/crates/badgerwind-fleet/src/member.rs
@@ -7,8 +7,8 @@
 use arc_swap::ArcSwap;
 use async_channel::{Receiver, Sender};
 use badgerwind_register::{
-    BadTerms, Event, Incarnation, Index, Input, Member, Message, Node, Output, Part, Refused, Setup, Terms,
-    Time,
+    AnnounceError, Event, Incarnation, Index, Input, Member, Message, Node, Output, Settings, SettingsError,
+    Setup, StateMachine, Time,
 };
 use badgerwind_webhook::Key;
 use futures_lite::FutureExt;
@@ -32,7 +32,7 @@
     /// Its zone.
     pub zone: u8,
     /// On what terms.
-    pub terms: Terms,
+    pub terms: Settings,
     /// Where it hears the others.
     pub listen: SocketAddr,
     /// Where the others hear it and each other.
@@ -50,7 +50,7 @@
 pub enum MemberError {
     /// The terms do not hold together.
     #[error(transparent)]
-    Terms(#[from] BadTerms),
+    Terms(#[from] SettingsError),
     /// The disk cannot be used.
     #[error(transparent)]
     Disk(#[from] DiskError),
@@ -93,7 +93,7 @@
 }
 
 enum Ask {
-    Announce(Vec<u8>, Sender<Result<(Incarnation, u64), Refused>>),
+    Announce(Vec<u8>, Sender<Result<(Incarnation, u64), AnnounceError>>),
     Leave,
 }
 
@@ -121,15 +121,15 @@
 }
 
 /// Makes the disk with which a voter of a new register begins.
-pub fn begin(path: &Path, terms: &Terms) -> Result<(), DiskError> {
-    Disk::create(path, &Node::<Nothing>::begin(terms)).map(drop)
+pub fn begin(path: &Path, terms: &Settings) -> Result<(), DiskError> {
+    Disk::create(path, &Node::<Nothing>::initial_storage(terms)).map(drop)
 }
 
 /// A register on which nothing is built.
 #[derive(Clone, Debug, Default)]
 pub struct Nothing;
 
-impl Part for Nothing {
+impl StateMachine for Nothing {
     fn announced(&mut self, _: Index, _: (Member, Incarnation), _: &[u8]) {}
     fn ended(&mut self, _: Index, _: (Member, Incarnation)) {}
     fn save(&self) -> Vec<u8> {
@@ -142,17 +142,17 @@
 
 impl RegisterMember {
     /// Starts a member on a thread of its own; the second value tells when that has ended, and why.
-    pub fn start<P: Part + Send + 'static>(
+    pub fn start<P: StateMachine + Send + 'static>(
         options: Options,
         part: P,
         watch: impl Watch<P>,
     ) -> Result<(RegisterMember, Receiver<MemberError>), MemberError> {
-        options.terms.check()?;
+        options.terms.validate()?;
         let clock = Clock { start: Instant::now(), fast: options.clock_fast };
         let mut seed = [0u8; 8];
         getrandom::fill(&mut seed).map_err(|e| MemberError::Start(e.to_string()))?;
         let Options { me, zone, ref terms, .. } = options;
-        let setup = Setup { me, zone, seed: u64::from_be_bytes(seed), terms: terms.clone() };
+        let setup = Setup { me, zone, seed: u64::from_be_bytes(seed), settings: terms.clone() };
         let (node, disk) = match &options.disk {
             Some(path) => {
                 let (disk, storage) = Disk::open(path)?;
@@ -213,12 +213,12 @@
     }
 
     /// Announces something to the part: under way from here, if it is taken. Waits for the member's thread alone.
-    pub async fn announce(&self, bytes: Vec<u8>) -> Result<(Incarnation, u64), Refused> {
+    pub async fn announce(&self, bytes: Vec<u8>) -> Result<(Incarnation, u64), AnnounceError> {
         let (tell, told) = async_channel::bounded(1);
         if self.asks.send(Ask::Announce(bytes, tell)).await.is_err() {
-            return Err(Refused::NotLiving);
+            return Err(AnnounceError::NotLive);
         }
-        told.recv().await.unwrap_or(Err(Refused::NotLiving))
+        told.recv().await.unwrap_or(Err(AnnounceError::NotLive))
     }
 
     /// This process goes: its incarnation has ended by its own record, and from now on it does nothing in it.
@@ -247,7 +247,7 @@
     Due,
 }
 
-impl<P: Part + Send + 'static, W: Watch<P>> Run<P, W> {
+impl<P: StateMachine + Send + 'static, W: Watch<P>> Run<P, W> {
     async fn run(
         mut self,
         tasks: Rc<LocalExecutor<'_>>,
@@ -285,8 +285,8 @@
             let Some(next) = ticks.or(writes).or(asks).or(hears).await else { break None };
             let now = self.clock.now();
             match next {
-                Next::Heard(from, message) => self.node.on(now, Input::Heard(from, message), &mut out),
-                Next::Written(Ok(())) => self.node.on(now, Input::Written, &mut out),
+                Next::Heard(from, message) => self.node.handle(now, Input::Received(from, message), &mut out),
+                Next::Written(Ok(())) => self.node.handle(now, Input::Written, &mut out),
                 // What was not written must not be answered for: the voter ends, and may start again with its disk.
                 Next::Written(Err(e)) => break Some(e.into()),
                 Next::Asked(Ask::Leave) => self.node.leave(now, &mut out),
@@ -296,7 +296,7 @@
                 }
                 Next::Due => {
                     due = Instant::now() + self.tick;
-                    self.node.on(now, Input::Tick, &mut out);
+                    self.node.handle(now, Input::Tick, &mut out);
                 }
             }
             let mut ended = None;
@@ -318,14 +318,14 @@
                             .detach();
                     }
                     Output::Event(entry, event) => self.watch.event(now, entry, &event),
-                    Output::Lost(0) => {}
-                    Output::Lost(words) => {
+                    Output::IncarnationLost(0) => {}
+                    Output::IncarnationLost(words) => {
                         tracing::warn!(
                             words,
                             "this member's incarnation has ended; announcements did not stand"
                         )
                     }
-                    Output::TooNew(at) => ended = Some(MemberError::TooNew(at)),
+                    Output::UnknownRecordVersion(at) => ended = Some(MemberError::TooNew(at)),
                 }
             }
             self.show(now);
@@ -339,11 +339,11 @@
     }
 
     fn show(&mut self, now: Time) {
-        match self.node.alive(now) {
-            Some(incarnation) => self.cell.set(incarnation, self.node.until()),
+        match self.node.live_incarnation(now) {
+            Some(incarnation) => self.cell.set(incarnation, self.node.lease_end()),
             None => self.cell.end(),
         }
-        let (leads, leader, _) = self.node.view();
+        let badgerwind_register::View { is_leader: leads, leader, .. } = self.node.view();
         let applied = self.node.ledger().applied();
         if std::mem::replace(&mut self.shown, (applied, leads, leader)) != (applied, leads, leader) {
             let members = self.node.ledger().members().iter();
--- a/crates/badgerwind-fleet/tests/disks.rs
+++ b/crates/badgerwind-fleet/tests/disks.rs
@@ -3,27 +3,27 @@
 use badgerwind_fleet::cell::LifeCell;
 use badgerwind_fleet::disk::{Disk, DiskError};
 use badgerwind_fleet::member::{begin, Nothing};
-use badgerwind_register::{Input, Node, Output, Setup, Terms, VoterStorage};
+use badgerwind_register::{Input, Node, Output, Settings, Setup, VoterStorage};
 use std::path::Path;
 
-fn terms() -> Terms {
-    Terms::of(vec![0])
+fn terms() -> Settings {
+    Settings::for_voters(vec![0])
 }
 
 /// A voter by itself that begins to lead, and has a life: what it wrote, each write on the disk.
 fn lives(disk: &Disk, storage: VoterStorage) -> u64 {
-    let setup = Setup { me: 0, zone: 0, seed: 3, terms: terms() };
+    let setup = Setup { me: 0, zone: 0, seed: 3, settings: terms() };
     let mut node = Node::voter(0, setup, storage, Nothing).unwrap();
     let mut now = 0;
     let mut out = Vec::new();
-    while node.alive(now).is_none() {
+    while node.live_incarnation(now).is_none() {
         now += 10_000;
         assert!(now < 60_000_000, "a voter by itself leads");
-        node.on(now, Input::Tick, &mut out);
+        node.handle(now, Input::Tick, &mut out);
         while let Some(o) = out.pop() {
             if let Output::Write(w) = o {
                 disk.write(&w).unwrap();
-                node.on(now, Input::Written, &mut out);
+                node.handle(now, Input::Written, &mut out);
             }
         }
     }
--- a/crates/badgerwind-register/src/leases.rs
+++ b/crates/badgerwind-register/src/leases.rs
@@ -1,74 +1,84 @@
-//! A leader's knowledge of who is alive. A member counts as living for a lease from when it ASKED, by its own clock; the leader
-//! counts the same lease, longer by the drift, from when it could prove that nobody else led as the ask came. So where it
-//! finds the lease over, it is over at the member.
+//! The leader's view of which members are live. A member counts itself as live for one lease from when it
+//! SENT its renewal request, by its own clock. The leader counts the same lease, extended by the clock drift,
+//! from when it could prove that nobody else was leader as the request arrived. So once the lease has expired
+//! at the leader, it has expired at the member.
 
-use crate::terms::{Incarnation, Member, Span, Time};
+use crate::settings::{Incarnation, Member, Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One ask that waits for the proof that this voter still leads.
+/// A renewal request that waits for the proof that this voter is still the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Ask {
+pub(crate) struct Renewal {
     pub member: Member,
     pub incarnation: Incarnation,
-    /// The member's own time when it asked; it comes back as it is.
+    /// When the request was sent, by the member's own clock; the answer returns it unchanged.
     pub stamp: Time,
 }
 
 #[derive(Debug)]
 pub(crate) struct Leases {
-    /// From here on nobody else grants: this leadership's first entry stands.
+    /// When the first entry of this leadership was committed. From then on no other voter grants renewals.
     since: Time,
-    heard: BTreeMap<Member, (Incarnation, Time)>,
-    /// Lives whose end was proposed: nothing is granted to them any more.
+    /// The incarnation of each member and when its lease was last renewed, by the leader's clock.
+    renewed: BTreeMap<Member, (Incarnation, Time)>,
+    /// Incarnations whose end was proposed; they are not renewed any more.
     ending: BTreeSet<Incarnation>,
 }
 
 impl Leases {
     pub(crate) fn new(since: Time) -> Leases {
-        Leases { since, heard: BTreeMap::new(), ending: BTreeSet::new() }
+        Leases { since, renewed: BTreeMap::new(), ending: BTreeSet::new() }
     }
 
     /// An incarnation began under this leadership.
     pub(crate) fn began(&mut self, now: Time, member: Member, incarnation: Incarnation) {
-        self.heard.insert(member, (incarnation, now));
+        self.renewed.insert(member, (incarnation, now));
     }
 
-    /// An ask is proven to have come while this voter led: whether it is granted.
-    pub(crate) fn proven(&mut self, now: Time, ask: &Ask, incarnations: bool, grants_ending: bool) -> bool {
-        let grants = incarnations && (grants_ending || !self.ending.contains(&ask.incarnation));
+    /// Handles a renewal request that provably arrived while this voter was the leader; returns whether it is
+    /// granted.
+    pub(crate) fn grant(
+        &mut self,
+        now: Time,
+        renewal: &Renewal,
+        is_alive: bool,
+        grants_ending: bool,
+    ) -> bool {
+        let grants = is_alive && (grants_ending || !self.ending.contains(&renewal.incarnation));
         if grants {
-            self.heard.insert(ask.member, (ask.incarnation, now));
+            self.renewed.insert(renewal.member, (renewal.incarnation, now));
         }
         grants
     }
 
-    /// Those of these living whose lease has ended for certain; each is told once.
-    pub(crate) fn over(
+    /// Those of the live incarnations whose lease has certainly expired; each is returned once.
+    pub(crate) fn expired(
         &mut self,
         now: Time,
-        outlasts: Span,
-        living: impl Iterator<Item = (Member, Incarnation)>,
+        adjusted_lease: Micros,
+        live: impl Iterator<Item = (Member, Incarnation)>,
     ) -> Vec<(Member, Incarnation)> {
-        let mut over = Vec::new();
-        for (member, incarnation) in living {
-            let heard = self.heard.get(&member).filter(|h| h.0 == incarnation).map_or(self.since, |h| h.1);
-            if now > heard.max(self.since) + outlasts && self.ending.insert(incarnation) {
-                over.push((member, incarnation));
+        let mut expired = Vec::new();
+        for (member, incarnation) in live {
+            let renewed =
+                self.renewed.get(&member).filter(|r| r.0 == incarnation).map_or(self.since, |r| r.1);
+            if now > renewed.max(self.since) + adjusted_lease && self.ending.insert(incarnation) {
+                expired.push((member, incarnation));
             }
         }
-        over
+        expired
     }
 
-    /// An incarnation's end stands in the log.
+    /// The end of an incarnation was committed.
     pub(crate) fn ended(&mut self, member: Member, incarnation: Incarnation) {
         self.ending.remove(&incarnation);
-        if self.heard.get(&member).is_some_and(|h| h.0 == incarnation) {
-            self.heard.remove(&member);
+        if self.renewed.get(&member).is_some_and(|r| r.0 == incarnation) {
+            self.renewed.remove(&member);
         }
     }
 
-    /// What was proposed may have been lost on its way: it is proposed again.
-    pub(crate) fn again(&mut self, incarnation: Incarnation) {
+    /// The proposal of an incarnation's end was rejected; [`Leases::expired`] returns the incarnation again.
+    pub(crate) fn retry(&mut self, incarnation: Incarnation) {
         self.ending.remove(&incarnation);
     }
 }
--- a/crates/badgerwind-register/src/ledger.rs
+++ b/crates/badgerwind-register/src/ledger.rs
@@ -1,176 +1,184 @@
-//! What the log comes to: the same at all who have applied as much of it.
+//! The replicated state: identical on all members that have applied the same prefix of the log.
 
 use crate::record::{Record, VERSION};
-use crate::terms::{Incarnation, Index, Member};
+use crate::settings::{Incarnation, Index, Member};
 use crate::Mutant;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A state machine on the register, fed by its log alone. It must come to the same from the same announcements on every machine: no
-/// clock, no chance, no order of a hash map.
-pub trait Part: Sized {
-    /// A living member said something.
+/// A state machine driven by the register's log alone. It must be deterministic: the same log yields the same
+/// state on every machine, so it must not use a clock, randomness or the iteration order of a hash map.
+pub trait StateMachine: Sized {
+    /// A live member's announcement was committed.
     fn announced(&mut self, at: Index, by: (Member, Incarnation), bytes: &[u8]);
     /// A member's incarnation has begun.
     fn began(&mut self, _at: Index, _by: (Member, Incarnation)) {}
-    /// A member's incarnation has ended: nothing of it comes after.
+    /// A member's incarnation has ended: no announcement of it follows.
     fn ended(&mut self, at: Index, of: (Member, Incarnation));
-    /// All of it, as bytes; bounded by the part.
+    /// Serializes the whole state. The implementation must bound its size.
     fn save(&self) -> Vec<u8>;
-    /// From such bytes; `None` where they are none.
+    /// Restores a state from [`StateMachine::save`]; `None` where the bytes are invalid.
     fn load(bytes: &[u8]) -> Option<Self>;
 }
 
-/// A member's latest incarnation.
+/// The state of a member: its latest incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
-    /// Its number.
+pub struct MemberState {
+    /// The incarnation's number.
     pub incarnation: Incarnation,
-    /// By which its process knows it.
+    /// Identifies the process that joined with this incarnation.
     pub nonce: u64,
-    /// Its zone.
+    /// The member's zone.
     pub zone: u8,
-    /// The newest form of records that it reads.
-    pub speaks: u8,
-    /// It has ended.
+    /// The newest record version that the member can read.
+    #[serde(rename = "speaks")]
+    pub record_version: u8,
+    /// Whether the incarnation has ended.
     pub ended: bool,
-    /// The last announcement taken.
+    /// The serial number of the last committed announcement.
     pub announced: u64,
 }
 
-/// Something that an entry brought about.
+/// A change of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An incarnation has begun.
     Began(Member, Incarnation),
     /// An incarnation has ended.
     Ended(Member, Incarnation),
-    /// An announcement was taken: whose, in which incarnation, its number within the incarnation.
+    /// An announcement was accepted: the member, its incarnation, and the serial number within the
+    /// incarnation.
     Announced(Member, Incarnation, u64),
 }
 
-/// What the log came to.
+/// The state that results from applying the log.
 #[derive(Clone, Debug)]
-pub struct Ledger<P> {
+pub struct Ledger<S> {
     applied: Index,
     incarnations: Incarnation,
-    members: BTreeMap<Member, Standing>,
-    /// What is built on it.
-    pub part: P,
+    members: BTreeMap<Member, MemberState>,
+    /// The application's state machine.
+    pub state_machine: S,
     mutant: Option<Mutant>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Saved {
+struct SavedLedger {
     applied: Index,
     incarnations: Incarnation,
-    members: BTreeMap<Member, Standing>,
-    part: Vec<u8>,
+    members: BTreeMap<Member, MemberState>,
+    #[serde(rename = "part")]
+    state_machine: Vec<u8>,
 }
 
-impl<P: Part> Ledger<P> {
-    /// Nothing has happened.
-    pub fn new(part: P) -> Ledger<P> {
-        Ledger { applied: 0, incarnations: 0, members: BTreeMap::new(), part, mutant: None }
+impl<S: StateMachine> Ledger<S> {
+    /// The state before the first entry.
+    pub fn new(state_machine: S) -> Ledger<S> {
+        Ledger { applied: 0, incarnations: 0, members: BTreeMap::new(), state_machine, mutant: None }
     }
 
     #[doc(hidden)]
-    pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Ledger<P> {
+    pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Ledger<S> {
         self.mutant = mutant;
         self
     }
 
-    /// The last entry taken in.
+    /// The index of the last entry applied.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// Members that ever had an incarnation, each with its latest.
-    pub fn members(&self) -> &BTreeMap<Member, Standing> {
+    /// All members that ever had an incarnation, each with its latest one.
+    pub fn members(&self) -> &BTreeMap<Member, MemberState> {
         &self.members
     }
 
-    /// Whether this incarnation goes on, as far as this log tells.
+    /// Whether this incarnation has begun and not ended, according to the log applied so far.
     pub fn is_alive(&self, member: Member, incarnation: Incarnation) -> bool {
         self.members.get(&member).is_some_and(|s| s.incarnation == incarnation && !s.ended)
     }
 
-    /// The newest form of records that all living members read.
-    pub fn speaks(&self) -> u8 {
-        self.members.values().filter(|s| !s.ended).map(|s| s.speaks).min().unwrap_or(VERSION)
+    /// The newest record version that all live members can read.
+    pub fn common_record_version(&self) -> u8 {
+        self.members.values().filter(|s| !s.ended).map(|s| s.record_version).min().unwrap_or(VERSION)
     }
 
-    /// Takes the next entry in; one had before, or beyond the next, changes nothing.
+    /// Applies the entry that follows the last one applied; any other entry is ignored.
     pub fn apply(&mut self, at: Index, records: &[Record], events: &mut Vec<Event>) {
         if at != self.applied + 1 {
             return;
         }
         self.applied = at;
-        records.iter().for_each(|r| self.one(at, r, events));
+        records.iter().for_each(|record| self.apply_record(at, record, events));
     }
 
-    fn one(&mut self, at: Index, record: &Record, events: &mut Vec<Event>) {
+    fn apply_record(&mut self, at: Index, record: &Record, events: &mut Vec<Event>) {
         match *record {
-            Record::Join { member, nonce, zone, speaks } => {
-                let beside = self.mutant == Some(Mutant::JoinsBesideTheLiving);
-                if self.members.get(&member).is_some_and(|s| !s.ended && !beside || s.nonce == nonce) {
+            Record::Join { member, nonce, zone, record_version } => {
+                let while_live = self.mutant == Some(Mutant::JoinsWhileLive);
+                if self.members.get(&member).is_some_and(|s| !s.ended && !while_live || s.nonce == nonce) {
                     return;
                 }
                 self.incarnations += 1;
                 let incarnation = self.incarnations;
-                let new = Standing { incarnation, nonce, zone, speaks, ended: false, announced: 0 };
+                let new =
+                    MemberState { incarnation, nonce, zone, record_version, ended: false, announced: 0 };
                 self.members.insert(member, new);
-                self.part.began(at, (member, incarnation));
+                self.state_machine.began(at, (member, incarnation));
                 events.push(Event::Began(member, incarnation));
             }
             Record::Ended { member, incarnation } => {
-                let Some(s) =
+                let Some(state) =
                     self.members.get_mut(&member).filter(|s| s.incarnation == incarnation && !s.ended)
                 else {
                     return;
                 };
-                s.ended = true;
-                self.part.ended(at, (member, incarnation));
+                state.ended = true;
+                self.state_machine.ended(at, (member, incarnation));
                 events.push(Event::Ended(member, incarnation));
             }
             Record::Announce { member, incarnation, serial, ref bytes } => {
-                let (dead, twice, gaps) = (
-                    self.mutant == Some(Mutant::TakesWordsOfTheDead),
-                    self.mutant == Some(Mutant::TakesWordsTwice),
-                    self.mutant == Some(Mutant::TakesGaps),
+                let (from_ended, duplicates, gaps) = (
+                    self.mutant == Some(Mutant::AcceptsFromEndedIncarnation),
+                    self.mutant == Some(Mutant::AcceptsDuplicates),
+                    self.mutant == Some(Mutant::AcceptsGaps),
                 );
-                let Some(s) = self.members.get_mut(&member) else { return };
-                let mine = s.incarnation == incarnation && (!s.ended || dead);
-                let next = serial == s.announced + 1
-                    || twice && serial <= s.announced
-                    || gaps && serial > s.announced;
-                if mine && next {
-                    s.announced = s.announced.max(serial);
-                    self.part.announced(at, (member, incarnation), bytes);
+                let Some(state) = self.members.get_mut(&member) else { return };
+                let is_live = state.incarnation == incarnation && (!state.ended || from_ended);
+                let is_next = serial == state.announced + 1
+                    || duplicates && serial <= state.announced
+                    || gaps && serial > state.announced;
+                if is_live && is_next {
+                    state.announced = state.announced.max(serial);
+                    self.state_machine.announced(at, (member, incarnation), bytes);
                     events.push(Event::Announced(member, incarnation, serial));
                 }
             }
         }
     }
 
-    /// All of it, as bytes.
+    /// Serializes the whole state.
     pub fn save(&self) -> Vec<u8> {
-        let Ledger { applied, incarnations, members, part, .. } = self;
-        let saved = Saved {
+        let Ledger { applied, incarnations, members, state_machine, .. } = self;
+        let saved = SavedLedger {
             applied: *applied,
             incarnations: *incarnations,
             members: members.clone(),
-            part: part.save(),
+            state_machine: state_machine.save(),
         };
         postcard::to_allocvec(&saved).unwrap_or_default()
     }
 
-    /// Takes the place of all so far, where it is ahead of it; true if so.
+    /// Replaces this state with a saved one that is ahead of it; returns whether it did.
     pub fn load(&mut self, bytes: &[u8]) -> bool {
-        let Ok(saved) = postcard::from_bytes::<Saved>(bytes) else { return false };
-        let Some(part) = P::load(&saved.part).filter(|_| saved.applied > self.applied) else { return false };
-        let Saved { applied, incarnations, members, .. } = saved;
-        (self.applied, self.incarnations, self.members, self.part) = (applied, incarnations, members, part);
+        let Ok(saved) = postcard::from_bytes::<SavedLedger>(bytes) else { return false };
+        let Some(state_machine) = S::load(&saved.state_machine).filter(|_| saved.applied > self.applied)
+        else {
+            return false;
+        };
+        let SavedLedger { applied, incarnations, members, .. } = saved;
+        (self.applied, self.incarnations, self.members, self.state_machine) =
+            (applied, incarnations, members, state_machine);
         true
     }
 }
--- a/crates/badgerwind-register/src/lib.rs
+++ b/crates/badgerwind-register/src/lib.rs
@@ -1,9 +1,10 @@
-//! The register: one replicated log among a few voters, followed by all members. It says which incarnation of a member has ended, and
-//! holds what members said, each thing once and in one order for all. What is built on it is a state machine ([`Part`])
-//! fed by the log. No I/O; time comes in as an argument, each member's own; chance by a seed.
+//! The register: one log, replicated among a few voters and followed by all members. It records which
+//! incarnation of a member has ended, and orders the members' announcements, each exactly once and in the
+//! same order for everyone. Applications are state machines ([`StateMachine`]) driven by the log. The crate
+//! does no I/O: the current time is an argument (each member's own clock), randomness comes from a seed.
 //!
-//! Consensus is an existing library's (`raft`); nothing outside `voter.rs`, `storage.rs` and `wire.rs` knows which. Why no effect of a
-//! incarnation comes after its end was written: `docs/design/register.md`.
+//! Consensus is provided by the `raft` library; only `voter.rs`, `storage.rs` and `wire.rs` depend on it.
+//! `docs/design/register.md` shows why no effect of an incarnation happens after its end was written.
 
 #![warn(missing_docs)]
 
@@ -13,22 +14,22 @@
 mod message;
 mod node;
 mod record;
-mod seat;
+mod session;
+mod settings;
 mod storage;
-mod terms;
 mod voter;
 mod wire;
 
-pub use ledger::{Event, Ledger, Part, Standing};
+pub use ledger::{Event, Ledger, MemberState, StateMachine};
 pub use memory::MemoryDisk;
 pub use message::Message;
-pub use node::{Input, Node, Output, Setup};
+pub use node::{Input, Node, Output, Setup, View};
 pub use record::{Record, VERSION};
-pub use seat::Refused;
+pub use session::AnnounceError;
+pub use settings::{Incarnation, Index, Member, Micros, Settings, SettingsError, Time};
 pub use storage::{VoterStorage, VoterStorageError, Write};
-pub use terms::{BadTerms, Incarnation, Index, Member, Span, Terms, Time};
 
-/// Defects that the tests put in on purpose, to show that each is found.
+/// Defects that the tests inject to show that each of them is detected.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
@@ -36,10 +37,10 @@
     NewLeaderEndsAtOnce,
     LeaseFromReceipt,
     IgnoresDrift,
-    GrantsWhatItEnds,
-    TakesWordsOfTheDead,
-    TakesWordsTwice,
-    TakesGaps,
-    JoinsBesideTheLiving,
-    VoterForgets,
+    GrantsWhileEnding,
+    AcceptsFromEndedIncarnation,
+    AcceptsDuplicates,
+    AcceptsGaps,
+    JoinsWhileLive,
+    VoterLosesState,
 }
--- a/crates/badgerwind-register/src/memory.rs
+++ b/crates/badgerwind-register/src/memory.rs
@@ -1,21 +1,22 @@
-//! A voter's disk in memory, for simulated groups: what was written is there after a restart, whole or not at all.
+//! An in-memory disk of a voter, for simulations: a completed write survives a restart, and each write is
+//! atomic.
 
+use crate::settings::Settings;
 use crate::storage::{VoterStorage, VoterStorageError, Write};
-use crate::terms::Terms;
 use crate::voter;
-use crate::wire::{EntryForm, HardForm, SnapshotForm};
+use crate::wire::{WireEntry, WireHardState, WireSnapshot};
 use std::collections::BTreeMap;
 
-/// What a voter has written.
+/// Everything that a voter has written.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
-    snapshot: Option<SnapshotForm>,
-    hard: Option<HardForm>,
-    entries: BTreeMap<u64, EntryForm>,
+    snapshot: Option<WireSnapshot>,
+    hard_state: Option<WireHardState>,
+    entries: BTreeMap<u64, WireEntry>,
 }
 
 impl MemoryDisk {
-    /// Takes a write in.
+    /// Applies a write.
     pub fn write(&mut self, write: &Write) {
         if let Some(snapshot) = &write.snapshot {
             self.snapshot = Some(snapshot.clone());
@@ -24,17 +25,17 @@
             self.entries.split_off(&entry.index);
             self.entries.insert(entry.index, entry.clone());
         }
-        self.hard = write.hard.or(self.hard);
-        if let Some(cut) = write.cut {
-            self.entries = self.entries.split_off(&(cut + 1));
+        self.hard_state = write.hard_state.or(self.hard_state);
+        if let Some(compact_to) = write.compact_to {
+            self.entries = self.entries.split_off(&(compact_to + 1));
         }
     }
 
-    /// What a voter that starts again finds.
-    pub fn read(&self, terms: &Terms) -> Result<VoterStorage, VoterStorageError> {
-        let first = voter::begin(&terms.voters);
-        let Some(hard) = self.hard else { return Ok(first) };
-        let snapshot = self.snapshot.clone().unwrap_or_else(|| first.first());
-        VoterStorage::read(snapshot, hard, self.entries.values().cloned().collect())
+    /// Restores a voter's storage, as after a restart.
+    pub fn read(&self, settings: &Settings) -> Result<VoterStorage, VoterStorageError> {
+        let initial = voter::initial_storage(&settings.voters);
+        let Some(hard_state) = self.hard_state else { return Ok(initial) };
+        let snapshot = self.snapshot.clone().unwrap_or_else(|| initial.initial_snapshot());
+        VoterStorage::restore(snapshot, hard_state, self.entries.values().cloned().collect())
     }
 }
--- a/crates/badgerwind-register/src/message.rs
+++ b/crates/badgerwind-register/src/message.rs
@@ -1,59 +1,63 @@
-//! What members and voters say to each other, over a link that says who spoke.
+//! Messages between members and voters. The transport must authenticate the sender.
 
 use crate::record::Record;
-use crate::terms::{Incarnation, Index, Member, Time};
-use crate::wire::RaftForm;
+use crate::settings::{Incarnation, Index, Member, Time};
+use crate::wire::WireMessage;
 use serde::{Deserialize, Serialize};
 
-/// A message.
+/// A message between two members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Between voters.
-    Raft(Box<RaftForm>),
-    /// To the leader: this incarnation goes on. The stamp is the member's own time and comes back as it is.
+    /// Between voters: a message of the consensus protocol.
+    Raft(Box<WireMessage>),
+    /// To the leader: a request to renew the sender's lease.
     Renew {
-        /// Which incarnation.
+        /// The sender's incarnation.
         incarnation: Incarnation,
-        /// When it asked, by its own clock.
+        /// When it was sent, by the sender's own clock; the answer returns it unchanged.
         stamp: Time,
     },
-    /// To the leader: to be written. Only the sender's own.
-    Offer(Vec<Record>),
-    /// To a voter: what comes after this entry, once there is any.
-    Since(Index),
-    /// From the leader: the incarnation counted as going on when this was asked.
+    /// To the leader: records to be appended to the log. A sender may propose only its own.
+    #[serde(rename = "Offer")]
+    Propose(Vec<Record>),
+    /// To a voter: a request for the entries that follow this index. It is answered once there are any.
+    #[serde(rename = "Since")]
+    EntriesAfter(Index),
+    /// From the leader: the incarnation was live when the renewal was requested.
     Renewed {
-        /// Which incarnation.
+        /// The renewed incarnation.
         incarnation: Incarnation,
-        /// The ask's stamp.
+        /// The request's stamp.
         stamp: Time,
     },
-    /// From a voter that does not lead.
-    Elsewhere(Option<Member>),
-    /// From a voter: what follows an entry, and who leads.
+    /// From a voter that does not lead: the leader, if it knows one.
+    #[serde(rename = "Elsewhere")]
+    NotLeader(Option<Member>),
+    /// From a voter: the entries that follow an index, and the leader.
     Entries {
-        /// The entries, each with its place; those that hold no records are empty.
+        /// The entries, each with its index; an entry without records is empty.
         entries: Vec<(Index, Vec<u8>)>,
-        /// Who leads, by its view.
+        /// The leader, as far as the voter knows.
         leader: Option<Member>,
     },
-    /// From a voter, to one that is too far behind: all that stands.
-    All {
-        /// Up to this entry.
+    /// From a voter, to a follower that needs entries which are no longer retained: a snapshot.
+    #[serde(rename = "All")]
+    Snapshot {
+        /// The last entry that the snapshot covers.
         index: Index,
-        /// A ledger's bytes.
+        /// A serialized [`Ledger`](crate::Ledger).
         bytes: Vec<u8>,
     },
 }
 
 impl Message {
-    /// As bytes.
+    /// Serializes the message.
     pub fn bytes(&self) -> Vec<u8> {
-        // Writing to memory fails for no value of these types.
+        // Serializing these types to memory cannot fail.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// From bytes; `None` where they are no message.
+    /// Parses a message; `None` where the bytes are invalid.
     pub fn read(bytes: &[u8]) -> Option<Message> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/badgerwind-register/src/node.rs
+++ b/crates/badgerwind-register/src/node.rs
@@ -1,12 +1,12 @@
-//! A member: its seat, its copy of what the log came to, and a voter where it is one.
+//! A member of the register: its session, its replica of the ledger, and a voter if it is one.
 
-use crate::leases::Ask;
-use crate::ledger::{Event, Ledger, Part};
+use crate::leases::Renewal;
+use crate::ledger::{Event, Ledger, StateMachine};
 use crate::message::Message;
 use crate::record::{self, Record};
-use crate::seat::{Refused, Seat};
+use crate::session::{AnnounceError, Session};
+use crate::settings::{Incarnation, Index, Member, Settings, SettingsError, Time};
 use crate::storage::{VoterStorage, Write};
-use crate::terms::{BadTerms, Incarnation, Index, Member, Terms, Time};
 use crate::voter::{self, Voter};
 use crate::Mutant;
 use rand::rngs::StdRng;
@@ -20,67 +20,82 @@
     pub me: Member,
     /// Its zone.
     pub zone: u8,
-    /// Draws its nonces and its patience: another at each start.
+    /// Seed for its nonces and election timeouts; it must differ at each start.
     pub seed: u64,
-    /// On what terms.
-    pub terms: Terms,
+    /// The settings of the register.
+    pub settings: Settings,
 }
 
-/// Something that has happened.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed; a few times in a tick of the terms.
+    /// Time has passed. To be given several times per [`Settings::tick`].
     Tick,
-    /// A member said something, by a link that knows who spoke.
-    Heard(Member, Message),
-    /// The last [`Output::Write`] is on the disk.
+    /// A message arrived from a member; the transport has authenticated the sender.
+    Received(Member, Message),
+    /// The last [`Output::Write`] is durable.
     Written,
 }
 
-/// Something to be done.
+/// An action that the caller must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// To a member; may be lost.
+    /// Send a message to a member; it may be lost.
     Send(Member, Message),
-    /// To the disk. [`Input::Written`] follows once it is there, and nothing else is written meanwhile.
+    /// Write to the disk and give [`Input::Written`] once that is durable. No other write is requested
+    /// before.
     Write(Write),
-    /// This entry brought something about.
+    /// Applying this entry caused an event.
     Event(Index, Event),
-    /// This member's incarnation has ended: so many of its announcements did not stand. It asks for another by itself.
-    Lost(usize),
-    /// An entry is of a form that this program does not know: a newer one is needed. It follows the log no further.
-    TooNew(Index),
+    /// This member's incarnation has ended, and this number of its announcements was not committed. The
+    /// member requests a new incarnation by itself.
+    IncarnationLost(usize),
+    /// An entry's record version is unknown, so this member stops applying the log. A newer program is
+    /// needed.
+    UnknownRecordVersion(Index),
+}
+
+/// A member's view of the voters.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct View {
+    /// Whether this member is the leader.
+    pub is_leader: bool,
+    /// The leader, as far as this member knows.
+    pub leader: Option<Member>,
+    /// The current voters; empty where this member is not a voter.
+    pub voters: Vec<Member>,
 }
 
 /// A member of the register.
 #[derive(Debug)]
-pub struct Node<P> {
+pub struct Node<S> {
     me: Member,
-    terms: Terms,
-    ledger: Ledger<P>,
-    seat: Seat,
+    settings: Settings,
+    ledger: Ledger<S>,
+    session: Session,
     voter: Option<Voter>,
     rng: StdRng,
-    /// Followers that wait for what comes after an entry.
+    /// Followers that wait for the entries after an index.
     waiting: BTreeMap<Member, Index>,
+    /// The term of the last entry applied.
     term: u64,
-    /// Nothing is applied any more: an entry cannot be read.
+    /// An entry could not be read, so no further entries are applied.
     stuck: bool,
     mutant: Option<Mutant>,
 }
 
-impl<P: Part> Node<P> {
-    /// A member that follows.
-    pub fn follower(setup: Setup, part: P) -> Result<Node<P>, BadTerms> {
-        setup.terms.check()?;
+impl<S: StateMachine> Node<S> {
+    /// A member that is not a voter.
+    pub fn follower(setup: Setup, state_machine: S) -> Result<Node<S>, SettingsError> {
+        setup.settings.validate()?;
         let mut rng = StdRng::seed_from_u64(setup.seed);
-        let seat = Seat::new(setup.me, setup.zone, rng.random());
-        let (me, terms) = (setup.me, setup.terms);
+        let session = Session::new(setup.me, setup.zone, rng.random());
+        let (me, settings) = (setup.me, setup.settings);
         Ok(Node {
             me,
-            terms,
-            ledger: Ledger::new(part),
-            seat,
+            settings,
+            ledger: Ledger::new(state_machine),
+            session,
             voter: None,
             rng,
             waiting: BTreeMap::new(),
@@ -90,202 +105,216 @@
         })
     }
 
-    /// A member that votes, with what was on its disk; [`Node::begin`] gives what is there before the first start.
-    pub fn voter(now: Time, setup: Setup, storage: VoterStorage, part: P) -> Result<Node<P>, BadTerms> {
-        let mut node = Node::follower(setup, part)?;
-        if storage.folded().index > 0 {
-            node.ledger.load(&storage.folded().data);
+    /// A voter, with the storage read from its disk; before the first start that is
+    /// [`Node::initial_storage`].
+    pub fn voter(
+        now: Time,
+        setup: Setup,
+        storage: VoterStorage,
+        state_machine: S,
+    ) -> Result<Node<S>, SettingsError> {
+        let mut node = Node::follower(setup, state_machine)?;
+        if storage.latest_snapshot().index > 0 {
+            node.ledger.load(&storage.latest_snapshot().data);
         }
         let rng = StdRng::seed_from_u64(node.rng.random());
-        node.voter = Some(Voter::new(now, node.me, storage, &node.terms, rng, None));
+        node.voter = Some(Voter::new(now, node.me, storage, &node.settings, rng, None));
         Ok(node)
     }
 
-    /// What is on each first voter's disk before the register's first start, and on that of a voter that joins later: the log
-    /// begins with the first voters, and says who came and went since. One that began with nobody would take itself for the
-    /// only voter as soon as it read that it was added.
-    pub fn begin(terms: &Terms) -> VoterStorage {
-        voter::begin(&terms.voters)
+    /// The storage of each first voter before the register's first start, and of a voter that is added later.
+    /// The log starts with the first voters and contains all changes of them since. An added voter that
+    /// started with an empty list would consider itself the only voter as soon as it read the entry that
+    /// added it.
+    pub fn initial_storage(settings: &Settings) -> VoterStorage {
+        voter::initial_storage(&settings.voters)
     }
 
     #[doc(hidden)]
-    pub fn with_mutant(mut self, now: Time, mutant: Option<Mutant>) -> Node<P> {
+    pub fn with_mutant(mut self, now: Time, mutant: Option<Mutant>) -> Node<S> {
         self.mutant = mutant;
         self.ledger = self.ledger.with_mutant(mutant);
-        if let Some(storage) = self.voter.as_ref().map(|v| v.storage().clone()) {
+        if let Some(storage) = self.voter.as_ref().map(|voter| voter.storage().clone()) {
             let rng = StdRng::seed_from_u64(self.rng.random());
-            self.voter = Some(Voter::new(now, self.me, storage, &self.terms, rng, mutant));
+            self.voter = Some(Voter::new(now, self.me, storage, &self.settings, rng, mutant));
         }
         self
     }
 
-    /// What the log came to, as far as this member has it.
-    pub fn ledger(&self) -> &Ledger<P> {
+    /// The replicated state, as far as this member has applied the log.
+    pub fn ledger(&self) -> &Ledger<S> {
         &self.ledger
     }
 
-    /// The incarnation in which this member may act at this moment by its own clock; an effect is checked against it when it is done.
-    pub fn alive(&self, now: Time) -> Option<Incarnation> {
-        self.seat.alive(now)
+    /// The incarnation in which this member may act at this moment, by its own clock. It must be checked at
+    /// the moment of an effect.
+    pub fn live_incarnation(&self, now: Time) -> Option<Incarnation> {
+        self.session.live_incarnation(now)
     }
 
-    /// Until when that holds if nothing more is heard, by its own clock.
-    pub fn until(&self) -> Time {
-        self.seat.until()
+    /// When the lease expires if it is not renewed, by this member's own clock.
+    pub fn lease_end(&self) -> Time {
+        self.session.lease_end()
     }
 
-    /// Words said in this incarnation so far, whether they stand or not; 0 in any other incarnation.
+    /// The number of announcements made in this incarnation so far, committed or not; 0 for any but the
+    /// current incarnation.
     pub fn announced(&self, incarnation: Incarnation) -> u64 {
-        self.seat.announced(incarnation)
+        self.session.announced(incarnation)
     }
 
-    /// Whether it leads, whom it takes for leader, and whose votes count.
-    pub fn view(&self) -> (bool, Option<Member>, Vec<Member>) {
+    /// This member's view of the voters.
+    pub fn view(&self) -> View {
         match &self.voter {
-            Some(v) => (v.leads(), v.leader(), v.votes()),
-            None => (false, self.seat.leader, Vec::new()),
+            Some(voter) => {
+                View { is_leader: voter.is_leader(), leader: voter.leader(), voters: voter.voters() }
+            }
+            None => View { is_leader: false, leader: self.session.leader, voters: Vec::new() },
         }
     }
 
-    /// Adds a voter, or takes one away, one at a time; false where this member does not lead, or another change is under way.
-    pub fn change(&mut self, now: Time, add: bool, who: Member, out: &mut Vec<Output>) -> bool {
-        let done = self.voter.as_mut().is_some_and(|v| v.change(add, who));
-        self.settle(now, out);
-        done
+    /// Adds or removes a voter. Changes are made one at a time: returns false where this member is not the
+    /// leader, or another change is in progress.
+    pub fn change_voters(&mut self, now: Time, add: bool, member: Member, out: &mut Vec<Output>) -> bool {
+        let proposed = self.voter.as_mut().is_some_and(|voter| voter.change_voters(add, member));
+        self.advance_voter(now, out);
+        proposed
     }
 
-    /// Announces something to the part. It stands once [`Event::Announced`] tells its serial; if this incarnation ends before, it never will.
+    /// Announces something to the state machine. [`Event::Announced`] with the returned serial number reports
+    /// that it is committed; if this incarnation ends before that, it never will be.
     pub fn announce(
         &mut self,
         now: Time,
         bytes: Vec<u8>,
         out: &mut Vec<Output>,
-    ) -> Result<(Incarnation, u64), Refused> {
-        let said = self.seat.announce(now, &self.terms, bytes)?;
-        let newest = self.seat.newest(&self.terms);
-        newest.into_iter().for_each(|(to, m)| self.send(now, to, m, out));
-        self.settle(now, out);
-        Ok(said)
+    ) -> Result<(Incarnation, u64), AnnounceError> {
+        let announced = self.session.announce(now, &self.settings, bytes)?;
+        let newest = self.session.propose_newest(&self.settings);
+        newest.into_iter().for_each(|(to, message)| self.send(now, to, message, out));
+        self.advance_voter(now, out);
+        Ok(announced)
     }
 
-    /// This member goes: its incarnation has ended by its own record, and from this moment on it does nothing in it.
+    /// This member leaves: it proposes the end of its own incarnation, and from this moment on does nothing
+    /// in it.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(incarnation) = self.seat.incarnation.filter(|_| !self.seat.ended) else { return };
-        self.seat.ended = true;
-        let over = Message::Offer(vec![Record::Ended { member: self.me, incarnation }]);
-        let to: Vec<Member> = self.seat.leader.map_or(self.terms.voters.clone(), |l| vec![l]);
-        to.into_iter().for_each(|to| self.send(now, to, over.clone(), out));
-        self.settle(now, out);
+        let Some(incarnation) = self.session.incarnation.filter(|_| !self.session.ended) else { return };
+        self.session.ended = true;
+        let proposal = Message::Propose(vec![Record::Ended { member: self.me, incarnation }]);
+        let to: Vec<Member> = self.session.leader.map_or(self.settings.voters.clone(), |l| vec![l]);
+        to.into_iter().for_each(|to| self.send(now, to, proposal.clone(), out));
+        self.advance_voter(now, out);
     }
 
-    /// Takes in what has happened, and adds what is to be done.
-    pub fn on(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
+    /// Processes an input, and appends the actions to perform.
+    pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Tick => self.tick(now, out),
-            Input::Heard(from, message) => self.heard(now, from, message, out),
-            Input::Written => self.written(now, out),
+            Input::Tick => self.on_tick(now, out),
+            Input::Received(from, message) => self.on_message(now, from, message, out),
+            Input::Written => self.on_written(now, out),
         }
-        self.settle(now, out);
+        self.advance_voter(now, out);
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
-        if let Some(v) = &mut self.voter {
-            v.tick(now, &self.ledger);
-            if let Some(leader) = v.leader() {
-                self.seat.leader = Some(leader);
+    fn on_tick(&mut self, now: Time, out: &mut Vec<Output>) {
+        if let Some(voter) = &mut self.voter {
+            voter.tick(now, &self.ledger);
+            if let Some(leader) = voter.leader() {
+                self.session.leader = Some(leader);
             }
         }
-        let asks = self.seat.beat(now, &self.terms, self.ledger.applied());
-        for (to, message) in asks {
-            if self.voter.is_none() || !matches!(message, Message::Since(_)) {
+        let messages = self.session.heartbeat(now, &self.settings, self.ledger.applied());
+        for (to, message) in messages {
+            if self.voter.is_none() || !matches!(message, Message::EntriesAfter(_)) {
                 self.send(now, to, message, out);
             }
         }
-        self.feed(out);
+        self.send_entries(out);
     }
 
-    /// To itself at once, to others over the link.
+    /// Processes a message to this member itself at once; sends any other.
     fn send(&mut self, now: Time, to: Member, message: Message, out: &mut Vec<Output>) {
         if to == self.me {
-            self.heard(now, to, message, out);
+            self.on_message(now, to, message, out);
         } else {
             out.push(Output::Send(to, message));
         }
     }
 
-    /// Followers that wait are told what has come, at each tick and not at each entry.
-    fn feed(&mut self, out: &mut Vec<Output>) {
-        let Some(v) = &self.voter else { return };
-        let (applied, leader) = (self.ledger.applied(), v.leader());
+    /// Answers the followers that wait for new entries. It runs once per tick and not once per entry.
+    fn send_entries(&mut self, out: &mut Vec<Output>) {
+        let Some(voter) = &self.voter else { return };
+        let (applied, leader) = (self.ledger.applied(), voter.leader());
         let due: Vec<_> = self.waiting.iter().filter(|w| *w.1 < applied).map(|w| (*w.0, *w.1)).collect();
-        let mut all = None;
-        for (member, since) in due {
+        let mut snapshot = None;
+        for (member, after) in due {
             self.waiting.remove(&member);
-            let message = match v.storage().after(since, applied, self.terms.batch) {
+            let message = match voter.storage().entries_after(after, applied, self.settings.max_batch_bytes) {
                 Some(entries) => Message::Entries { entries, leader },
                 None => {
-                    let bytes = all.get_or_insert_with(|| self.ledger.save()).clone();
-                    Message::All { index: applied, bytes }
+                    let bytes = snapshot.get_or_insert_with(|| self.ledger.save()).clone();
+                    Message::Snapshot { index: applied, bytes }
                 }
             };
             out.push(Output::Send(member, message));
         }
     }
 
-    fn heard(&mut self, now: Time, from: Member, message: Message, out: &mut Vec<Output>) {
+    fn on_message(&mut self, now: Time, from: Member, message: Message, out: &mut Vec<Output>) {
         match message {
-            Message::Raft(form) => {
-                if let Some(v) = &mut self.voter {
-                    v.heard(from, *form);
+            Message::Raft(message) => {
+                if let Some(voter) = &mut self.voter {
+                    voter.on_message(from, *message);
                 }
             }
             Message::Renew { incarnation, stamp } => {
-                let Some(v) = &mut self.voter else { return };
-                if !v.asked(Ask { member: from, incarnation, stamp }) {
-                    let leader = v.leader();
-                    self.send(now, from, Message::Elsewhere(leader), out);
+                let Some(voter) = &mut self.voter else { return };
+                if !voter.on_renewal(Renewal { member: from, incarnation, stamp }) {
+                    let leader = voter.leader();
+                    self.send(now, from, Message::NotLeader(leader), out);
                 }
             }
-            Message::Offer(records) => {
-                let Some(v) = &mut self.voter else { return };
-                if !v.offered(from, records, &self.ledger) {
-                    let leader = v.leader();
-                    self.send(now, from, Message::Elsewhere(leader), out);
+            Message::Propose(records) => {
+                let Some(voter) = &mut self.voter else { return };
+                if !voter.on_proposal(from, records, &self.ledger) {
+                    let leader = voter.leader();
+                    self.send(now, from, Message::NotLeader(leader), out);
                 }
             }
-            Message::Since(index) => {
+            Message::EntriesAfter(index) => {
                 if self.voter.is_some() {
                     self.waiting.insert(from, index);
                 }
             }
             Message::Renewed { incarnation, stamp } => {
-                self.seat.renewed(now, incarnation, stamp, self.terms.lease, self.mutant);
-                self.seat.leader = Some(from);
+                self.session.on_renewed(now, incarnation, stamp, self.settings.lease, self.mutant);
+                self.session.leader = Some(from);
             }
-            Message::Elsewhere(leader) => {
+            Message::NotLeader(leader) => {
                 if leader.is_some() {
-                    self.seat.leader = leader;
+                    self.session.leader = leader;
                 }
             }
             Message::Entries { entries, leader } => {
                 if self.voter.is_some() {
                     return;
                 }
-                self.seat.fed(now);
-                self.seat.leader = leader.or(self.seat.leader);
-                let had = self.ledger.applied();
+                self.session.on_entries(now);
+                self.session.leader = leader.or(self.session.leader);
+                let applied_before = self.ledger.applied();
                 entries.into_iter().for_each(|(at, data)| self.apply(now, at, 0, &data, out));
-                if self.ledger.applied() > had {
-                    let since = self.seat.since(&self.terms, self.ledger.applied());
-                    since.into_iter().for_each(|(to, m)| self.send(now, to, m, out));
+                if self.ledger.applied() > applied_before {
+                    let request = self.session.request_entries(&self.settings, self.ledger.applied());
+                    request.into_iter().for_each(|(to, message)| self.send(now, to, message, out));
                 }
             }
-            Message::All { bytes, .. } => {
-                self.seat.fed(now);
+            Message::Snapshot { bytes, .. } => {
+                self.session.on_entries(now);
                 if self.voter.is_none() && self.ledger.load(&bytes) {
-                    self.look(now, out);
-                    let since = self.seat.since(&self.terms, self.ledger.applied());
-                    since.into_iter().for_each(|(to, m)| self.send(now, to, m, out));
+                    self.update_session(now, out);
+                    let request = self.session.request_entries(&self.settings, self.ledger.applied());
+                    request.into_iter().for_each(|(to, message)| self.send(now, to, message, out));
                 }
             }
         }
@@ -297,7 +326,7 @@
         }
         let Some(records) = record::read(data) else {
             self.stuck = true;
-            return out.push(Output::TooNew(at));
+            return out.push(Output::UnknownRecordVersion(at));
         };
         self.term = term;
         let mut events = Vec::new();
@@ -305,84 +334,88 @@
         for event in events {
             match event {
                 Event::Began(member, incarnation) => {
-                    self.voter.iter_mut().for_each(|v| v.began(now, member, incarnation))
+                    self.voter.iter_mut().for_each(|voter| voter.on_began(now, member, incarnation))
                 }
                 Event::Ended(member, incarnation) => {
-                    self.voter.iter_mut().for_each(|v| v.ended(member, incarnation))
+                    self.voter.iter_mut().for_each(|voter| voter.on_ended(member, incarnation))
                 }
                 Event::Announced(member, incarnation, serial)
-                    if member == self.me && self.seat.incarnation == Some(incarnation) =>
+                    if member == self.me && self.session.incarnation == Some(incarnation) =>
                 {
-                    self.seat.stands(serial);
+                    self.session.on_committed(serial);
                 }
                 Event::Announced(..) => {}
             }
             out.push(Output::Event(at, event));
         }
-        self.look(now, out);
+        self.update_session(now, out);
     }
 
-    /// What the log says of this member itself.
-    fn look(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(s) = self.ledger.members().get(&self.me) else { return };
-        if s.nonce != self.seat.nonce {
-            // Another process has this number, or this one's incarnation is of before: nothing of it counts here.
-            if self.seat.incarnation.is_some_and(|incarnation| incarnation < s.incarnation) {
-                let lost = self.seat.begin_again(self.rng.random());
-                out.push(Output::Lost(lost));
+    /// Updates the session by what the ledger says of this member.
+    fn update_session(&mut self, now: Time, out: &mut Vec<Output>) {
+        let Some(state) = self.ledger.members().get(&self.me) else { return };
+        if state.nonce != self.session.nonce {
+            // The incarnation belongs to another process with this member number. If it is newer than this
+            // session's, that one is lost.
+            if self.session.incarnation.is_some_and(|incarnation| incarnation < state.incarnation) {
+                let lost = self.session.reset(self.rng.random());
+                out.push(Output::IncarnationLost(lost));
             }
             return;
         }
-        if self.seat.incarnation.is_none() {
-            self.seat.began(now, s.incarnation);
+        if self.session.incarnation.is_none() {
+            self.session.on_began(now, state.incarnation);
         }
-        self.seat.stands(s.announced);
-        if s.ended {
-            let lost = self.seat.begin_again(self.rng.random());
-            out.push(Output::Lost(lost));
+        self.session.on_committed(state.announced);
+        if state.ended {
+            let lost = self.session.reset(self.rng.random());
+            out.push(Output::IncarnationLost(lost));
         }
     }
 
-    fn written(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(done) = self.voter.as_mut().and_then(|v| v.written(now, &self.ledger)) else { return };
-        for form in done.send {
-            if let Some(to) = voter::member(form.to) {
-                out.push(Output::Send(to, Message::Raft(Box::new(form))));
+    fn on_written(&mut self, now: Time, out: &mut Vec<Output>) {
+        let Some(completed) = self.voter.as_mut().and_then(|voter| voter.on_written(now, &self.ledger))
+        else {
+            return;
+        };
+        for message in completed.messages {
+            if let Some(to) = voter::member(message.to) {
+                out.push(Output::Send(to, Message::Raft(Box::new(message))));
             }
         }
-        if let Some(all) = done.all {
-            self.term = all.term;
-            if self.ledger.load(&all.data) {
-                self.look(now, out);
+        if let Some(snapshot) = completed.snapshot {
+            self.term = snapshot.term;
+            if self.ledger.load(&snapshot.data) {
+                self.update_session(now, out);
             }
         }
-        for (at, term, data) in done.stand {
+        for (at, term, data) in completed.committed {
             self.apply(now, at, term, &data, out);
         }
     }
 
-    /// Grants what is proven, and brings what the voter has to say to the disk and the others.
-    fn settle(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Grants the renewals that are proven, and requests the voter's next write and messages.
+    fn advance_voter(&mut self, now: Time, out: &mut Vec<Output>) {
         loop {
-            let Some(v) = &mut self.voter else { return };
-            for ask in v.grants(now, &self.ledger) {
-                let renewed = Message::Renewed { incarnation: ask.incarnation, stamp: ask.stamp };
-                self.send(now, ask.member, renewed, out);
+            let Some(voter) = &mut self.voter else { return };
+            for renewal in voter.grant_renewals(now, &self.ledger) {
+                let renewed = Message::Renewed { incarnation: renewal.incarnation, stamp: renewal.stamp };
+                self.send(now, renewal.member, renewed, out);
             }
-            let Some(v) = &mut self.voter else { return };
+            let Some(voter) = &mut self.voter else { return };
             if !self.stuck {
-                v.fold(&self.ledger, self.term);
+                voter.take_snapshot(&self.ledger, self.term);
             }
-            let Some((write, send)) = v.poll() else { return };
-            for form in send {
-                if let Some(to) = voter::member(form.to) {
-                    out.push(Output::Send(to, Message::Raft(Box::new(form))));
+            let Some((write, messages)) = voter.poll() else { return };
+            for message in messages {
+                if let Some(to) = voter::member(message.to) {
+                    out.push(Output::Send(to, Message::Raft(Box::new(message))));
                 }
             }
             if write != Write::default() {
                 return out.push(Output::Write(write));
             }
-            self.written(now, out);
+            self.on_written(now, out);
         }
     }
 }
--- a/crates/badgerwind-register/src/record.rs
+++ b/crates/badgerwind-register/src/record.rs
@@ -1,40 +1,43 @@
-//! What is written in the log.
+//! Records: the contents of the log's entries.
 
-use crate::terms::{Incarnation, Member};
+use crate::settings::{Incarnation, Member};
 use serde::{Deserialize, Serialize};
 
-/// The newest form of records that this program can read. A record of a newer form is proposed only once every living member
-/// has said that it reads it ([`crate::Ledger::speaks`]), so that no two members make different things of one entry.
+/// The newest record version that this program can read. Records of a newer version are proposed only once
+/// every live member has declared that it reads them ([`crate::Ledger::common_record_version`]), so that no
+/// two members interpret an entry differently.
 pub const VERSION: u8 = 1;
 
-/// One thing that happened, for all members in the same order.
+/// A state change, applied by all members in the same order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A member asks for an incarnation. It gets one only where its last one has ended.
+    /// A member requests a new incarnation. It is granted only if the member's last one has ended.
     Join {
-        /// Who.
+        /// The member.
         member: Member,
-        /// Drawn by its process, so that it knows its incarnation from another process's under its number.
+        /// Drawn by the process, so that it can tell its own incarnation from that of another process with
+        /// the same member number.
         nonce: u64,
-        /// Its zone.
+        /// The member's zone.
         zone: u8,
-        /// The newest form of records that it reads.
-        speaks: u8,
+        /// The newest record version that the member can read.
+        #[serde(rename = "speaks")]
+        record_version: u8,
     },
-    /// An incarnation has ended: by proof, or by its own record.
+    /// An incarnation has ended: its lease provably expired, or the member left.
     Ended {
-        /// Whose.
+        /// The member.
         member: Member,
-        /// Which.
+        /// The incarnation that ended.
         incarnation: Incarnation,
     },
-    /// An announcement for the part built on the register.
+    /// An announcement for the state machine.
     Announce {
-        /// Who says it.
+        /// The announcing member.
         member: Member,
-        /// In which incarnation.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Counted from 1 within the incarnation: each is taken once, in order.
+        /// Counted from 1 within the incarnation; announcements are accepted once each and in order.
         serial: u64,
         /// The announcement.
         bytes: Vec<u8>,
@@ -42,7 +45,7 @@
 }
 
 impl Record {
-    /// Whose record it is: nobody offers another's.
+    /// The member that the record belongs to; only this member may propose it.
     pub fn member(&self) -> Member {
         match self {
             Record::Join { member, .. } | Record::Ended { member, .. } | Record::Announce { member, .. } => {
@@ -51,7 +54,7 @@
         }
     }
 
-    /// Bytes that it takes, about.
+    /// The approximate serialized size in bytes.
     pub fn size(&self) -> usize {
         match self {
             Record::Announce { bytes, .. } => 24 + bytes.len(),
@@ -60,18 +63,18 @@
     }
 }
 
-/// Records of one entry as bytes: the form's number, then the records.
+/// Serializes the records of one entry, prefixed by the record version.
 pub(crate) fn write(records: &[Record]) -> Vec<u8> {
     let mut out = vec![VERSION];
-    // Writing to memory fails for no value of these types.
+    // Serializing these types to memory cannot fail.
     out.extend(postcard::to_allocvec(records).unwrap_or_default());
     out
 }
 
-/// Reads an entry. `None`: a form that this program does not know.
+/// Parses the records of one entry; `None` for a version that this program does not know.
 pub(crate) fn read(bytes: &[u8]) -> Option<Vec<Record>> {
     match bytes.split_first() {
-        None => Some(Vec::new()), // a leader's first, or a change of voters
+        None => Some(Vec::new()), // a new leader's first entry, or a change of voters
         Some((&VERSION, rest)) => postcard::from_bytes(rest).ok(),
         Some(_) => None,
     }
--- a/crates/badgerwind-register/src/voter.rs
+++ b/crates/badgerwind-register/src/voter.rs
@@ -1,11 +1,12 @@
-//! A voter: the consensus library, its patience drawn by our own seed, and what a leader does beside leading.
+//! A voter: the consensus library with election timeouts drawn from a seed, and the duties of a leader
+//! besides replication.
 
-use crate::leases::{Ask, Leases};
-use crate::ledger::{Ledger, Part};
+use crate::leases::{Leases, Renewal};
+use crate::ledger::{Ledger, StateMachine};
 use crate::record::{self, Record};
+use crate::settings::{Incarnation, Index, Member, Settings, Time};
 use crate::storage::{VoterStorage, Write};
-use crate::terms::{Incarnation, Index, Member, Terms, Time};
-use crate::wire::{EntryForm, HardForm, RaftForm, SnapshotForm};
+use crate::wire::{WireEntry, WireHardState, WireMessage, WireSnapshot};
 use crate::Mutant;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry, EntryType};
 use raft::{Config, RawNode, StateRole};
@@ -13,69 +14,86 @@
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Proofs of leading that are under way at the most; of more, the oldest is given up.
-const PROOFS: usize = 64;
-/// Records that wait for the disk, in batches; more are turned away, and offered again.
-const WAITING: usize = 16;
+/// Limit on the proofs of leadership in progress; beyond it the oldest is dropped.
+const MAX_PROOFS: usize = 64;
+/// Limit on the queued records, in batches of `Settings::max_batch_bytes`; further records are dropped, and
+/// their members propose them again.
+const MAX_QUEUED_BATCHES: usize = 16;
 
 /// The library's number of a voter.
 fn id(member: Member) -> u64 {
     u64::from(member) + 1
 }
 
-/// Whose number it is.
+/// The member with this number of the library.
 pub(crate) fn member(id: u64) -> Option<Member> {
     Member::try_from(id.checked_sub(1)?).ok()
 }
 
-/// The memory of a voter with which the register begins.
-pub(crate) fn begin(voters: &[Member]) -> VoterStorage {
-    VoterStorage::begin(&voters.iter().map(|v| id(*v)).collect::<Vec<_>>())
+/// The storage of a voter of a new register.
+pub(crate) fn initial_storage(voters: &[Member]) -> VoterStorage {
+    VoterStorage::new(&voters.iter().map(|v| id(*v)).collect::<Vec<_>>())
 }
 
-/// What followed from a write that is done.
-pub(crate) struct Done {
-    pub send: Vec<RaftForm>,
-    /// Takes the place of all before.
-    pub all: Option<SnapshotForm>,
-    /// Entries that stand, in order, each with its term.
-    pub stand: Vec<(Index, u64, Vec<u8>)>,
+/// What follows from a completed write.
+pub(crate) struct Completed {
+    pub messages: Vec<WireMessage>,
+    /// Replaces the whole state.
+    pub snapshot: Option<WireSnapshot>,
+    /// Committed entries in order: index, term and records.
+    pub committed: Vec<(Index, u64, Vec<u8>)>,
 }
 
-/// What a leader has beside its log.
+/// A proof, in progress, that this voter is still the leader.
+struct LeadershipProof {
+    number: u64,
+    /// Once the proof is complete: the entry that must be applied before the renewals are granted.
+    read_index: Option<Index>,
+    /// The renewals that wait for it.
+    renewals: Vec<Renewal>,
+}
+
+/// The state of a leader besides the log.
 struct Leadership {
     term: u64,
-    /// Known once the leadership's first entry stands.
+    /// Present once the first entry of this leadership is committed.
     leases: Option<Leases>,
     queue: VecDeque<Record>,
-    waiting: usize,
-    /// The last announcement of each member that is in the log or on its way there.
-    offered: BTreeMap<Member, (Incarnation, u64)>,
-    asks: Vec<Ask>,
-    /// Asks whose proof is under way, by its number; with the entry that has to be applied once it is there.
-    proofs: VecDeque<(u64, Option<Index>, Vec<Ask>)>,
-    proof: u64,
+    queued_bytes: usize,
+    /// The last announcement of each member that was queued.
+    queued_serials: BTreeMap<Member, (Incarnation, u64)>,
+    /// Renewals for which no proof has been started yet.
+    renewals: Vec<Renewal>,
+    proofs: VecDeque<LeadershipProof>,
+    last_proof: u64,
 }
 
-/// What follows once a write is on the disk.
-struct Writing {
-    /// The library's number of what it waits for; nothing for a fold.
+/// What to do once the write in progress is durable.
+struct PendingWrite {
+    /// The library's number of the write; `None` for a write of a local snapshot alone.
     number: Option<u64>,
-    send: Vec<RaftForm>,
-    all: Option<SnapshotForm>,
-    stand: Vec<Entry>,
+    messages: Vec<WireMessage>,
+    snapshot: Option<WireSnapshot>,
+    committed: Vec<Entry>,
+}
+
+/// An election timeout in ticks, and the term and role for which it was drawn.
+struct ElectionTimeout {
+    term: u64,
+    role: StateRole,
+    ticks: usize,
 }
 
 pub(crate) struct Voter {
     me: Member,
     node: RawNode<VoterStorage>,
-    terms: Terms,
+    settings: Settings,
     rng: StdRng,
-    ticked: Time,
-    /// For which term and role the patience was drawn, and the patience.
-    drawn: (u64, StateRole, usize),
-    writing: Option<Writing>,
-    fold: Option<Write>,
+    last_tick: Time,
+    election_timeout: ElectionTimeout,
+    pending_write: Option<PendingWrite>,
+    /// A local snapshot that has not been written yet, with the compaction of the log.
+    snapshot_write: Option<Write>,
     leadership: Option<Leadership>,
     mutant: Option<Mutant>,
 }
@@ -94,54 +112,56 @@
         now: Time,
         me: Member,
         storage: VoterStorage,
-        terms: &Terms,
+        settings: &Settings,
         rng: StdRng,
         mutant: Option<Mutant>,
     ) -> Voter {
-        let patience = terms.patience as usize;
+        let election_ticks = settings.election_ticks as usize;
         let config = Config {
             id: id(me),
-            election_tick: patience,
-            heartbeat_tick: (patience / 4).max(1),
-            applied: storage.folded().index,
-            max_size_per_msg: terms.batch as u64,
+            election_tick: election_ticks,
+            heartbeat_tick: (election_ticks / 4).max(1),
+            applied: storage.latest_snapshot().index,
+            max_size_per_msg: settings.max_batch_bytes as u64,
             max_inflight_msgs: 64,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
-        let log = slog::Logger::root(slog::Discard, slog::o!());
-        // The library refuses only figures that `Terms::check` has refused before.
-        let node =
-            RawNode::new(&config, storage, &log).unwrap_or_else(|e| unreachable!("checked terms: {e}"));
-        let drawn = (u64::MAX, StateRole::Follower, 0);
-        let mut v = Voter {
+        let logger = slog::Logger::root(slog::Discard, slog::o!());
+        // The library rejects only configurations that `Settings::validate` has rejected before.
+        let node = RawNode::new(&config, storage, &logger)
+            .unwrap_or_else(|e| unreachable!("validated settings: {e}"));
+        let election_timeout = ElectionTimeout { term: u64::MAX, role: StateRole::Follower, ticks: 0 };
+        let mut voter = Voter {
             me,
             node,
-            terms: terms.clone(),
+            settings: settings.clone(),
             rng,
-            ticked: now,
-            drawn,
-            writing: None,
-            fold: None,
+            last_tick: now,
+            election_timeout,
+            pending_write: None,
+            snapshot_write: None,
             leadership: None,
             mutant,
         };
-        v.draw();
-        v
+        voter.set_election_timeout();
+        voter
     }
 
-    /// The library draws its patience from the thread's chance; ours comes from the seed.
-    fn draw(&mut self) {
+    /// Replaces the election timeout that the library drew from the thread's random generator with one drawn
+    /// from the seed.
+    fn set_election_timeout(&mut self) {
         let (term, role) = (self.node.raft.term, self.node.raft.state);
-        if (self.drawn.0, self.drawn.1) != (term, role) {
-            let least = self.terms.patience as usize;
-            self.drawn = (term, role, self.rng.random_range(least..2 * least));
+        if (self.election_timeout.term, self.election_timeout.role) != (term, role) {
+            let minimum = self.settings.election_ticks as usize;
+            let ticks = self.rng.random_range(minimum..2 * minimum);
+            self.election_timeout = ElectionTimeout { term, role, ticks };
         }
-        self.node.raft.set_randomized_election_timeout(self.drawn.2);
+        self.node.raft.set_randomized_election_timeout(self.election_timeout.ticks);
     }
 
-    pub(crate) fn leads(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
@@ -153,157 +173,172 @@
         self.node.store()
     }
 
-    pub(crate) fn votes(&self) -> Vec<Member> {
+    pub(crate) fn voters(&self) -> Vec<Member> {
         self.storage().voters().iter().filter_map(|v| member(*v)).collect()
     }
 
-    /// Time passes, a tick for each that is due; after a stop a few, not all that were missed.
-    pub(crate) fn tick<P: Part>(&mut self, now: Time, ledger: &Ledger<P>) {
-        let due = (now.saturating_sub(self.ticked) / self.terms.tick).min(3);
+    /// Makes the ticks that are due. After a suspension of the process these are at most three, not all that
+    /// were missed.
+    pub(crate) fn tick<S: StateMachine>(&mut self, now: Time, ledger: &Ledger<S>) {
+        let due = (now.saturating_sub(self.last_tick) / self.settings.tick).min(3);
         if due == 0 {
             return;
         }
-        self.ticked = now;
-        if self.replaced() {
+        self.last_tick = now;
+        if self.is_installing_snapshot() {
             return;
         }
         (0..due).for_each(|_| _ = self.node.tick());
-        self.role();
-        let outlasts = match self.mutant {
-            Some(Mutant::IgnoresDrift) => self.terms.lease,
-            _ => self.terms.outlasts(self.terms.lease),
+        self.update_role();
+        let adjusted_lease = match self.mutant {
+            Some(Mutant::IgnoresDrift) => self.settings.lease,
+            _ => self.settings.drift_adjusted(self.settings.lease),
         };
         let Some(leadership) = &mut self.leadership else { return };
         let Some(leases) = &mut leadership.leases else { return };
-        let living = ledger.members().iter().filter(|(_, s)| !s.ended).map(|(m, s)| (*m, s.incarnation));
-        for (member, incarnation) in leases.over(now, outlasts, living) {
-            let over = Record::Ended { member, incarnation };
-            leadership.waiting += over.size();
-            leadership.queue.push_back(over);
+        let live = ledger.members().iter().filter(|(_, s)| !s.ended).map(|(m, s)| (*m, s.incarnation));
+        for (member, incarnation) in leases.expired(now, adjusted_lease, live) {
+            let record = Record::Ended { member, incarnation };
+            leadership.queued_bytes += record.size();
+            leadership.queue.push_back(record);
         }
-        if !leadership.asks.is_empty() {
-            leadership.proof += 1;
-            if leadership.proofs.len() >= PROOFS {
+        if !leadership.renewals.is_empty() {
+            leadership.last_proof += 1;
+            if leadership.proofs.len() >= MAX_PROOFS {
                 leadership.proofs.pop_front();
             }
-            leadership.proofs.push_back((leadership.proof, None, std::mem::take(&mut leadership.asks)));
-            self.node.read_index(leadership.proof.to_be_bytes().to_vec());
+            leadership.proofs.push_back(LeadershipProof {
+                number: leadership.last_proof,
+                read_index: None,
+                renewals: std::mem::take(&mut leadership.renewals),
+            });
+            self.node.read_index(leadership.last_proof.to_be_bytes().to_vec());
         }
     }
 
-    /// All that stands is being replaced: until that is on the disk nothing is heard, as if it had been lost.
-    fn replaced(&self) -> bool {
-        self.writing.as_ref().is_some_and(|w| w.all.is_some())
+    /// A snapshot that replaces the whole state is being written. Until it is durable, all messages are
+    /// dropped, as if they had been lost.
+    fn is_installing_snapshot(&self) -> bool {
+        self.pending_write.as_ref().is_some_and(|w| w.snapshot.is_some())
     }
 
-    /// Whether this voter has begun to lead, or has ceased.
-    fn role(&mut self) {
-        self.draw();
+    /// Handles the start and the end of this voter's leadership.
+    fn update_role(&mut self) {
+        self.set_election_timeout();
         let term = self.node.raft.term;
-        if !self.leads() {
+        if !self.is_leader() {
             self.leadership = None;
-        } else if self.leadership.as_ref().is_none_or(|r| r.term != term) {
+        } else if self.leadership.as_ref().is_none_or(|l| l.term != term) {
             self.leadership = Some(Leadership {
                 term,
                 leases: None,
                 queue: VecDeque::new(),
-                waiting: 0,
-                offered: BTreeMap::new(),
-                asks: Vec::new(),
+                queued_bytes: 0,
+                queued_serials: BTreeMap::new(),
+                renewals: Vec::new(),
                 proofs: VecDeque::new(),
-                proof: 0,
+                last_proof: 0,
             });
         }
     }
 
-    pub(crate) fn heard(&mut self, from: Member, form: RaftForm) {
-        if form.from != id(from) || form.to != id(self.me) || self.replaced() {
+    pub(crate) fn on_message(&mut self, from: Member, message: WireMessage) {
+        if message.from != id(from) || message.to != id(self.me) || self.is_installing_snapshot() {
             return;
         }
-        if let Some(message) = form.message() {
-            // What does not fit the log or the term is passed over, as if it had been lost.
+        if let Some(message) = message.into_raft() {
+            // A message that does not fit the log or the term is ignored, as if it had been lost.
             let _ = self.node.step(message);
-            self.role();
+            self.update_role();
         }
     }
 
-    /// A member's ask, and a member's records; false where this voter does not lead.
-    pub(crate) fn asked(&mut self, ask: Ask) -> bool {
-        let most = usize::from(Member::MAX);
+    /// Handles a renewal request; returns false where this voter is not the leader.
+    pub(crate) fn on_renewal(&mut self, renewal: Renewal) -> bool {
+        let limit = usize::from(Member::MAX);
         let Some(leadership) = &mut self.leadership else { return false };
-        if leadership.asks.len() < most {
-            leadership.asks.push(ask);
+        if leadership.renewals.len() < limit {
+            leadership.renewals.push(renewal);
         }
         true
     }
 
-    pub(crate) fn offered<P: Part>(
+    /// Handles proposed records; returns false where this voter is not the leader.
+    pub(crate) fn on_proposal<S: StateMachine>(
         &mut self,
         from: Member,
         records: Vec<Record>,
-        ledger: &Ledger<P>,
+        ledger: &Ledger<S>,
     ) -> bool {
-        let most = WAITING * self.terms.batch;
+        let max_queued_bytes = MAX_QUEUED_BATCHES * self.settings.max_batch_bytes;
         let Some(leadership) = &mut self.leadership else { return false };
-        for r in records.into_iter().filter(|r| r.member() == from) {
-            if leadership.waiting + r.size() > most {
+        for record in records.into_iter().filter(|r| r.member() == from) {
+            if leadership.queued_bytes + record.size() > max_queued_bytes {
                 break;
             }
-            let standing = ledger.members().get(&from);
-            let fits = match &r {
+            let state = ledger.members().get(&from);
+            let acceptable = match &record {
                 Record::Join { .. } => {
-                    standing.is_none_or(|s| s.ended) || self.mutant == Some(Mutant::JoinsBesideTheLiving)
+                    state.is_none_or(|s| s.ended) || self.mutant == Some(Mutant::JoinsWhileLive)
                 }
                 Record::Ended { incarnation, .. } => ledger.is_alive(from, *incarnation),
                 Record::Announce { incarnation, serial, .. } => {
-                    let said = standing.filter(|s| s.incarnation == *incarnation).map_or(0, |s| s.announced);
-                    let on_its_way =
-                        leadership.offered.get(&from).filter(|o| o.0 == *incarnation).map_or(0, |o| o.1);
-                    let dead = self.mutant == Some(Mutant::TakesWordsOfTheDead);
-                    let loose = matches!(self.mutant, Some(Mutant::TakesWordsTwice | Mutant::TakesGaps));
-                    let next = *serial == said.max(on_its_way) + 1 || loose;
-                    if next {
-                        leadership.offered.insert(from, (*incarnation, *serial));
+                    let committed =
+                        state.filter(|s| s.incarnation == *incarnation).map_or(0, |s| s.announced);
+                    let queued = leadership
+                        .queued_serials
+                        .get(&from)
+                        .filter(|q| q.0 == *incarnation)
+                        .map_or(0, |q| q.1);
+                    let from_ended = self.mutant == Some(Mutant::AcceptsFromEndedIncarnation);
+                    let any_serial =
+                        matches!(self.mutant, Some(Mutant::AcceptsDuplicates | Mutant::AcceptsGaps));
+                    let is_next = *serial == committed.max(queued) + 1 || any_serial;
+                    if is_next {
+                        leadership.queued_serials.insert(from, (*incarnation, *serial));
                     }
-                    next && (ledger.is_alive(from, *incarnation) || dead)
+                    is_next && (ledger.is_alive(from, *incarnation) || from_ended)
                 }
             };
-            if fits {
-                leadership.waiting += r.size();
-                leadership.queue.push_back(r);
+            if acceptable {
+                leadership.queued_bytes += record.size();
+                leadership.queue.push_back(record);
             }
         }
         true
     }
 
-    /// Another voter, or one less. One at a time; the leader's announcement alone.
-    pub(crate) fn change(&mut self, add: bool, who: Member) -> bool {
+    /// Proposes to add or to remove a voter; returns false where this voter is not the leader or another
+    /// change is in progress.
+    pub(crate) fn change_voters(&mut self, add: bool, member: Member) -> bool {
         let kind = if add { ConfChangeType::AddNode } else { ConfChangeType::RemoveNode };
-        let mut change = ConfChange { node_id: id(who), ..ConfChange::default() };
+        let mut change = ConfChange { node_id: id(member), ..ConfChange::default() };
         change.set_change_type(kind);
-        let context = [&[u8::from(add)][..], &who.to_be_bytes()].concat();
-        self.leads() && self.node.propose_conf_change(context, change).is_ok()
+        let context = [&[u8::from(add)][..], &member.to_be_bytes()].concat();
+        self.is_leader() && self.node.propose_conf_change(context, change).is_ok()
     }
 
-    /// What waits goes into the log together: what came while the disk was busy shares its next write.
-    fn batch(&mut self) {
+    /// Proposes the queued records in batches, so that the records that arrived during a write share the next
+    /// one.
+    fn propose_queued(&mut self) {
         let Some(leadership) = &mut self.leadership else { return };
         while !leadership.queue.is_empty() {
             let (mut records, mut bytes) = (Vec::new(), 0);
-            while let Some(r) = leadership.queue.pop_front() {
-                bytes += r.size();
-                records.push(r);
-                if bytes >= self.terms.batch {
+            while let Some(record) = leadership.queue.pop_front() {
+                bytes += record.size();
+                records.push(record);
+                if bytes >= self.settings.max_batch_bytes {
                     break;
                 }
             }
-            leadership.waiting = leadership.waiting.saturating_sub(bytes);
+            leadership.queued_bytes = leadership.queued_bytes.saturating_sub(bytes);
             if self.node.propose(vec![], record::write(&records)).is_err() {
-                // Refused for now: members offer theirs again, and ends are found again.
-                for r in records {
-                    match (r, &mut leadership.leases) {
-                        (Record::Ended { incarnation, .. }, Some(leases)) => leases.again(incarnation),
-                        (Record::Announce { member, .. }, _) => _ = leadership.offered.remove(&member),
+                // Rejected for now: members propose their announcements again, and expired leases are found
+                // again.
+                for record in records {
+                    match (record, &mut leadership.leases) {
+                        (Record::Ended { incarnation, .. }, Some(leases)) => leases.retry(incarnation),
+                        (Record::Announce { member, .. }, _) => _ = leadership.queued_serials.remove(&member),
                         _ => {}
                     }
                 }
@@ -311,135 +346,153 @@
         }
     }
 
-    /// What has to be on the disk next, and what may go out at once. Nothing while a write is under way.
-    pub(crate) fn poll(&mut self) -> Option<(Write, Vec<RaftForm>)> {
-        if self.writing.is_some() {
+    /// The next write, and the messages that may be sent without waiting for it. `None` while a write is in
+    /// progress, or where there is nothing to write or send.
+    pub(crate) fn poll(&mut self) -> Option<(Write, Vec<WireMessage>)> {
+        if self.pending_write.is_some() {
             return None;
         }
-        self.batch();
-        let fold = self.fold.take();
+        self.propose_queued();
+        let snapshot_write = self.snapshot_write.take();
         if !self.node.has_ready() {
-            let fold = fold?;
-            self.node.mut_store().take(&fold);
-            self.writing = Some(Writing { number: None, send: Vec::new(), all: None, stand: Vec::new() });
-            return Some((fold, Vec::new()));
+            let snapshot_write = snapshot_write?;
+            self.node.mut_store().apply(&snapshot_write);
+            self.pending_write = Some(PendingWrite {
+                number: None,
+                messages: Vec::new(),
+                snapshot: None,
+                committed: Vec::new(),
+            });
+            return Some((snapshot_write, Vec::new()));
         }
         let mut ready = self.node.ready();
         for state in ready.take_read_states() {
             let number = state.request_ctx.as_slice().try_into().map(u64::from_be_bytes);
-            let proofs = self.leadership.iter_mut().flat_map(|r| &mut r.proofs);
-            if let Some(p) = number.ok().and_then(|n| proofs.into_iter().find(|p| p.0 == n)) {
-                p.1 = Some(state.index);
+            let proofs = self.leadership.iter_mut().flat_map(|l| &mut l.proofs);
+            if let Some(proof) = number.ok().and_then(|n| proofs.into_iter().find(|p| p.number == n)) {
+                proof.read_index = Some(state.index);
             }
         }
-        let fold = fold.unwrap_or_default();
-        let all = (!ready.snapshot().is_empty()).then(|| SnapshotForm::of(ready.snapshot()));
-        // How far entries stand is found again without the disk.
-        let before = HardForm::of(&self.node.store().hard());
-        let hard = ready.hs().map(HardForm::of).filter(|h| (h.term, h.vote) != (before.term, before.vote));
-        if let Some(hs) = ready.hs() {
-            self.node.mut_store().commit(hs.commit);
+        let snapshot_write = snapshot_write.unwrap_or_default();
+        let snapshot = (!ready.snapshot().is_empty()).then(|| WireSnapshot::from_raft(ready.snapshot()));
+        // A change of the commit index alone is not written: the index can be learned again from the other
+        // voters.
+        let before = WireHardState::from_raft(&self.node.store().hard_state());
+        let hard_state = ready
+            .hs()
+            .map(WireHardState::from_raft)
+            .filter(|h| (h.term, h.vote) != (before.term, before.vote));
+        if let Some(hard_state) = ready.hs() {
+            self.node.mut_store().commit(hard_state.commit);
         }
         let write = Write {
-            snapshot: all.clone().or(fold.snapshot),
-            entries: ready.entries().iter().map(EntryForm::of).collect(),
-            hard,
-            cut: fold.cut,
+            snapshot: snapshot.clone().or(snapshot_write.snapshot),
+            entries: ready.entries().iter().map(WireEntry::from_raft).collect(),
+            hard_state,
+            compact_to: snapshot_write.compact_to,
         };
-        self.node.mut_store().take(&write);
-        let send = ready.take_messages().iter().filter_map(RaftForm::of).collect();
-        self.writing = Some(Writing {
+        self.node.mut_store().apply(&write);
+        let messages = ready.take_messages().iter().filter_map(WireMessage::from_raft).collect();
+        self.pending_write = Some(PendingWrite {
             number: Some(ready.number()),
-            send: ready.take_persisted_messages().iter().filter_map(RaftForm::of).collect(),
-            all,
-            stand: ready.take_committed_entries(),
+            messages: ready.take_persisted_messages().iter().filter_map(WireMessage::from_raft).collect(),
+            snapshot,
+            committed: ready.take_committed_entries(),
         });
         self.node.advance_append_async(ready);
-        Some((write, send))
+        Some((write, messages))
     }
 
-    /// The write is on the disk.
-    pub(crate) fn written<P: Part>(&mut self, now: Time, ledger: &Ledger<P>) -> Option<Done> {
-        let Writing { number, send, all, stand } = self.writing.take()?;
+    /// The write in progress is durable.
+    pub(crate) fn on_written<S: StateMachine>(&mut self, now: Time, ledger: &Ledger<S>) -> Option<Completed> {
+        let PendingWrite { number, messages, snapshot, committed } = self.pending_write.take()?;
         if let Some(number) = number {
             self.node.on_persist_ready(number);
         }
-        let from = all.as_ref().map_or(ledger.applied(), |s| s.index);
-        let last = stand.last().map(|e| e.index).max(all.as_ref().map(|s| s.index));
-        let stand = stand.into_iter().filter(|e| e.index > from).map(|e| self.stands(now, e)).collect();
+        let from = snapshot.as_ref().map_or(ledger.applied(), |s| s.index);
+        let last = committed.last().map(|e| e.index).max(snapshot.as_ref().map(|s| s.index));
+        let committed =
+            committed.into_iter().filter(|e| e.index > from).map(|e| self.on_committed(now, e)).collect();
         if let Some(last) = last {
             self.node.advance_apply_to(last);
         }
-        self.role();
-        Some(Done { send, all, stand })
+        self.update_role();
+        Some(Completed { messages, snapshot, committed })
     }
 
-    fn stands(&mut self, now: Time, e: Entry) -> (Index, u64, Vec<u8>) {
-        if e.get_entry_type() != EntryType::EntryNormal {
-            if let Some((add, who)) = e.context.split_first().filter(|(_, who)| who.len() == 2) {
-                let who = Member::from_be_bytes([who[0], who[1]]);
+    fn on_committed(&mut self, now: Time, entry: Entry) -> (Index, u64, Vec<u8>) {
+        if entry.get_entry_type() != EntryType::EntryNormal {
+            if let Some((add, member)) = entry.context.split_first().filter(|(_, m)| m.len() == 2) {
+                let member = Member::from_be_bytes([member[0], member[1]]);
                 let kind = if *add == 1 { ConfChangeType::AddNode } else { ConfChangeType::RemoveNode };
-                let mut change = ConfChange { node_id: id(who), ..ConfChange::default() };
+                let mut change = ConfChange { node_id: id(member), ..ConfChange::default() };
                 change.set_change_type(kind);
                 if let Ok(conf) = self.node.apply_conf_change(&change) {
                     self.node.mut_store().set_voters(&conf);
                 }
             }
-            return (e.index, e.term, Vec::new());
+            return (entry.index, entry.term, Vec::new());
         }
-        if let Some(leadership) = self.leadership.as_mut().filter(|r| r.term == e.term && r.leases.is_none())
+        if let Some(leadership) =
+            self.leadership.as_mut().filter(|l| l.term == entry.term && l.leases.is_none())
         {
             let since = if self.mutant == Some(Mutant::NewLeaderEndsAtOnce) { 0 } else { now };
             leadership.leases = Some(Leases::new(since));
         }
-        (e.index, e.term, e.data.to_vec())
+        (entry.index, entry.term, entry.data.to_vec())
     }
 
-    /// An incarnation began, or stands as ended.
-    pub(crate) fn began(&mut self, now: Time, member: Member, incarnation: Incarnation) {
-        if let Some(leases) = self.leadership.as_mut().and_then(|r| r.leases.as_mut()) {
+    /// The start of an incarnation was committed.
+    pub(crate) fn on_began(&mut self, now: Time, member: Member, incarnation: Incarnation) {
+        if let Some(leases) = self.leadership.as_mut().and_then(|l| l.leases.as_mut()) {
             leases.began(now, member, incarnation);
         }
     }
 
-    pub(crate) fn ended(&mut self, member: Member, incarnation: Incarnation) {
-        if let Some(leases) = self.leadership.as_mut().and_then(|r| r.leases.as_mut()) {
+    /// The end of an incarnation was committed.
+    pub(crate) fn on_ended(&mut self, member: Member, incarnation: Incarnation) {
+        if let Some(leases) = self.leadership.as_mut().and_then(|l| l.leases.as_mut()) {
             leases.ended(member, incarnation);
         }
     }
 
-    /// Asks that are proven by now, and may be granted.
-    pub(crate) fn grants<P: Part>(&mut self, now: Time, ledger: &Ledger<P>) -> Vec<Ask> {
+    /// Grants the renewals whose proof of leadership is complete, and returns them.
+    pub(crate) fn grant_renewals<S: StateMachine>(&mut self, now: Time, ledger: &Ledger<S>) -> Vec<Renewal> {
         let (unproven, ending) =
-            (self.mutant == Some(Mutant::GrantsWithoutProof), self.mutant == Some(Mutant::GrantsWhatItEnds));
+            (self.mutant == Some(Mutant::GrantsWithoutProof), self.mutant == Some(Mutant::GrantsWhileEnding));
         let mut out = Vec::new();
         let Some(leadership) = &mut self.leadership else { return out };
         let Some(leases) = &mut leadership.leases else { return out };
         while leadership
             .proofs
             .front()
-            .is_some_and(|p| unproven || p.1.is_some_and(|i| i <= ledger.applied()))
+            .is_some_and(|p| unproven || p.read_index.is_some_and(|i| i <= ledger.applied()))
         {
-            let Some((.., asks)) = leadership.proofs.pop_front() else { break };
+            let Some(proof) = leadership.proofs.pop_front() else { break };
             out.extend(
-                asks.into_iter()
-                    .filter(|a| leases.proven(now, a, ledger.is_alive(a.member, a.incarnation), ending)),
+                proof
+                    .renewals
+                    .into_iter()
+                    .filter(|r| leases.grant(now, r, ledger.is_alive(r.member, r.incarnation), ending)),
             );
         }
         out
     }
 
-    /// All that stands is folded into one, so that the log may be cut.
-    pub(crate) fn fold<P: Part>(&mut self, ledger: &Ledger<P>, term: u64) {
+    /// Takes a snapshot of the ledger once enough entries were applied since the last one, so that the log
+    /// can be compacted.
+    pub(crate) fn take_snapshot<S: StateMachine>(&mut self, ledger: &Ledger<S>, term: u64) {
         let at = ledger.applied();
-        if at < self.storage().folded().index + self.terms.retained || self.fold.is_some() {
+        if at < self.storage().latest_snapshot().index + self.settings.retained_entries
+            || self.snapshot_write.is_some()
+        {
             return;
         }
         let voters = self.storage().voters().to_vec();
-        let snapshot = SnapshotForm { index: at, term, voters, data: ledger.save() };
-        self.fold = Some(Write {
+        let snapshot = WireSnapshot { index: at, term, voters, data: ledger.save() };
+        self.snapshot_write = Some(Write {
             snapshot: Some(snapshot),
-            cut: Some(at.saturating_sub(self.terms.retained)),
+            compact_to: Some(at.saturating_sub(self.settings.retained_entries)),
             ..Write::default()
         });
     }
--- a/crates/badgerwind-register/src/wire.rs
+++ b/crates/badgerwind-register/src/wire.rs
@@ -1,10 +1,11 @@
-//! The consensus library's messages in a form of our own. Its codec (protobuf 2) never sees a byte from a socket or a disk:
-//! what comes is read by `postcard` into these types, whose depth is bounded (RUSTSEC-2024-0437 is of nested messages).
+//! Serializable counterparts of the consensus library's types. The library's own codec (protobuf 2) is never
+//! given bytes from a socket or a disk: they are parsed by `postcard` into these types, whose nesting depth
+//! is bounded. RUSTSEC-2024-0437 is a stack overflow of protobuf 2 on deeply nested messages.
 
 use raft::eraftpb::{self, ConfState, Entry, EntryType, HardState, MessageType, Snapshot};
 use serde::{Deserialize, Serialize};
 
-/// Messages that voters send each other, in the order of their numbers on the wire.
+/// The messages that voters send each other. The position in this list is the number on the wire.
 const KINDS: [MessageType; 11] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
@@ -21,28 +22,28 @@
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryForm {
+pub struct WireEntry {
     pub(crate) index: u64,
     pub(crate) term: u64,
-    /// 0 records, 1 and 2 changes of voters.
+    /// 0: records; 1 and 2: a change of voters.
     kind: u8,
     pub(crate) data: Vec<u8>,
-    /// Of a change of voters: the change, in our form.
+    /// The change of voters, as encoded by `Voter::change_voters`; otherwise empty.
     context: Vec<u8>,
 }
 
-/// All that stands up to an entry.
+/// A snapshot of the state after an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SnapshotForm {
+pub struct WireSnapshot {
     pub(crate) index: u64,
     pub(crate) term: u64,
     pub(crate) voters: Vec<u64>,
     pub(crate) data: Vec<u8>,
 }
 
-/// What a voter must not forget beside the log.
+/// The persistent state of a voter besides its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HardForm {
+pub struct WireHardState {
     pub(crate) term: u64,
     pub(crate) vote: u64,
     pub(crate) commit: u64,
@@ -50,17 +51,17 @@
 
 /// A message between voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RaftForm {
+pub struct WireMessage {
     kind: u8,
     pub(crate) to: u64,
     pub(crate) from: u64,
     term: u64,
     log_term: u64,
     index: u64,
-    entries: Vec<EntryForm>,
+    entries: Vec<WireEntry>,
     commit: u64,
     commit_term: u64,
-    snapshot: Option<SnapshotForm>,
+    snapshot: Option<WireSnapshot>,
     request_snapshot: u64,
     reject: bool,
     reject_hint: u64,
@@ -68,80 +69,86 @@
     priority: i64,
 }
 
-impl EntryForm {
-    pub(crate) fn of(e: &Entry) -> EntryForm {
-        let kind = match e.get_entry_type() {
+impl WireEntry {
+    pub(crate) fn from_raft(entry: &Entry) -> WireEntry {
+        let kind = match entry.get_entry_type() {
             EntryType::EntryNormal => 0,
             EntryType::EntryConfChange => 1,
             EntryType::EntryConfChangeV2 => 2,
         };
-        EntryForm { index: e.index, term: e.term, kind, data: e.data.to_vec(), context: e.context.to_vec() }
+        WireEntry {
+            index: entry.index,
+            term: entry.term,
+            kind,
+            data: entry.data.to_vec(),
+            context: entry.context.to_vec(),
+        }
     }
 
-    pub(crate) fn entry(self) -> Entry {
-        let EntryForm { index, term, data, context, .. } = self;
-        let mut e = Entry { index, term, data: data.into(), context: context.into(), ..Entry::default() };
-        e.set_entry_type(match self.kind {
+    pub(crate) fn into_raft(self) -> Entry {
+        let WireEntry { index, term, data, context, .. } = self;
+        let mut entry = Entry { index, term, data: data.into(), context: context.into(), ..Entry::default() };
+        entry.set_entry_type(match self.kind {
             1 => EntryType::EntryConfChange,
             2 => EntryType::EntryConfChangeV2,
             _ => EntryType::EntryNormal,
         });
-        e
+        entry
     }
 }
 
-impl SnapshotForm {
-    pub(crate) fn of(s: &Snapshot) -> SnapshotForm {
-        let meta = s.get_metadata();
+impl WireSnapshot {
+    pub(crate) fn from_raft(snapshot: &Snapshot) -> WireSnapshot {
+        let meta = snapshot.get_metadata();
         let voters = meta.get_conf_state().voters.clone();
-        SnapshotForm { index: meta.index, term: meta.term, voters, data: s.data.to_vec() }
+        WireSnapshot { index: meta.index, term: meta.term, voters, data: snapshot.data.to_vec() }
     }
 
-    pub(crate) fn snapshot(&self) -> Snapshot {
-        let mut s = Snapshot { data: self.data.clone().into(), ..Snapshot::default() };
-        let meta = s.mut_metadata();
+    pub(crate) fn to_raft(&self) -> Snapshot {
+        let mut snapshot = Snapshot { data: self.data.clone().into(), ..Snapshot::default() };
+        let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (self.index, self.term);
         meta.set_conf_state(ConfState { voters: self.voters.clone(), ..ConfState::default() });
-        s
+        snapshot
     }
 }
 
-impl HardForm {
-    pub(crate) fn of(h: &HardState) -> HardForm {
-        HardForm { term: h.term, vote: h.vote, commit: h.commit }
+impl WireHardState {
+    pub(crate) fn from_raft(state: &HardState) -> WireHardState {
+        WireHardState { term: state.term, vote: state.vote, commit: state.commit }
     }
 
-    pub(crate) fn hard(self) -> HardState {
+    pub(crate) fn into_raft(self) -> HardState {
         HardState { term: self.term, vote: self.vote, commit: self.commit, ..HardState::default() }
     }
 }
 
-impl RaftForm {
-    /// `None` for what never leaves a process.
-    pub(crate) fn of(m: &eraftpb::Message) -> Option<RaftForm> {
-        let kind = KINDS.iter().position(|k| *k == m.get_msg_type())? as u8;
-        Some(RaftForm {
+impl WireMessage {
+    /// Converts a message of the library; `None` for the kinds that never leave a process.
+    pub(crate) fn from_raft(message: &eraftpb::Message) -> Option<WireMessage> {
+        let kind = KINDS.iter().position(|k| *k == message.get_msg_type())? as u8;
+        Some(WireMessage {
             kind,
-            to: m.to,
-            from: m.from,
-            term: m.term,
-            log_term: m.log_term,
-            index: m.index,
-            entries: m.get_entries().iter().map(EntryForm::of).collect(),
-            commit: m.commit,
-            commit_term: m.commit_term,
-            snapshot: m.has_snapshot().then(|| SnapshotForm::of(m.get_snapshot())),
-            request_snapshot: m.request_snapshot,
-            reject: m.reject,
-            reject_hint: m.reject_hint,
-            context: m.context.to_vec(),
-            priority: m.priority,
+            to: message.to,
+            from: message.from,
+            term: message.term,
+            log_term: message.log_term,
+            index: message.index,
+            entries: message.get_entries().iter().map(WireEntry::from_raft).collect(),
+            commit: message.commit,
+            commit_term: message.commit_term,
+            snapshot: message.has_snapshot().then(|| WireSnapshot::from_raft(message.get_snapshot())),
+            request_snapshot: message.request_snapshot,
+            reject: message.reject,
+            reject_hint: message.reject_hint,
+            context: message.context.to_vec(),
+            priority: message.priority,
         })
     }
 
-    /// `None` for a kind that is not known.
-    pub(crate) fn message(self) -> Option<eraftpb::Message> {
-        let mut m = eraftpb::Message {
+    /// Converts to a message of the library; `None` for an unknown kind.
+    pub(crate) fn into_raft(self) -> Option<eraftpb::Message> {
+        let mut message = eraftpb::Message {
             to: self.to,
             from: self.from,
             term: self.term,
@@ -156,11 +163,11 @@
             priority: self.priority,
             ..eraftpb::Message::default()
         };
-        m.set_msg_type(*KINDS.get(usize::from(self.kind))?);
-        m.set_entries(self.entries.into_iter().map(EntryForm::entry).collect::<Vec<_>>().into());
-        if let Some(s) = self.snapshot {
-            m.set_snapshot(s.snapshot());
+        message.set_msg_type(*KINDS.get(usize::from(self.kind))?);
+        message.set_entries(self.entries.into_iter().map(WireEntry::into_raft).collect::<Vec<_>>().into());
+        if let Some(snapshot) = self.snapshot {
+            message.set_snapshot(snapshot.to_raft());
         }
-        Some(m)
+        Some(message)
     }
 }
--- a/crates/badgerwind-register/tests/figures.rs
+++ b/crates/badgerwind-register/tests/figures.rs
@@ -1,36 +1,51 @@
-//! What the register costs by fleet size and trouble, in simulated time: `cargo test -p badgerwind-register --test figures --
-//! --ignored --nocapture` prints the table of the design note. CI holds it to its bounds at one size.
+//! The register's message traffic and latency by fleet size and fault, in simulated time. `cargo test -p
+//! badgerwind-register --test figures -- --ignored --nocapture` prints the table of the design note; CI
+//! checks that the traffic of a member does not grow with the fleet.
 
 mod world;
 
-use badgerwind_register::{Member, Terms};
+use badgerwind_register::{Member, Settings};
 use world::*;
 
-fn plan(members: usize, words: u64, faults: Vec<(u64, Fault)>) -> Plan {
-    let terms = Terms {
-        drift: 1000,
-        ..Terms::of((0..members.min(5) as Member - (members.min(5) as Member + 1) % 2).collect())
+fn scenario(members: usize, announce_interval: u64, faults: Vec<(u64, Fault)>) -> Scenario {
+    let settings = Settings {
+        drift_ppm: 1000,
+        ..Settings::for_voters((0..members.min(5) as Member - (members.min(5) as Member + 1) % 2).collect())
     };
-    let (loss, twice, delay, disk) = (0.0, 0.0, 2 * MS, 4 * MS);
-    Plan { seed: 7, members, terms, loss, twice, delay, disk, words, faults, end: 12_000 * MS, mutant: None }
+    let (loss, duplication, delay, disk) = (0.0, 0.0, 2 * MS, 4 * MS);
+    Scenario {
+        seed: 7,
+        members,
+        settings,
+        loss,
+        duplication,
+        delay,
+        disk,
+        announce_interval,
+        faults,
+        end: 12_000 * MS,
+        mutant: None,
+    }
 }
 
-fn share(seen: &Seen) -> (f64, f64) {
-    let mut took = seen.took.clone();
-    took.sort_unstable();
-    let at = |q: f64| took.get((took.len() as f64 * q) as usize).map_or(0.0, |t| *t as f64 / 1000.0);
+fn latency_percentiles_ms(observed: &Observations) -> (f64, f64) {
+    let mut commit_times = observed.commit_times.clone();
+    commit_times.sort_unstable();
+    let at = |q: f64| {
+        commit_times.get((commit_times.len() as f64 * q) as usize).map_or(0.0, |t| *t as f64 / 1000.0)
+    };
     (at(0.5), at(0.99))
 }
 
 #[test]
-fn what_a_member_sends_does_not_grow_with_the_fleet() {
+fn messages_per_member_do_not_grow_with_the_fleet() {
     let mut each = Vec::new();
     for members in [10, 60] {
-        let seen = World::new(plan(members, 3_600_000 * MS, vec![])).play();
-        assert_eq!((seen.broken.clone(), seen.alive_at_end), (None, members), "{members} members");
-        each.push(seen.messages as f64 / 12.0 / members as f64);
+        let observed = World::new(scenario(members, 3_600_000 * MS, vec![])).run();
+        assert_eq!((observed.violation.clone(), observed.alive_at_end), (None, members), "{members} members");
+        each.push(observed.messages as f64 / 12.0 / members as f64);
     }
-    // Ten members share five voters' talk among themselves.
+    // The consensus traffic among five voters is divided by the number of members.
     assert!(each[1] < each[0], "{each:?} messages a second and member");
     assert!(each[1] < 20.0, "{each:?}");
 }
@@ -38,7 +53,7 @@
 #[test]
 #[ignore = "a table for the design note"]
 fn table() {
-    println!("| members | trouble | words/s | stands after ms, p50 | p99 | messages/s | KiB/s | longest, bytes | ends | live at the end |");
+    println!("| members | fault | announcements/s | committed after ms, p50 | p99 | messages/s | KiB/s | longest, bytes | ends | live at the end |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for members in [3usize, 10, 30, 100, 300] {
         let some: Vec<usize> = (members - members * 7 / 10..members).collect();
@@ -60,19 +75,19 @@
                 vec![(5_000 * MS, Fault::Kill(voters.clone())), (8_000 * MS, Fault::Start(voters.clone()))],
             ),
         ] {
-            let words = 500 * MS;
-            let seen = World::new(plan(members, words, faults)).play();
-            assert_eq!(seen.broken, None);
-            let (p50, p99) = share(&seen);
+            let announce_interval = 500 * MS;
+            let observed = World::new(scenario(members, announce_interval, faults)).run();
+            assert_eq!(observed.violation, None);
+            let (p50, p99) = latency_percentiles_ms(&observed);
             println!(
                 "| {members} | {name} | {:.0} | {p50:.0} | {p99:.0} | {:.0} | {:.0} | {} | {} | {} of {} |",
-                seen.words as f64 / 12.0,
-                seen.messages as f64 / 12.0,
-                seen.bytes as f64 / 12.0 / 1024.0,
-                seen.longest,
-                seen.ends,
-                seen.alive_at_end,
-                seen.running_at_end
+                observed.announcements as f64 / 12.0,
+                observed.messages as f64 / 12.0,
+                observed.bytes as f64 / 12.0 / 1024.0,
+                observed.longest,
+                observed.ends,
+                observed.alive_at_end,
+                observed.running_at_end
             );
         }
     }
--- a/crates/badgerwind-register/tests/voters.rs
+++ b/crates/badgerwind-register/tests/voters.rs
@@ -1,4 +1,5 @@
-//! Voters change one by one while the register serves: a voter whose disk was lost is taken out, another is added.
+//! Voters can be changed one by one while the register is in use: one with a lost disk is removed, another is
+//! added.
 
 mod world;
 
@@ -6,15 +7,15 @@
 use std::collections::BTreeMap;
 use world::Tally;
 
-/// Nodes whose messages and writes arrive at once, in order; those that are down hear nothing.
-struct Room {
+/// Nodes with instant, ordered delivery of messages and writes; nodes that are down receive nothing.
+struct Cluster {
     now: Time,
     nodes: BTreeMap<Member, Node<Tally>>,
     down: Vec<Member>,
 }
 
-impl Room {
-    fn pass(&mut self, ms: u64) {
+impl Cluster {
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now += 10_000;
             let mut due: Vec<(Member, Input)> = self.nodes.keys().map(|m| (*m, Input::Tick)).collect();
@@ -25,10 +26,10 @@
                     }
                     let mut out = Vec::new();
                     let Some(node) = self.nodes.get_mut(&m) else { continue };
-                    node.on(self.now, input, &mut out);
+                    node.handle(self.now, input, &mut out);
                     for o in out {
                         match o {
-                            Output::Send(to, message) => due.push((to, Input::Heard(m, message))),
+                            Output::Send(to, message) => due.push((to, Input::Received(m, message))),
                             Output::Write(_) => due.push((m, Input::Written)),
                             _ => {}
                         }
@@ -39,69 +40,73 @@
     }
 
     fn change(&mut self, add: bool, who: Member) {
-        let leader = self.nodes.iter().find(|(m, n)| n.view().0 && !self.down.contains(m)).map(|(m, _)| *m);
-        let leader = self.nodes.get_mut(&leader.expect("one leads")).unwrap();
+        let leader =
+            self.nodes.iter().find(|(m, n)| n.view().is_leader && !self.down.contains(m)).map(|(m, _)| *m);
+        let leader = self.nodes.get_mut(&leader.expect("there is a leader")).unwrap();
         let mut out = Vec::new();
-        assert!(leader.change(self.now, add, who, &mut out), "the leader takes it");
-        // What it would send at once is lost; it says it again.
+        assert!(leader.change_voters(self.now, add, who, &mut out), "the leader accepts the change");
+        // The messages in `out` are dropped; the leader sends them again.
         if out.iter().any(|o| matches!(o, Output::Write(_))) {
-            leader.on(self.now, Input::Written, &mut out);
+            leader.handle(self.now, Input::Written, &mut out);
         }
-        self.pass(2_000);
+        self.advance(2_000);
     }
 
-    fn votes(&self, m: Member) -> Vec<Member> {
-        let mut votes = self.nodes[&m].view().2;
-        votes.sort_unstable();
-        votes
+    fn voters_seen_by(&self, m: Member) -> Vec<Member> {
+        let mut voters = self.nodes[&m].view().voters;
+        voters.sort_unstable();
+        voters
     }
 }
 
-/// What waits is bounded in number and in bytes, at who says it.
+/// A member's pending announcements are bounded in number and in size.
 #[test]
-fn words_too_long_or_too_many_are_refused_at_once() {
-    let terms = Terms { under_way: 3, batch: 1024, ..Terms::of(vec![0]) };
-    let setup = Setup { me: 0, zone: 0, seed: 5, terms: terms.clone() };
-    let node = Node::voter(0, setup, Node::<Tally>::begin(&terms), Tally::default()).unwrap();
-    let mut room = Room { now: 0, nodes: [(0, node)].into(), down: vec![] };
-    let say = |room: &mut Room, bytes: usize| {
-        let now = room.now;
-        room.nodes.get_mut(&0).unwrap().announce(now, vec![0; bytes], &mut Vec::new()).map(|s| s.1)
+fn oversized_or_excess_announcements_are_rejected_at_once() {
+    let settings = Settings { max_pending: 3, max_batch_bytes: 1024, ..Settings::for_voters(vec![0]) };
+    let setup = Setup { me: 0, zone: 0, seed: 5, settings: settings.clone() };
+    let node = Node::voter(0, setup, Node::<Tally>::initial_storage(&settings), Tally::default()).unwrap();
+    let mut cluster = Cluster { now: 0, nodes: [(0, node)].into(), down: vec![] };
+    let announce = |cluster: &mut Cluster, bytes: usize| {
+        let now = cluster.now;
+        cluster.nodes.get_mut(&0).unwrap().announce(now, vec![0; bytes], &mut Vec::new()).map(|s| s.1)
     };
-    assert_eq!(say(&mut room, 8), Err(Refused::NotLiving));
-    room.pass(3_000);
-    assert_eq!(say(&mut room, 1025), Err(Refused::Long(1025, 1024)));
-    // Nothing is written meanwhile: the fourth finds three under way.
-    let said: Vec<_> = (0..4).map(|_| say(&mut room, 8)).collect();
-    assert_eq!(said, [Ok(1), Ok(2), Ok(3), Err(Refused::Full(3))]);
+    assert_eq!(announce(&mut cluster, 8), Err(AnnounceError::NotLive));
+    cluster.advance(3_000);
+    assert_eq!(announce(&mut cluster, 1025), Err(AnnounceError::TooLong(1025, 1024)));
+    // Nothing is committed in between, so that the fourth exceeds the limit of three.
+    let announced: Vec<_> = (0..4).map(|_| announce(&mut cluster, 8)).collect();
+    assert_eq!(announced, [Ok(1), Ok(2), Ok(3), Err(AnnounceError::TooManyPending(3))]);
 }
 
 #[test]
-fn a_voter_whose_disk_was_lost_is_replaced_and_the_new_one_counts() {
-    let terms = Terms::of(vec![0, 1, 2]);
-    let setup = |me| Setup { me, zone: 0, seed: 11 + u64::from(me), terms: terms.clone() };
-    let begin = || Node::<Tally>::begin(&terms);
-    let voter = |me, kept| (me, Node::voter(0, setup(me), kept, Tally::default()).unwrap());
-    let nodes = [voter(0, begin()), voter(1, begin()), voter(2, begin()), voter(3, begin())];
-    let mut room = Room { now: 0, nodes: nodes.into(), down: vec![] };
-    room.pass(3_000);
-    assert!((0..3).all(|m| room.nodes[&m].alive(room.now).is_some()));
-    // Its disk is gone, and so is it: two of three voters go on.
-    let lost = (0..3).find(|m| !room.nodes[m].view().0).unwrap();
-    room.down.push(lost);
-    room.pass(1_000);
-    room.change(false, lost);
-    room.change(true, 3);
+fn a_voter_with_a_lost_disk_can_be_replaced() {
+    let settings = Settings::for_voters(vec![0, 1, 2]);
+    let setup = |me| Setup { me, zone: 0, seed: 11 + u64::from(me), settings: settings.clone() };
+    let initial = || Node::<Tally>::initial_storage(&settings);
+    let voter = |me, storage| (me, Node::voter(0, setup(me), storage, Tally::default()).unwrap());
+    let nodes = [voter(0, initial()), voter(1, initial()), voter(2, initial()), voter(3, initial())];
+    let mut cluster = Cluster { now: 0, nodes: nodes.into(), down: vec![] };
+    cluster.advance(3_000);
+    assert!((0..3).all(|m| cluster.nodes[&m].live_incarnation(cluster.now).is_some()));
+    // One of three voters is lost with its disk; the other two form a quorum.
+    let lost = (0..3).find(|m| !cluster.nodes[m].view().is_leader).unwrap();
+    cluster.down.push(lost);
+    cluster.advance(1_000);
+    cluster.change(false, lost);
+    cluster.change(true, 3);
     let others: Vec<Member> = (0..4).filter(|m| *m != lost).collect();
     for m in &others {
-        assert_eq!(room.votes(*m), others, "member {m}");
+        assert_eq!(cluster.voters_seen_by(*m), others, "member {m}");
     }
-    // One more is lost: the new voter's vote makes the majority.
-    let gone = *others.iter().find(|m| **m != 3).unwrap();
-    room.down.push(gone);
-    room.pass(8_000);
-    let left: Vec<Member> = others.into_iter().filter(|m| *m != gone).collect();
-    assert!(left.iter().any(|m| room.nodes[m].view().0), "one of {left:?} leads");
-    let ended = room.nodes[&left[0]].ledger().members()[&gone].ended;
-    assert!(ended, "and what it decides stands");
+    // A second voter is lost: the quorum now needs the new voter.
+    let second_lost = *others.iter().find(|m| **m != 3).unwrap();
+    cluster.down.push(second_lost);
+    cluster.advance(8_000);
+    let remaining: Vec<Member> = others.into_iter().filter(|m| *m != second_lost).collect();
+    assert!(
+        remaining.iter().any(|m| cluster.nodes[m].view().is_leader),
+        "one of {remaining:?} is the leader"
+    );
+    let ended = cluster.nodes[&remaining[0]].ledger().members()[&second_lost].ended;
+    assert!(ended, "the new leader's records are committed");
 }
--- a/crates/badgerwind-rig/src/member.rs
+++ b/crates/badgerwind-rig/src/member.rs
@@ -3,7 +3,7 @@
 use crate::RigError;
 use badgerwind_check::register::{Event as Told, Line, What};
 use badgerwind_fleet::member::{Nothing, Options, RegisterMember, Watch};
-use badgerwind_register::{Event, Index, Member, Terms, Time};
+use badgerwind_register::{Event, Index, Member, Settings, Time};
 use badgerwind_webhook::Key;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -70,9 +70,15 @@
 
 impl Trial {
     /// As the register has them.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> Settings {
         let Trial { voters, lease, beat, drift } = self.clone();
-        Terms { lease, beat, drift, retained: 256, ..Terms::of(voters) }
+        Settings {
+            lease,
+            heartbeat_interval: beat,
+            drift_ppm: drift,
+            retained_entries: 256,
+            ..Settings::for_voters(voters)
+        }
     }
 }
 
@@ -177,7 +183,7 @@
         if let (Some(life), at) = member.alive_at() {
             record.write(at, What::Acted { life });
             if args.record_every > 0 && turn % args.record_every == 0 {
-                // Refused where the lease ran out in between, or too many wait: there is a next time.
+                // AnnounceError where the lease ran out in between, or too many wait: there is a next time.
                 let mut bytes = turn.to_be_bytes().to_vec();
                 bytes.resize(args.record_bytes as usize, 0);
                 let _ = smol::block_on(member.announce(bytes));
--- a/crates/badgerwind-rig/src/steady.rs
+++ b/crates/badgerwind-rig/src/steady.rs
@@ -50,7 +50,7 @@
 pub fn run(args: &Args) -> Result<bool, RigError> {
     let voters = args.voters.min(args.members);
     let trial = Trial { voters: (0..voters).collect(), lease: 2_000_000, beat: 400_000, drift: 1_000 };
-    trial.terms().check().map_err(|e| RigError::Member(e.to_string()))?;
+    trial.terms().validate().map_err(|e| RigError::Member(e.to_string()))?;
     let folder = tempfile::tempdir().map_err(|e| RigError::File("a temporary folder".into(), e))?;
     let program = std::env::current_exe().map_err(RigError::Process)?;
     let record_every = if args.records { "1" } else { "0" };
--- a/crates/badgerwind-scale/src/rows/register/group.rs
+++ b/crates/badgerwind-scale/src/rows/register/group.rs
@@ -3,8 +3,8 @@
 use crate::rows::load::{Peaks, Processor, SLICE};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND};
 use badgerwind_register::{
-    Event as LogEvent, Incarnation, Index, Input, Member, MemoryDisk, Message, Node, Output, Part, Setup,
-    Terms, Write,
+    Event as LogEvent, Incarnation, Index, Input, Member, MemoryDisk, Message, Node, Output, Settings, Setup,
+    StateMachine, Write,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -61,7 +61,7 @@
 #[derive(Debug, Default)]
 struct Counting(u64);
 
-impl Part for Counting {
+impl StateMachine for Counting {
     fn announced(&mut self, _: Index, _: (Member, Incarnation), _: &[u8]) {
         self.0 += 1;
     }
@@ -88,7 +88,7 @@
 /// A hollow group.
 pub struct Group {
     plan: Plan,
-    terms: Terms,
+    terms: Settings,
     rng: StdRng,
     network: Network,
     hosts: Vec<Host>,
@@ -110,8 +110,9 @@
 impl Group {
     /// A group of which nobody runs yet.
     pub fn new(plan: Plan) -> Group {
-        let terms = Terms { retained: plan.entries_kept, ..Terms::of(voters(plan.members)) };
-        let conditions = Conditions { drift: u64::from(terms.drift), ..plan.conditions };
+        let terms =
+            Settings { retained_entries: plan.entries_kept, ..Settings::for_voters(voters(plan.members)) };
+        let conditions = Conditions { drift: u64::from(terms.drift_ppm), ..plan.conditions };
         let network = Network::new(conditions, plan.members, plan.seed);
         let host = |_| Host { node: None, disk: MemoryDisk::default(), writing: None };
         Group {
@@ -158,7 +159,7 @@
         let number = member as Member;
         let now = self.network.clock(member);
         let zone = self.network.place(member).zone as u8;
-        let setup = Setup { me: number, zone, seed: self.rng.random(), terms: self.terms.clone() };
+        let setup = Setup { me: number, zone, seed: self.rng.random(), settings: self.terms.clone() };
         let host = &mut self.hosts[member];
         let node = if self.terms.voters.contains(&number) {
             // What a simulated disk holds was written by a voter: it can be read.
@@ -185,7 +186,7 @@
 
     fn each_member_writes(&self) -> Option<Micros> {
         match (self.plan.mutant, self.plan.records) {
-            (Some(Mutant::RenewalsAreRecords), _) => Some(self.terms.beat),
+            (Some(Mutant::RenewalsAreRecords), _) => Some(self.terms.heartbeat_interval),
             (_, Records::EachMember(every)) => Some(every),
             _ => None,
         }
@@ -247,7 +248,7 @@
 
     /// Who leads, by its own view.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |host: &Host| host.node.as_ref().is_some_and(|node| node.view().0);
+        let leads = |host: &Host| host.node.as_ref().is_some_and(|node| node.view().is_leader);
         self.hosts.iter().position(leads)
     }
 
@@ -255,7 +256,7 @@
     pub fn leased(&self) -> usize {
         let holds = |member: &usize| {
             let now = self.network.clock(*member);
-            self.hosts[*member].node.as_ref().is_some_and(|node| node.alive(now).is_some())
+            self.hosts[*member].node.as_ref().is_some_and(|node| node.live_incarnation(now).is_some())
         };
         (0..self.plan.members).filter(holds).count()
     }
@@ -281,7 +282,7 @@
         match name {
             TICK => {
                 self.network.wake_at(member, TICK, now + self.tick());
-                self.act(member, |node, now, out| node.on(now, Input::Tick, out));
+                self.act(member, |node, now, out| node.handle(now, Input::Tick, out));
             }
             RECORD => {
                 if let Some(every) = self.each_member_writes() {
@@ -294,14 +295,14 @@
                 if let Some(write) = host.writing.take() {
                     host.disk.write(&write);
                 }
-                self.act(member, |node, now, out| node.on(now, Input::Written, out));
+                self.act(member, |node, now, out| node.handle(now, Input::Written, out));
             }
         }
     }
 
     fn write_record(&mut self, member: usize) {
         self.act(member, |node, now, out| {
-            // Refused without a lease: the next one has its chance.
+            // AnnounceError without a lease: the next one has its chance.
             let _ = node.announce(now, vec![7; RECORD_BYTES], out);
         });
     }
@@ -309,7 +310,7 @@
     fn arrive(&mut self, from: usize, to: usize, bytes: &[u8]) {
         self.act(to, |node, now, out| {
             if let Some(message) = Message::read(bytes) {
-                node.on(now, Input::Heard(from as Member, message), out);
+                node.handle(now, Input::Received(from as Member, message), out);
             }
         });
     }
@@ -326,7 +327,7 @@
                 Output::Send(to, message) => sends.push((usize::from(to), kind(&message), message.bytes())),
                 Output::Write(write) => writes = Some(write),
                 Output::Event(_, LogEvent::Ended(_, incarnation)) => ended.push(incarnation),
-                Output::Event(..) | Output::Lost(_) | Output::TooNew(_) => {}
+                Output::Event(..) | Output::IncarnationLost(_) | Output::UnknownRecordVersion(_) => {}
             }
         }
         self.processor.stop(member, meter);
@@ -355,11 +356,11 @@
     match message {
         Message::Raft(_) => "raft",
         Message::Renew { .. } => "renew",
-        Message::Offer(_) => "offer",
-        Message::Since(_) => "since",
+        Message::Propose(_) => "offer",
+        Message::EntriesAfter(_) => "since",
         Message::Renewed { .. } => "renewed",
-        Message::Elsewhere(_) => "elsewhere",
+        Message::NotLeader(_) => "elsewhere",
         Message::Entries { .. } => "entries",
-        Message::All { .. } => "all",
+        Message::Snapshot { .. } => "all",
     }
 }
