--- a/crates/badgerwind-cells/src/lib.rs
+++ b/crates/badgerwind-cells/src/lib.rs
@@ -1,15 +1,17 @@
 //! An index of weighted members in cells of bounded size.
 //!
-//! Members are leaves' entries of a binary trie over a hash of their number. A leaf, here called a cell, is split
-//! in two once it holds more than so many members, and joined with its sibling once both fit into one again. The
-//! shape follows from the set of members alone, never from the order of changes: all who know the same list have
-//! the same cells, and one member more or less changes one cell, or splits or joins one.
+//! The members are entries in the leaves of a binary trie over a hash of their id. A leaf, here called a
+//! cell, is split in two once it holds too many members, and merged with its sibling once the members of both
+//! fit into one. The shape depends on the set of members alone and not on the order of changes: all users of
+//! the same list have the same cells, and adding or removing one member changes, splits or merges one cell.
 //!
-//! A key is led from the root to a cell: at each fork it goes left with the chance that the weight on that side
-//! has, decided by a hash of key and fork (hierarchical rendezvous hashing; Wang, Chang and Ravishankar 2005, "A
-//! hash-based virtual hierarchy"). So a cell is drawn by its weight, and a change of weight w among W moves about
-//! w/W of the keys at each fork above it. A change and a draw cost the depth of the trie, about log2 of members
-//! over cell size. Nothing is decided here: cell size, weights and keys come from the caller.
+//! A key is assigned to a cell by descending from the root: at each fork, the probability of a side is its
+//! fraction of the weight, and a hash of key and fork decides (hierarchical rendezvous hashing; Wang, Chang
+//! and Ravishankar 2005, "A hash-based virtual hierarchy"). So a cell is drawn in proportion to its weight,
+//! and a change of weight w in a total of W moves about w/W of the keys at each fork above it. Changes and
+//! draws take time proportional to the depth of the trie, about the logarithm to base 2 of the number of
+//! members divided by the cell size. The crate makes no policy decisions: cell size, weights and keys come
+//! from the caller.
 #![forbid(unsafe_code)]
 
 mod mix;
--- a/crates/badgerwind-cells/src/mix.rs
+++ b/crates/badgerwind-cells/src/mix.rs
@@ -1,4 +1,4 @@
-//! Hashes that are the same on every machine and in every version.
+//! Hash functions that must not change: their results are the same on every machine and in every version.
 
 /// A bijective mix of 64 bits (the finalizer of SplitMix64; Steele, Lea and Flood 2014).
 pub(crate) fn mix(value: u64) -> u64 {
@@ -8,7 +8,8 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The place of a member in the trie; distinct members have distinct places, since [`mix`] is bijective.
+/// The position of a member in the trie; distinct members have distinct positions, since [`mix`] is
+/// bijective.
 pub(crate) fn position(member: u32) -> u64 {
     mix(u64::from(member))
 }
--- a/crates/badgerwind-cells/src/trie.rs
+++ b/crates/badgerwind-cells/src/trie.rs
@@ -1,34 +1,35 @@
-//! The trie: members in leaves of bounded size, counts and weights summed up along the way to each.
+//! The trie: members in leaves of bounded size; each node has the count and the total weight of the members
+//! below it.
 
 use crate::mix::{mix, position};
 
-/// Node of the root.
+/// Index of the root node.
 const ROOT: usize = 0;
-/// Path of the root; a path is a one followed by a bit for each fork passed.
+/// Path of the root. A path is a 1 bit followed by one bit for each fork.
 const ROOT_PATH: u64 = 1;
 
 /// A member of a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Member {
-    /// Its number.
+    /// Its id.
     pub id: u32,
-    /// Its weight; 0 for one that is listed but takes nothing.
+    /// Its weight; a member with weight 0 is listed but is assigned nothing.
     pub weight: u64,
 }
 
-/// A cell as drawn for a key.
+/// The cell drawn for a key.
 #[derive(Debug, Clone, Copy)]
 pub struct Cell<'a> {
-    /// Names the cell; the same at all who know the same list.
+    /// Identifies the cell; it is the same for all users of the same list of members.
     pub path: u64,
-    /// Number of the change that last touched it; only this index's own numbers can be compared.
+    /// The number of the change that last modified the cell. Only numbers of the same index can be compared.
     pub changed: u64,
-    /// Its members in order of their numbers.
+    /// Its members, ordered by id.
     pub members: &'a [Member],
 }
 
 impl Cell<'_> {
-    /// Members that take something, with their weights.
+    /// The members with a weight above 0.
     pub fn weighted(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|m| m.weight > 0)
     }
@@ -54,10 +55,10 @@
     }
 }
 
-/// Members in cells.
+/// An index of members in cells.
 #[derive(Debug)]
 pub struct CellIndex {
-    most_members: usize,
+    max_members: usize,
     nodes: Vec<Node>,
     free: Vec<usize>,
     cells: usize,
@@ -72,11 +73,11 @@
 }
 
 impl CellIndex {
-    /// An empty index; a cell holds at most so many members, at least one.
-    pub fn new(most_members: usize) -> Self {
+    /// An empty index. A cell holds at most `max_members` members, but at least one.
+    pub fn new(max_members: usize) -> Self {
         let root = Node::leaf(Vec::new(), 0);
         CellIndex {
-            most_members: most_members.max(1),
+            max_members: max_members.max(1),
             nodes: vec![root],
             free: Vec::new(),
             cells: 1,
@@ -84,22 +85,22 @@
         }
     }
 
-    /// Number of changes so far.
+    /// The number of changes so far.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Number of members.
+    /// The number of members.
     pub fn len(&self) -> usize {
         self.nodes[ROOT].count
     }
 
-    /// Whether there is no member.
+    /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Number of cells.
+    /// The number of cells.
     pub fn cells(&self) -> usize {
         self.cells
     }
@@ -119,12 +120,12 @@
         }
     }
 
-    /// Takes a member in, or gives it another weight.
+    /// Adds a member, or changes its weight.
     pub fn set(&mut self, id: u32, weight: u64) {
         if self.weight(id) == Some(weight) {
             return;
         }
-        let (path, leaf) = self.way_to(id);
+        let (path, leaf) = self.path_to(id);
         let (changed, depth) = (self.changes + 1, path.len() as u32);
         let Kind::Leaf { members, changed: stamp } = &mut self.nodes[leaf].kind else { return };
         let (added, before) = match members.binary_search_by_key(&id, |m| m.id) {
@@ -143,9 +144,9 @@
         self.split(leaf, depth);
     }
 
-    /// Takes a member out.
+    /// Removes a member.
     pub fn remove(&mut self, id: u32) {
-        let (path, leaf) = self.way_to(id);
+        let (path, leaf) = self.path_to(id);
         let changed = self.changes + 1;
         let Kind::Leaf { members, changed: stamp } = &mut self.nodes[leaf].kind else { return };
         let Ok(place) = members.binary_search_by_key(&id, |m| m.id) else { return };
@@ -156,13 +157,13 @@
             self.nodes[node].count -= 1;
             self.nodes[node].weight -= removed.weight;
         }
-        let joined = path.into_iter().find(|&node| self.nodes[node].count <= self.most_members);
+        let joined = path.into_iter().find(|&node| self.nodes[node].count <= self.max_members);
         if let Some(fork) = joined {
             self.join(fork);
         }
     }
 
-    /// The cell that a key is led to; `None` where nothing has any weight.
+    /// The cell that is drawn for a key; `None` where the total weight is 0.
     pub fn draw(&self, key: u64) -> Option<Cell<'_>> {
         let (mut node, mut path) = (ROOT, ROOT_PATH);
         loop {
@@ -174,7 +175,7 @@
                 Kind::Leaf { members, changed } => return Some(Cell { path, changed: *changed, members }),
                 Kind::Fork { children } => children,
             };
-            // Uniform in 0..total: the product's upper half.
+            // Uniform in 0..total: the upper half of the product.
             let drawn = (u128::from(mix(key ^ mix(path))) * u128::from(total)) >> 64;
             let right = drawn >= u128::from(self.nodes[children[0]].weight);
             node = children[usize::from(right)];
@@ -182,24 +183,24 @@
         }
     }
 
-    /// The cells that these keys are led to, each once and in the keys' order, until they hold `enough` members with
-    /// a weight or are all that there are.
-    pub fn draw_until(&self, keys: impl Iterator<Item = u64>, enough: usize) -> Vec<Cell<'_>> {
+    /// The cells that are drawn for these keys, each once and in the keys' order, until they hold at least
+    /// `min_weighted` members with a weight above 0, or all cells are drawn.
+    pub fn draw_until(&self, keys: impl Iterator<Item = u64>, min_weighted: usize) -> Vec<Cell<'_>> {
         let (mut drawn, mut weighted): (Vec<Cell<'_>>, usize) = (Vec::new(), 0);
         for cell in keys.map_while(|key| self.draw(key)) {
-            if drawn.iter().all(|known| known.path != cell.path) {
+            if drawn.iter().all(|other| other.path != cell.path) {
                 weighted += cell.weighted().count();
                 drawn.push(cell);
             }
-            if weighted >= enough || drawn.len() == self.cells {
+            if weighted >= min_weighted || drawn.len() == self.cells {
                 break;
             }
         }
         drawn
     }
 
-    /// Forks on the way to a member's leaf, and the leaf.
-    fn way_to(&self, id: u32) -> (Vec<usize>, usize) {
+    /// The forks on the path to a member's leaf, and the leaf.
+    fn path_to(&self, id: u32) -> (Vec<usize>, usize) {
         let mut bits = position(id);
         let (mut forks, mut node) = (Vec::new(), ROOT);
         while let Kind::Fork { children } = &self.nodes[node].kind {
@@ -210,22 +211,23 @@
         (forks, node)
     }
 
-    /// Splits a leaf until no part of it holds too many. Places differ, so that this ends.
+    /// Splits a leaf until no part of it holds too many members. It terminates because members have distinct
+    /// positions.
     fn split(&mut self, leaf: usize, depth: u32) {
-        if self.nodes[leaf].count <= self.most_members || depth >= u64::BITS {
+        if self.nodes[leaf].count <= self.max_members || depth >= u64::BITS {
             return;
         }
         let changed = self.changes;
         let Kind::Leaf { members, .. } = &mut self.nodes[leaf].kind else { return };
         let (right, left): (Vec<Member>, Vec<Member>) =
             std::mem::take(members).into_iter().partition(|m| position(m.id) << depth >> 63 == 1);
-        let children = [left, right].map(|members| self.place(Node::leaf(members, changed)));
+        let children = [left, right].map(|members| self.allocate(Node::leaf(members, changed)));
         self.nodes[leaf].kind = Kind::Fork { children };
         self.cells += 1;
         children.into_iter().for_each(|child| self.split(child, depth + 1));
     }
 
-    /// Makes one leaf of all below a fork.
+    /// Replaces a fork and all nodes below it with one leaf.
     fn join(&mut self, fork: usize) {
         let mut members = Vec::with_capacity(self.nodes[fork].count);
         self.gather(fork, &mut members);
@@ -233,7 +235,7 @@
         self.nodes[fork] = Node::leaf(members, self.changes);
     }
 
-    /// Moves all members below a node out, and frees the nodes below it.
+    /// Moves all members below a node to `members`, and frees the nodes below it.
     fn gather(&mut self, node: usize, members: &mut Vec<Member>) {
         let emptied = Kind::Leaf { members: Vec::new(), changed: self.changes };
         match std::mem::replace(&mut self.nodes[node].kind, emptied) {
@@ -248,7 +250,7 @@
         }
     }
 
-    fn place(&mut self, node: Node) -> usize {
+    fn allocate(&mut self, node: Node) -> usize {
         match self.free.pop() {
             Some(place) => {
                 self.nodes[place] = node;
--- a/crates/badgerwind-cells/tests/cells.rs
+++ b/crates/badgerwind-cells/tests/cells.rs
@@ -1,4 +1,5 @@
-//! The index of cells: its shape follows from the list alone, draws follow weights, and a change moves little.
+//! The shape of the index depends on the list of members alone, draws follow the weights, and a change moves
+//! few keys.
 
 use badgerwind_cells::{CellIndex, Member};
 use proptest::prelude::*;
@@ -16,21 +17,21 @@
     index(&(0..members).map(|id| (id, 1_000)).collect())
 }
 
-/// Path and members of each cell that keys are led to.
+/// Path and members of each cell that is drawn for the keys.
 fn cells(index: &CellIndex, keys: u64) -> BTreeMap<u64, Vec<Member>> {
     let drawn = (0..keys).filter_map(|key| index.draw(key));
     drawn.map(|cell| (cell.path, cell.members.to_vec())).collect()
 }
 
 #[test]
-fn one_cell_holds_a_short_list_whole() {
+fn a_short_list_fits_into_one_cell() {
     let index = uniform(CELL as u32);
     let cell = index.draw(7).expect("there is weight");
     assert_eq!((index.cells(), cell.members.len()), (1, CELL));
 }
 
 #[test]
-fn a_list_without_weight_leads_nowhere() {
+fn no_cell_is_drawn_without_weight() {
     let mut index = CellIndex::new(CELL);
     assert!(index.draw(1).is_none());
     (0..100).for_each(|id| index.set(id, 0));
@@ -60,35 +61,36 @@
 }
 
 #[test]
-fn one_member_less_moves_few_keys() {
+fn removing_a_member_moves_few_keys() {
     let (before, mut after) = (uniform(4_000), uniform(4_000));
     after.remove(77);
     let keys = 20_000;
     let moved =
         (0..keys).filter(|&key| before.draw(key).unwrap().path != after.draw(key).unwrap().path).count();
-    // About a share of 1/4,000 at each of the eight or so forks above it, and never a whole cell's share.
+    // About 1/4,000 of the keys at each of the eight or so forks above the member, which is less than a
+    // cell's share.
     assert!(moved < 100, "{moved} of {keys} keys went to another cell");
 }
 
 #[test]
-fn a_change_touches_one_cell_only() {
+fn a_change_modifies_one_cell_only() {
     let mut index = uniform(4_000);
     let before = index.changes();
     index.set(77, 0);
-    let touched: BTreeSet<u64> = (0..50_000)
+    let modified: BTreeSet<u64> = (0..50_000)
         .filter_map(|key| index.draw(key))
         .filter(|c| c.changed > before)
         .map(|c| c.path)
         .collect();
-    assert_eq!(touched.len(), 1);
+    assert_eq!(modified.len(), 1);
     index.set(77, 0);
-    assert_eq!(index.changes(), before + 1, "the same weight again is no change");
+    assert_eq!(index.changes(), before + 1, "setting the same weight is no change");
 }
 
-/// A third of all members lost at once, as with a zone: each cell keeps about two thirds of its members, and
-/// keys stay in their cells but for the difference in what the cells lost.
+/// A third of all members is lost at once, as with a zone. Each cell keeps about two thirds of its weight, so
+/// that keys move only because the cells' losses differ.
 #[test]
-fn a_zone_lost_leaves_most_keys_in_their_cells() {
+fn losing_a_zone_leaves_most_keys_in_their_cells() {
     let before = uniform(6_000);
     let mut after = uniform(6_000);
     (0..6_000).filter(|id| id % 3 == 0).for_each(|id| after.set(id, 0));
@@ -99,9 +101,9 @@
 }
 
 proptest! {
-    /// Whatever was taken in and out on the way, the same list has the same cells.
+    /// The same list has the same cells, whatever changes led to it.
     #[test]
-    fn the_shape_follows_from_the_list_alone(
+    fn the_shape_depends_on_the_list_alone(
         changes in proptest::collection::vec((0u32..300, proptest::option::of(0u64..5)), 1..600)
     ) {
         let mut list: BTreeMap<u32, u64> = BTreeMap::new();
