--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -17,7 +17,7 @@
 use badgerwind::interface::*;
 use badgerwind_config::shadow::Recorded;
 use badgerwind_driver::{Call, Final, Lag};
-use badgerwind_guard::{forwarded, Budget, Guard, Permit, Source, Who};
+use badgerwind_guard::{forwarded_address, Budget, Claimant, Guard, Permit, Source};
 use badgerwind_http::{Conn, Limits, RequestHead, Response, ServerTls, Stream};
 use badgerwind_settings::{Settings, Target};
 use badgerwind_webhook::{
@@ -255,15 +255,15 @@
 }
 
 /// The bounds of the budgets for failed signatures, from the settings.
-pub(crate) fn guard_bounds(settings: &Settings) -> badgerwind_guard::Bounds {
+pub(crate) fn guard_bounds(settings: &Settings) -> badgerwind_guard::Limits {
     let g = &settings.webhook.guard;
     let budget = |(burst, rate)| Budget { burst, rate };
-    badgerwind_guard::Bounds {
+    badgerwind_guard::Limits {
         source: budget(g.source),
         sender: budget(g.sender),
-        sources: g.sources,
-        known_for: g.known_for,
-        bytes: g.bytes,
+        max_sources: g.sources,
+        known_duration: g.known_for,
+        bytes_per_check: g.bytes,
     }
 }
 
@@ -308,9 +308,9 @@
         self.memory().set_bounds(bounds(&rules.settings));
         let names = |s: &Settings| s.webhook.senders.iter().map(|s| s.name.clone()).collect::<Vec<_>>();
         let mut guard = self.guard();
-        guard.set_bounds(guard_bounds(&rules.settings));
+        guard.set_limits(guard_bounds(&rules.settings));
         if names(&self.rules().settings) != names(&rules.settings) {
-            guard.senders_changed();
+            guard.reset_senders();
             let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
             *skews = vec![Skew::default(); rules.settings.webhook.senders.len()];
         }
@@ -459,14 +459,14 @@
         let sender = w.routes[route].sender;
         let header = |name| head.headers.get(name);
         let lines: Vec<&str> = head.headers.all("x-forwarded-for").collect();
-        let source = forwarded(peer, &w.guard.balancers, &lines).unwrap_or(peer);
-        let who = Who { source: Source::of(source), sender };
+        let source = forwarded_address(peer, &w.guard.balancers, &lines).unwrap_or(peer);
+        let who = Claimant { source: Source::from_address(source), sender };
         let bytes = match head.framing {
             badgerwind_http::Framing::Length(n) => n.min(w.body_bytes as u64),
             _ => w.body_bytes as u64,
         };
         let now = self.clock.now();
-        let permit = self.guard().enter(now, who, bytes).map_err(|turned| {
+        let permit = self.guard().admit(now, who, bytes).map_err(|turned| {
             let text = "too many signatures from there have failed; this message was not looked at";
             Away { retry_after: Some(turned.wait()), ..away(429, "failed-signatures", text) }
         })?;
@@ -475,7 +475,7 @@
         match rules.rings[sender].claim(self.wall(), id, time, signature) {
             Ok(claim) => Ok((permit, claim)),
             Err(e) => {
-                self.guard().failed(now, permit);
+                self.guard().record_invalid(now, permit);
                 Err(self.unverified(&w.senders[sender].name, who.source, &e))
             }
         }
@@ -501,7 +501,7 @@
         body: Vec<u8>,
     ) -> Result<Verified, Away> {
         let now = self.wall();
-        let (sent, of, source) = (claim.sent(), rules.clone(), permit.who().source);
+        let (sent, of, source) = (claim.sent(), rules.clone(), permit.claimant().source);
         let check = move || {
             let route = &of.settings.webhook.routes[route];
             let key = claim.check(&of.rings[route.sender], now, &body)?;
@@ -519,11 +519,11 @@
         let named = &rules.settings.webhook.senders[sender];
         let (at, mut guard) = (self.clock.now(), self.guard());
         match &checked {
-            Ok(_) => guard.good(at, permit),
-            Err(_) => guard.failed(at, permit),
+            Ok(_) => guard.record_valid(at, permit),
+            Err(_) => guard.record_invalid(at, permit),
         }
-        self.metrics.guard_sources.set(guard.watched() as i64);
-        self.metrics.guard_known.set(guard.known() as i64);
+        self.metrics.guard_sources.set(guard.tracked_sources() as i64);
+        self.metrics.guard_known.set(guard.known_pairs() as i64);
         drop(guard);
         let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Ok(_), Some(skew)) = (&checked, skews.get_mut(sender)) {
@@ -542,7 +542,7 @@
         (route, function): (usize, usize),
         (claimed, body, began): ((Permit, Claim), Vec<u8>, Time),
     ) -> Handled {
-        let source = claimed.0.who().source;
+        let source = claimed.0.claimant().source;
         let verified = self.verify(rules, route, claimed, body).await;
         let admitted = verified.and_then(|v| self.admit(rules, head, (route, function), (v, source), began));
         match admitted {
--- a/crates/badgerwind-guard/src/bucket.rs
+++ b/crates/badgerwind-guard/src/bucket.rs
@@ -1,69 +1,71 @@
-//! A token bucket in whole micro-tokens: no rounding that depends on how often it is looked at.
+//! A token bucket. It counts whole micro-tokens, so that rounding does not depend on how often it is
+//! refilled.
 
 use crate::Time;
 
-/// What a bucket holds and how fast it fills.
+/// The capacity and the refill rate of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Checks at once.
+    /// Checks that can be made at once.
     pub burst: u32,
-    /// Further checks a second.
+    /// Further checks per second.
     pub rate: u32,
 }
 
-/// One check, in the bucket's unit; a rate of one a second fills one unit each microsecond.
+/// One check, in the bucket's unit: at a rate of one check per second, one unit is refilled per microsecond.
 pub(crate) const TOKEN: u64 = 1_000_000;
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bucket {
-    left: u64,
-    at: Time,
+    tokens: u64,
+    refilled_at: Time,
 }
 
 impl Budget {
-    pub(crate) fn top(&self) -> u64 {
+    pub(crate) fn capacity(&self) -> u64 {
         u64::from(self.burst) * TOKEN
     }
 }
 
 impl Bucket {
     pub(crate) fn full(budget: &Budget, now: Time) -> Self {
-        Bucket { left: budget.top(), at: now }
+        Bucket { tokens: budget.capacity(), refilled_at: now }
     }
 
-    /// Fills up to now. A clock that stands still or goes back fills nothing.
-    pub(crate) fn fill(&mut self, budget: &Budget, now: Time) {
-        let gained = now.saturating_sub(self.at).saturating_mul(u64::from(budget.rate));
-        self.left = self.left.saturating_add(gained).min(budget.top());
-        self.at = self.at.max(now);
+    /// Refills the bucket up to now. A clock that stands still or goes back refills nothing.
+    pub(crate) fn refill(&mut self, budget: &Budget, now: Time) {
+        let gained = now.saturating_sub(self.refilled_at).saturating_mul(u64::from(budget.rate));
+        self.tokens = self.tokens.saturating_add(gained).min(budget.capacity());
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// True where a cost can be paid. One above the whole budget is payable by a full bucket, or it never would be.
-    pub(crate) fn holds(&self, budget: &Budget, cost: u64) -> bool {
-        self.left >= cost.min(budget.top())
+    /// Whether a cost can be paid. A full bucket can pay any cost, since one above the capacity could never
+    /// be paid otherwise.
+    pub(crate) fn can_pay(&self, budget: &Budget, cost: u64) -> bool {
+        self.tokens >= cost.min(budget.capacity())
     }
 
     pub(crate) fn pay(&mut self, cost: u64) {
-        self.left = self.left.saturating_sub(cost);
+        self.tokens = self.tokens.saturating_sub(cost);
     }
 
-    pub(crate) fn give_back(&mut self, budget: &Budget, cost: u64) {
-        self.left = self.left.saturating_add(cost).min(budget.top());
+    pub(crate) fn refund(&mut self, budget: &Budget, cost: u64) {
+        self.tokens = self.tokens.saturating_add(cost).min(budget.capacity());
     }
 
-    /// Microseconds until a cost can be paid, for what is not filled otherwise; `None`: never.
+    /// Microseconds of refilling until a cost can be paid; `None`: never.
     pub(crate) fn wait(&self, budget: &Budget, cost: u64) -> Option<Time> {
-        let short = cost.min(budget.top()).saturating_sub(self.left);
-        if short == 0 {
+        let missing = cost.min(budget.capacity()).saturating_sub(self.tokens);
+        if missing == 0 {
             return Some(0);
         }
-        (budget.rate > 0).then(|| short.div_ceil(u64::from(budget.rate)))
+        (budget.rate > 0).then(|| missing.div_ceil(u64::from(budget.rate)))
     }
 
-    /// When it is full again, and no longer worth a place.
+    /// When the bucket is full again, so that it need not be stored any longer.
     pub(crate) fn full_at(&self, budget: &Budget) -> Time {
-        match self.wait(budget, budget.top()) {
-            Some(span) => self.at.saturating_add(span),
+        match self.wait(budget, budget.capacity()) {
+            Some(wait) => self.refilled_at.saturating_add(wait),
             None => Time::MAX,
         }
     }
--- a/crates/badgerwind-guard/src/guard.rs
+++ b/crates/badgerwind-guard/src/guard.rs
@@ -1,279 +1,288 @@
-//! The budgets put together.
+//! The budgets of sources and senders, and the sources known to senders.
 
 use crate::bucket::{Bucket, TOKEN};
 use crate::{Budget, Source, Time};
 use std::collections::{BTreeSet, HashMap};
 
-/// Bounds of a guard.
+/// Limits of a guard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Limits {
     /// Failed checks of one source.
     pub source: Budget,
-    /// Failed checks of all strangers that post as one sender.
+    /// Failed checks of all unknown sources that post as one sender.
     pub sender: Budget,
-    /// Sources whose budgets are kept apart, and as many pairs of source and sender that are known. Sources beyond
-    /// them share one budget.
-    pub sources: usize,
-    /// A source that signed for a sender is known to it for so long, in microseconds.
-    pub known_for: Time,
-    /// A body costs one check more for each so many bytes, counted down.
-    pub bytes: u64,
+    /// Upper bound of the sources with a budget of their own, and of the known pairs of source and sender.
+    /// Further sources share one budget.
+    pub max_sources: usize,
+    /// How long a source is known to a sender after a valid signature, in microseconds.
+    pub known_duration: Time,
+    /// The check of a body costs one, and one more for each full multiple of this number of bytes.
+    pub bytes_per_check: u64,
 }
 
-/// Who posts: a source, claiming to be a sender.
+/// A source that claims to be a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Who {
-    /// Where it comes from.
+pub struct Claimant {
+    /// The source.
     pub source: Source,
-    /// The sender's place, by the path that it posts to.
+    /// The sender's index in the settings, by the path of the request.
     pub sender: usize,
 }
 
-/// Why a message was turned away unread.
+/// Why a message is rejected unread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
-    /// Its source has failed too often; try again after so many microseconds at the least.
+pub enum Rejection {
+    /// The source's budget is spent; with the minimum time in microseconds before a new attempt can succeed.
     Source(Time),
-    /// Strangers have failed too often as this sender; the same.
-    Strangers(Time),
+    /// The sender's budget for unknown sources is spent; with the same time.
+    UnknownSources(Time),
 }
 
-impl Turned {
-    /// After how long trying again can be worth it, in microseconds.
+impl Rejection {
+    /// The minimum time in microseconds before a new attempt can succeed.
     pub fn wait(&self) -> Time {
         match self {
-            Turned::Source(t) | Turned::Strangers(t) => *t,
+            Rejection::Source(t) | Rejection::UnknownSources(t) => *t,
         }
     }
 }
 
-/// The right to have one message checked. It is used up by saying what became of it; a stranger's that is lost
-/// stays paid.
+/// Permission to check one message. Pass it to [`Guard::record_valid`] or [`Guard::record_invalid`]; if it is
+/// dropped, an unknown source is not refunded.
 #[derive(Debug)]
-#[must_use = "say what became of the check, or a stranger pays for it"]
+#[must_use = "record the result of the check, or an unknown source is not refunded"]
 pub struct Permit {
-    who: Who,
+    claimant: Claimant,
     bytes: u64,
     cost: u64,
-    stranger: bool,
-    /// The source's budget was the shared one.
+    unknown: bool,
+    /// The source has no budget of its own.
     shared: bool,
 }
 
 impl Permit {
     /// Whose message it is.
-    pub fn who(&self) -> Who {
-        self.who
+    pub fn claimant(&self) -> Claimant {
+        self.claimant
     }
-    /// The bytes that the body was told to hold at its entry.
+    /// The length of the body in bytes, as given to [`Guard::admit`].
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 }
 
 #[derive(Debug)]
-struct Kept {
+struct SourceBudget {
     bucket: Bucket,
-    /// When it is full again, as the order by which places are freed holds it.
+    /// When the bucket is full again; the key in `Guard::by_full_at`.
     full_at: Time,
 }
 
 /// The budgets of one front end.
 #[derive(Debug)]
 pub struct Guard {
-    bounds: Bounds,
-    sources: HashMap<Source, Kept>,
-    by_full: BTreeSet<(Time, Source)>,
-    /// Sources that found no place of their own.
-    rest: Bucket,
-    strangers: HashMap<usize, Bucket>,
-    known: HashMap<Who, Time>,
-    by_known: BTreeSet<(Time, Who)>,
+    limits: Limits,
+    sources: HashMap<Source, SourceBudget>,
+    by_full_at: BTreeSet<(Time, Source)>,
+    /// The budget of all sources that exceed `Limits::max_sources`.
+    shared: Bucket,
+    /// Budgets for unknown sources, by sender.
+    unknown_sources: HashMap<usize, Bucket>,
+    /// When a source last sent a valid signature for a sender, updated at most once in a quarter of
+    /// `Limits::known_duration`.
+    known: HashMap<Claimant, Time>,
+    by_known_at: BTreeSet<(Time, Claimant)>,
 }
 
-/// A budget that never refills would keep its place for ever; it is given up after this all the same.
-const LONGEST: Time = 3_600_000_000;
+/// Upper bound of the time for which a source's budget is stored, and of reported waits, in microseconds. A
+/// budget without a refill rate would be stored for ever otherwise.
+const MAX_WAIT: Time = 3_600_000_000;
 
 impl Guard {
-    /// Whole budgets, nobody known.
-    pub fn new(now: Time, bounds: Bounds) -> Self {
+    /// All budgets are full, and no source is known.
+    pub fn new(now: Time, limits: Limits) -> Self {
         Guard {
-            bounds,
+            limits,
             sources: HashMap::new(),
-            by_full: BTreeSet::new(),
-            rest: Bucket::full(&bounds.source, now),
-            strangers: HashMap::new(),
+            by_full_at: BTreeSet::new(),
+            shared: Bucket::full(&limits.source, now),
+            unknown_sources: HashMap::new(),
             known: HashMap::new(),
-            by_known: BTreeSet::new(),
+            by_known_at: BTreeSet::new(),
         }
     }
 
-    /// Changes the bounds from now on. Budgets spent stay spent.
-    pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.bounds = bounds;
+    /// Changes the limits from now on. What was spent remains spent.
+    pub fn set_limits(&mut self, limits: Limits) {
+        self.limits = limits;
     }
 
-    /// Forgets who is known and what strangers spent: senders' places mean others from now on.
-    pub fn senders_changed(&mut self) {
+    /// Forgets known sources and the senders' budgets, because the indexes of senders have changed.
+    pub fn reset_senders(&mut self) {
         self.known.clear();
-        self.by_known.clear();
-        self.strangers.clear();
+        self.by_known_at.clear();
+        self.unknown_sources.clear();
     }
 
-    /// Sources whose budget is not whole, as far as kept apart.
-    pub fn watched(&self) -> usize {
+    /// The number of sources with a budget of their own that is not full.
+    pub fn tracked_sources(&self) -> usize {
         self.sources.len()
     }
 
-    /// Pairs of source and sender that are known.
-    pub fn known(&self) -> usize {
+    /// The number of known pairs of source and sender.
+    pub fn known_pairs(&self) -> usize {
         self.known.len()
     }
 
     fn cost(&self, bytes: u64) -> u64 {
-        TOKEN.saturating_mul(1 + bytes / self.bounds.bytes.max(1))
+        TOKEN.saturating_mul(1 + bytes / self.limits.bytes_per_check.max(1))
     }
 
-    /// Judges a message by its head, before its body is read. `bytes`: the body's length as told, or the bound on
-    /// it where it is not told.
-    pub fn enter(&mut self, now: Time, who: Who, bytes: u64) -> Result<Permit, Turned> {
+    /// Decides by the head of a message, before its body is read. `bytes` is the declared length of the body,
+    /// or the limit on it if none is declared.
+    pub fn admit(&mut self, now: Time, claimant: Claimant, bytes: u64) -> Result<Permit, Rejection> {
         let cost = self.cost(bytes);
-        let stranger = !self.is_known(now, who);
-        let budget = self.bounds.source;
-        // One who is known may go on until its budget is spent; a stranger pays beforehand.
-        let asked = if stranger { cost } else { TOKEN };
-        let (bucket, shared) = self.source(now, who.source);
-        if !bucket.holds(&budget, asked) {
-            return Err(Turned::Source(bucket.wait(&budget, asked).unwrap_or(LONGEST)));
+        let unknown = !self.is_known(now, claimant);
+        let budget = self.limits.source;
+        // A known source may continue until its budget is spent; an unknown one pays in advance.
+        let required = if unknown { cost } else { TOKEN };
+        let (bucket, shared) = self.source_bucket(now, claimant.source);
+        if !bucket.can_pay(&budget, required) {
+            return Err(Rejection::Source(bucket.wait(&budget, required).unwrap_or(MAX_WAIT)));
         }
-        if stranger {
-            let budget = self.bounds.sender;
-            let bucket = self.stranger(now, who.sender);
-            if !bucket.holds(&budget, cost) {
-                return Err(Turned::Strangers(bucket.wait(&budget, cost).unwrap_or(LONGEST)));
+        if unknown {
+            let budget = self.limits.sender;
+            let bucket = self.sender_bucket(now, claimant.sender);
+            if !bucket.can_pay(&budget, cost) {
+                return Err(Rejection::UnknownSources(bucket.wait(&budget, cost).unwrap_or(MAX_WAIT)));
             }
             bucket.pay(cost);
-            self.pay(now, who.source, cost, shared);
+            self.pay(now, claimant.source, cost, shared);
         }
-        Ok(Permit { who, bytes, cost, stranger, shared })
+        Ok(Permit { claimant, bytes, cost, unknown, shared })
     }
 
-    /// The signature was good: nothing is owed, and the source is known to the sender.
-    pub fn good(&mut self, now: Time, permit: Permit) {
-        let Permit { who, cost, stranger, shared, .. } = permit;
-        if stranger {
-            let budget = self.bounds.sender;
-            self.stranger(now, who.sender).give_back(&budget, cost);
-            self.give_back(now, who.source, cost, shared);
+    /// The signature is valid: an unknown source is refunded, and the source is known to the sender from now
+    /// on.
+    pub fn record_valid(&mut self, now: Time, permit: Permit) {
+        let Permit { claimant, cost, unknown, shared, .. } = permit;
+        if unknown {
+            let budget = self.limits.sender;
+            self.sender_bucket(now, claimant.sender).refund(&budget, cost);
+            self.refund(now, claimant.source, cost, shared);
         }
-        self.meet(now, who);
+        self.mark_known(now, claimant);
     }
 
-    /// The signature was not good, or what was checked could not have one.
-    pub fn failed(&mut self, now: Time, permit: Permit) {
-        if !permit.stranger {
-            self.pay(now, permit.who.source, permit.cost, permit.shared);
+    /// The signature is invalid, or the message cannot have a valid one.
+    pub fn record_invalid(&mut self, now: Time, permit: Permit) {
+        if !permit.unknown {
+            self.pay(now, permit.claimant.source, permit.cost, permit.shared);
         }
     }
 
-    fn stranger(&mut self, now: Time, sender: usize) -> &mut Bucket {
-        let budget = self.bounds.sender;
-        let bucket = self.strangers.entry(sender).or_insert_with(|| Bucket::full(&budget, now));
-        bucket.fill(&budget, now);
+    /// The bucket for unknown sources of a sender.
+    fn sender_bucket(&mut self, now: Time, sender: usize) -> &mut Bucket {
+        let budget = self.limits.sender;
+        let bucket = self.unknown_sources.entry(sender).or_insert_with(|| Bucket::full(&budget, now));
+        bucket.refill(&budget, now);
         bucket
     }
 
-    /// The bucket that a source would pay from now, and whether that is the shared one.
-    fn source(&mut self, now: Time, source: Source) -> (Bucket, bool) {
-        let budget = self.bounds.source;
-        if let Some(kept) = self.sources.get_mut(&source) {
-            kept.bucket.fill(&budget, now);
-            return (kept.bucket, false);
+    /// The bucket from which a source would pay now, and whether that is the shared one.
+    fn source_bucket(&mut self, now: Time, source: Source) -> (Bucket, bool) {
+        let budget = self.limits.source;
+        if let Some(own) = self.sources.get_mut(&source) {
+            own.bucket.refill(&budget, now);
+            return (own.bucket, false);
         }
-        if self.room(now) {
+        if self.make_room(now) {
             return (Bucket::full(&budget, now), false);
         }
-        self.rest.fill(&budget, now);
-        (self.rest, true)
+        self.shared.refill(&budget, now);
+        (self.shared, true)
     }
 
-    /// True where one more source can be kept apart; one whose budget is whole again gives up its place.
-    fn room(&mut self, now: Time) -> bool {
-        if self.sources.len() < self.bounds.sources {
+    /// Whether one more source can have a budget of its own. If necessary, removes one whose budget is full
+    /// again.
+    fn make_room(&mut self, now: Time) -> bool {
+        if self.sources.len() < self.limits.max_sources {
             return true;
         }
-        match self.by_full.first().copied() {
+        match self.by_full_at.first().copied() {
             Some((at, source)) if at <= now => {
-                self.by_full.remove(&(at, source));
+                self.by_full_at.remove(&(at, source));
                 self.sources.remove(&source);
-                self.sources.len() < self.bounds.sources
+                self.sources.len() < self.limits.max_sources
             }
             _ => false,
         }
     }
 
     fn pay(&mut self, now: Time, source: Source, cost: u64, shared: bool) {
-        let budget = self.bounds.source;
+        let budget = self.limits.source;
         if shared {
-            self.rest.fill(&budget, now);
-            self.rest.pay(cost);
+            self.shared.refill(&budget, now);
+            self.shared.pay(cost);
             return;
         }
-        if !self.sources.contains_key(&source) && !self.room(now) {
-            // Its place went to another between its entry and now.
+        if !self.sources.contains_key(&source) && !self.make_room(now) {
+            // Another source took the free entry since this one was admitted.
             return self.pay(now, source, cost, true);
         }
-        let kept = self.sources.entry(source).or_insert_with(|| {
+        let own = self.sources.entry(source).or_insert_with(|| {
             let bucket = Bucket::full(&budget, now);
-            Kept { bucket, full_at: Time::MAX }
+            SourceBudget { bucket, full_at: Time::MAX }
         });
-        kept.bucket.fill(&budget, now);
-        kept.bucket.pay(cost);
-        self.reorder(now, source);
+        own.bucket.refill(&budget, now);
+        own.bucket.pay(cost);
+        self.update_full_at(now, source);
     }
 
-    fn give_back(&mut self, now: Time, source: Source, cost: u64, shared: bool) {
-        let budget = self.bounds.source;
+    fn refund(&mut self, now: Time, source: Source, cost: u64, shared: bool) {
+        let budget = self.limits.source;
         if shared {
-            self.rest.give_back(&budget, cost);
-        } else if let Some(kept) = self.sources.get_mut(&source) {
-            kept.bucket.give_back(&budget, cost);
-            self.reorder(now, source);
+            self.shared.refund(&budget, cost);
+        } else if let Some(own) = self.sources.get_mut(&source) {
+            own.bucket.refund(&budget, cost);
+            self.update_full_at(now, source);
         }
     }
 
-    /// Puts a source's place in order; one whose budget is whole has none.
-    fn reorder(&mut self, now: Time, source: Source) {
-        let budget = self.bounds.source;
-        let Some(kept) = self.sources.get_mut(&source) else { return };
-        self.by_full.remove(&(kept.full_at, source));
-        kept.full_at = kept.bucket.full_at(&budget).min(now.saturating_add(LONGEST));
-        if kept.full_at <= now {
+    /// Updates the time at which a source's budget is full; removes a budget that is full now.
+    fn update_full_at(&mut self, now: Time, source: Source) {
+        let budget = self.limits.source;
+        let Some(own) = self.sources.get_mut(&source) else { return };
+        self.by_full_at.remove(&(own.full_at, source));
+        own.full_at = own.bucket.full_at(&budget).min(now.saturating_add(MAX_WAIT));
+        if own.full_at <= now {
             self.sources.remove(&source);
         } else {
-            self.by_full.insert((kept.full_at, source));
+            self.by_full_at.insert((own.full_at, source));
         }
     }
 
-    fn is_known(&self, now: Time, who: Who) -> bool {
-        let span = self.bounds.known_for;
-        self.known.get(&who).is_some_and(|at| now < at.saturating_add(span))
+    fn is_known(&self, now: Time, claimant: Claimant) -> bool {
+        let duration = self.limits.known_duration;
+        self.known.get(&claimant).is_some_and(|at| now < at.saturating_add(duration))
     }
 
-    fn meet(&mut self, now: Time, who: Who) {
-        match self.known.get(&who) {
-            // Renewed at a quarter of its time, so that a busy source does not move at each message.
-            Some(at) if now < at.saturating_add(self.bounds.known_for / 4) => return,
-            Some(at) => _ = self.by_known.remove(&(*at, who)),
-            // The one that signed longest ago gives way; it is a stranger again, who can prove itself.
-            None if self.known.len() >= self.bounds.sources => {
-                if let Some((_, oldest)) = self.by_known.pop_first() {
+    fn mark_known(&mut self, now: Time, claimant: Claimant) {
+        match self.known.get(&claimant) {
+            // Updated only after a quarter of the duration, so that a busy source does not change the index
+            // with each message.
+            Some(at) if now < at.saturating_add(self.limits.known_duration / 4) => return,
+            Some(at) => _ = self.by_known_at.remove(&(*at, claimant)),
+            // The pair with the oldest valid signature is removed; it is unknown then, until its next valid
+            // signature.
+            None if self.known.len() >= self.limits.max_sources => {
+                if let Some((_, oldest)) = self.by_known_at.pop_first() {
                     self.known.remove(&oldest);
                 }
             }
             None => {}
         }
-        self.known.insert(who, now);
-        self.by_known.insert((now, who));
+        self.known.insert(claimant, now);
+        self.by_known_at.insert((now, claimant));
     }
 }
--- a/crates/badgerwind-guard/src/lib.rs
+++ b/crates/badgerwind-guard/src/lib.rs
@@ -1,24 +1,25 @@
-//! Whether a message's signature is worth checking: budgets for failed checks, so that a flood of forgeries costs a
-//! front end a bounded part of its time, and costs senders that can sign nothing.
+//! Decides whether a message's signature is worth checking. Budgets for failed checks bound the time that a
+//! front end spends on a flood of forged messages, without affecting senders whose signatures are valid.
 //!
-//! No I/O, no clock: time comes in as microseconds of a monotonic clock. What is known here dies with its process;
-//! a new life begins with whole budgets, which costs at most one more burst of checks.
+//! The crate does no I/O and has no clock; times are microseconds of a monotonic clock. The state is not
+//! persistent: after a restart all budgets are full, which costs at most one more burst of checks.
 //!
-//! - A **source** (an address, see [`Source`]) has a budget of its own. Spent, its messages are turned away unread.
-//! - A **sender** (whose name anyone can claim by posting to its path) has a budget for **strangers**: sources that
-//!   have signed nothing for it of late. Spent, strangers are turned away and those known go on, so that nobody can
-//!   shut a sender out by forging its messages.
+//! - Each **source** (an address, see [`Source`]) has a budget of its own. Once it is spent, the source's
+//!   messages are rejected unread.
+//! - Each **sender** (anyone can claim its name by posting to its path) has a budget for **unknown sources**:
+//!   those that have not sent a valid signature for it recently. Once it is spent, unknown sources are
+//!   rejected and known ones continue, so that nobody can lock a sender out by forging its messages.
 //!
-//! A stranger's check is paid before it is made and given back where the signature was good, so that many forgeries
-//! at once spend no more than the budget. One who is known pays after a check that failed.
+//! An unknown source pays for a check before it is made, and is refunded if the signature is valid; so many
+//! concurrent forgeries spend no more than the budget. A known source pays after a check that failed.
 
 mod bucket;
 mod guard;
 mod source;
 
 pub use bucket::Budget;
-pub use guard::{Bounds, Guard, Permit, Turned, Who};
-pub use source::{forwarded, Source};
+pub use guard::{Claimant, Guard, Limits, Permit, Rejection};
+pub use source::{forwarded_address, Source};
 
 /// Microseconds of a monotonic clock.
 pub type Time = u64;
