--- a/crates/badgerwind-attempts/src/ledger.rs
+++ b/crates/badgerwind-attempts/src/ledger.rs
@@ -1,8 +1,8 @@
-//! What a group of runners keeps of each call that must not run twice.
+//! The ledger of a group of runners: what it stores about each call that must not run twice.
 //!
-//! A runner asks before it begins, and says how it ended. The promises, as long as every runner of the group does
-//! that and the ledger lives: no two attempts of a call are let in at once; none is let in after one that ran, or
-//! that may have; an attempt older than one let in is never let in after it.
+//! A runner asks before it starts an attempt, and reports how it ended. As long as all runners of the group
+//! do that and the ledger is not lost, it guarantees: no two attempts of a call are admitted at the same
+//! time; none is admitted after one that ran or may have run; none is admitted after a newer one.
 
 use crate::Fence;
 use std::collections::{BTreeMap, VecDeque};
@@ -10,157 +10,160 @@
 /// Microseconds of one monotonic clock.
 pub type Time = u64;
 
-/// What a runner may do with an attempt.
+/// Whether a runner may run an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict<A> {
-    /// Run it, then say how it ended.
+pub enum Admission<A> {
+    /// Run it, then report how it ended.
     Run,
-    /// It ran: answer so. Nothing runs.
+    /// The call already ran: give this answer, and run nothing.
     Ran(A),
-    /// An attempt of the same call is at work: turn this one away, it never ran.
+    /// An attempt of the same call is running: reject this one, which never ran.
     Busy,
-    /// A newer attempt was let in before: turn this one away, it never ran.
+    /// A newer attempt was admitted before: reject this one, which never ran.
     Stale,
-    /// An attempt was let in and never said how it ended: it may have run. Fail this one; nothing runs.
-    Doubt,
-    /// The ledger holds as many calls as it may: turn this one away, it never ran.
+    /// An admitted attempt did not report how it ended, so it may have run: fail this one, and run nothing.
+    InDoubt,
+    /// The ledger has reached its limit: reject this attempt, which never ran.
     Full,
 }
 
-/// Bounds of a ledger.
+/// Limits of a ledger.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// How long the end of a call is remembered.
-    pub keep: Time,
-    /// How long an attempt may be at work before its call is in doubt.
+pub struct Limits {
+    /// How long a call is stored after its end.
+    pub retention: Time,
+    /// How long an attempt may run before its call is in doubt.
     pub lease: Time,
-    /// Calls remembered at once; they are never forgotten early.
-    pub calls: usize,
+    /// Upper bound of stored calls. They are never removed early.
+    pub max_calls: usize,
 }
 
 #[derive(Clone, Debug)]
 enum State<A> {
-    /// Let in and at work until its lease ends.
-    AtWork(Time),
-    /// Let in, and known not to have run: only a newer attempt may follow.
-    Free,
+    /// An attempt was admitted and is running; with the end of its lease.
+    Running(Time),
+    /// The last admitted attempt provably did not run. A newer one may be admitted.
+    NotRun,
     Ran(A),
-    Doubt,
+    InDoubt,
 }
 
 #[derive(Clone, Debug)]
 struct Call<A> {
+    /// The fence of the newest attempt that was admitted.
     newest: Fence,
     state: State<A>,
-    /// It is forgotten then, unless it is at work.
-    until: Time,
+    /// When the call is removed, unless an attempt is running.
+    expires: Time,
 }
 
-/// The ledger of a group. `A`: an answer.
+/// The ledger of a group; `A` is the type of answers.
 #[derive(Debug)]
 pub struct Ledger<A> {
-    bounds: Bounds,
+    limits: Limits,
     calls: BTreeMap<String, Call<A>>,
-    /// When calls may be forgotten, oldest first; one that lives on is put back.
-    ends: VecDeque<(Time, String)>,
+    /// When to check each call for removal, in ascending order. A call that is not removed then is inserted
+    /// again.
+    expiries: VecDeque<(Time, String)>,
 }
 
 impl<A: Clone> Ledger<A> {
     /// An empty ledger.
-    pub fn new(bounds: Bounds) -> Self {
-        Ledger { bounds, calls: BTreeMap::new(), ends: VecDeque::new() }
+    pub fn new(limits: Limits) -> Self {
+        Ledger { limits, calls: BTreeMap::new(), expiries: VecDeque::new() }
     }
 
-    /// Calls remembered.
+    /// The number of stored calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// True where nothing is remembered.
+    /// Whether no call is stored.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    fn forget(&mut self, now: Time) {
-        while self.ends.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, key)) = self.ends.pop_front() else { break };
+    fn expire(&mut self, now: Time) {
+        while self.expiries.front().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, key)) = self.expiries.pop_front() else { break };
             let Some(call) = self.calls.get_mut(&key) else { continue };
-            if let State::AtWork(lease) = call.state {
-                if lease <= now {
-                    (call.state, call.until) = (State::Doubt, now + self.bounds.keep);
+            if let State::Running(lease_end) = call.state {
+                if lease_end <= now {
+                    (call.state, call.expires) = (State::InDoubt, now + self.limits.retention);
                 }
             }
             let next = match call.state {
-                State::AtWork(lease) => lease,
-                _ if call.until > now => call.until,
+                State::Running(lease_end) => lease_end,
+                _ if call.expires > now => call.expires,
                 _ => {
                     self.calls.remove(&key);
                     continue;
                 }
             };
-            // Put back in its order: leases are shorter than memories, so it does not simply go last.
-            let at = self.ends.partition_point(|(t, _)| *t <= next);
-            self.ends.insert(at, (next, key));
+            // Leases are shorter than the retention, so the new position is not always the last one.
+            let at = self.expiries.partition_point(|(t, _)| *t <= next);
+            self.expiries.insert(at, (next, key));
         }
     }
 
-    /// A runner asks whether it may begin an attempt.
-    pub fn admit(&mut self, now: Time, key: &str, fence: Fence) -> Verdict<A> {
-        self.forget(now);
-        let lease = now + self.bounds.lease;
+    /// Decides whether a runner may start an attempt.
+    pub fn admit(&mut self, now: Time, key: &str, fence: Fence) -> Admission<A> {
+        self.expire(now);
+        let lease_end = now + self.limits.lease;
         if let Some(call) = self.calls.get_mut(key) {
             match &call.state {
-                State::Ran(answer) => return Verdict::Ran(answer.clone()),
-                State::Doubt => return Verdict::Doubt,
-                State::AtWork(until) if *until <= now => {
-                    (call.state, call.until) = (State::Doubt, now + self.bounds.keep);
-                    return Verdict::Doubt;
+                State::Ran(answer) => return Admission::Ran(answer.clone()),
+                State::InDoubt => return Admission::InDoubt,
+                State::Running(until) if *until <= now => {
+                    (call.state, call.expires) = (State::InDoubt, now + self.limits.retention);
+                    return Admission::InDoubt;
                 }
-                _ if fence <= call.newest => return Verdict::Stale,
-                State::AtWork(_) => return Verdict::Busy,
-                State::Free => {
-                    (call.newest, call.state) = (fence, State::AtWork(lease));
-                    return Verdict::Run;
+                _ if fence <= call.newest => return Admission::Stale,
+                State::Running(_) => return Admission::Busy,
+                State::NotRun => {
+                    (call.newest, call.state) = (fence, State::Running(lease_end));
+                    return Admission::Run;
                 }
             }
         }
-        if self.calls.len() >= self.bounds.calls {
-            return Verdict::Full;
+        if self.calls.len() >= self.limits.max_calls {
+            return Admission::Full;
         }
-        let call = Call { newest: fence, state: State::AtWork(lease), until: lease };
+        let call = Call { newest: fence, state: State::Running(lease_end), expires: lease_end };
         self.calls.insert(key.to_owned(), call);
-        let at = self.ends.partition_point(|(t, _)| *t <= lease);
-        self.ends.insert(at, (lease, key.to_owned()));
-        Verdict::Run
+        let at = self.expiries.partition_point(|(t, _)| *t <= lease_end);
+        self.expiries.insert(at, (lease_end, key.to_owned()));
+        Admission::Run
     }
 
-    /// The attempt at work with this fence, if its lease still holds.
-    fn at_work(&mut self, now: Time, key: &str, fence: Fence) -> Option<&mut Call<A>> {
+    /// The call whose running attempt has this fence, if its lease has not expired.
+    fn running(&mut self, now: Time, key: &str, fence: Fence) -> Option<&mut Call<A>> {
         let call = self.calls.get_mut(key).filter(|c| c.newest == fence)?;
-        matches!(call.state, State::AtWork(until) if until > now).then_some(call)
+        matches!(call.state, State::Running(until) if until > now).then_some(call)
     }
 
-    /// It ran, with this answer. False where its lease had ended: then its call is in doubt, and stays so.
-    pub fn ran(&mut self, now: Time, key: &str, fence: Fence, answer: A) -> bool {
-        let until = now + self.bounds.keep;
-        let Some(call) = self.at_work(now, key, fence) else { return false };
-        (call.state, call.until) = (State::Ran(answer), until);
+    /// The attempt ran, with this answer. Returns false if its lease had expired: then the call is in doubt,
+    /// and remains so.
+    pub fn record_ran(&mut self, now: Time, key: &str, fence: Fence, answer: A) -> bool {
+        let expires = now + self.limits.retention;
+        let Some(call) = self.running(now, key, fence) else { return false };
+        (call.state, call.expires) = (State::Ran(answer), expires);
         true
     }
 
-    /// It was stopped and is known not to have run.
-    pub fn never_ran(&mut self, now: Time, key: &str, fence: Fence) -> bool {
-        let until = now + self.bounds.keep;
-        let Some(call) = self.at_work(now, key, fence) else { return false };
-        (call.state, call.until) = (State::Free, until);
+    /// The attempt was stopped and provably did not run. Returns false if its lease had expired.
+    pub fn record_never_ran(&mut self, now: Time, key: &str, fence: Fence) -> bool {
+        let expires = now + self.limits.retention;
+        let Some(call) = self.running(now, key, fence) else { return false };
+        (call.state, call.expires) = (State::NotRun, expires);
         true
     }
 
-    /// It ended and may have run.
-    pub fn may_have_run(&mut self, now: Time, key: &str, fence: Fence) -> bool {
-        let until = now + self.bounds.keep;
-        let Some(call) = self.at_work(now, key, fence) else { return false };
-        (call.state, call.until) = (State::Doubt, until);
+    /// The attempt ended and may have run. Returns false if its lease had expired.
+    pub fn record_in_doubt(&mut self, now: Time, key: &str, fence: Fence) -> bool {
+        let expires = now + self.limits.retention;
+        let Some(call) = self.running(now, key, fence) else { return false };
+        (call.state, call.expires) = (State::InDoubt, expires);
         true
     }
 }
--- a/crates/badgerwind-attempts/src/lib.rs
+++ b/crates/badgerwind-attempts/src/lib.rs
@@ -1,17 +1,19 @@
-//! Attempts of calls that must not run twice, over several front ends and their restarts. No I/O.
+//! Attempts of calls that must not run twice, with several front ends that may restart. The crate does no
+//! I/O.
 //!
-//! A front end knows only what its own attempts told it. When it dies, nobody knows what became of them: another
-//! front end, reached by the sender's retry, must not run the call beside or after an attempt that may still run.
-//! No agreement among front ends is asked for; the runners of a group agree instead, since they see every attempt.
+//! A front end knows only the results of its own attempts. When it dies, nobody knows what became of them:
+//! another front end, to which the sender repeats the call, must not run it while or after such an attempt
+//! may have run. The front ends do not have to agree; instead the runners of a group share a ledger, as they
+//! see every attempt.
 //!
 //! - [`proof`]: what proves that an attempt never ran.
 //! - [`fence`]: which of two attempts is the newer one.
-//! - [`ledger`]: what a group of runners keeps of each call.
+//! - [`ledger`]: what a group of runners stores about each call.
 
 pub mod fence;
 pub mod ledger;
 pub mod proof;
 
 pub use fence::Fence;
-pub use ledger::{Ledger, Verdict};
+pub use ledger::{Admission, Ledger};
 pub use proof::NeverRan;
--- a/crates/badgerwind-attempts/src/proof.rs
+++ b/crates/badgerwind-attempts/src/proof.rs
@@ -2,14 +2,15 @@
 
 use badgerwind::interface::Outcome;
 
-/// Made from evidence alone: who holds one may send the call again, or promise that trying again is harmless.
+/// Proof that an attempt never ran. It can be created from evidence only; who has one may send the call
+/// again, or tell the sender that repeating it is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NeverRan {
-    why: Why,
+    reason: Reason,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Why {
+enum Reason {
     NeverSent,
     NoConnection,
     TurnedAway,
@@ -17,28 +18,28 @@
 }
 
 impl NeverRan {
-    /// The proof that an outcome holds; `None` where it may have run. A timeout, a broken connection and a call-off
-    /// prove nothing, nor does an error.
-    pub fn by(outcome: Outcome) -> Option<NeverRan> {
-        let why = match outcome {
-            Outcome::Moot => Why::NeverSent,
-            Outcome::ConnectFailed => Why::NoConnection,
-            Outcome::Full => Why::TurnedAway,
-            Outcome::Miss => Why::Absent,
+    /// The proof that an outcome gives; `None` where the attempt may have run. A timeout, a broken connection
+    /// and a cancellation prove nothing, and neither does an error.
+    pub fn from_outcome(outcome: Outcome) -> Option<NeverRan> {
+        let reason = match outcome {
+            Outcome::Moot => Reason::NeverSent,
+            Outcome::ConnectFailed => Reason::NoConnection,
+            Outcome::Full => Reason::TurnedAway,
+            Outcome::Miss => Reason::Absent,
             Outcome::Ok | Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
                 return None
             }
         };
-        Some(NeverRan { why })
+        Some(NeverRan { reason })
     }
 
-    /// In words, for a log.
-    pub fn words(&self) -> &'static str {
-        match self.why {
-            Why::NeverSent => "it was never sent",
-            Why::NoConnection => "no connection was made",
-            Why::TurnedAway => "the runner turned it away unseen",
-            Why::Absent => "the function was not loaded there",
+    /// The reason in words, for logs.
+    pub fn description(&self) -> &'static str {
+        match self.reason {
+            Reason::NeverSent => "it was never sent",
+            Reason::NoConnection => "no connection was made",
+            Reason::TurnedAway => "the runner rejected it before it ran",
+            Reason::Absent => "the runner had not loaded the function",
         }
     }
 }
--- a/crates/badgerwind-standins/src/fenced.rs
+++ b/crates/badgerwind-standins/src/fenced.rs
@@ -1,7 +1,7 @@
 //! A runner's way to its group's ledger: in this process, or kept by the store stand-in.
 
 use crate::record::now;
-use badgerwind_attempts::ledger::{Bounds, Ledger, Verdict};
+use badgerwind_attempts::ledger::{Admission, Ledger, Limits};
 use badgerwind_attempts::Fence;
 use badgerwind_http::{Exchange, Pool};
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Bounds of the stand-ins' ledgers: longer than any try of theirs.
-pub const BOUNDS: Bounds = Bounds { keep: 600_000_000, lease: 20_000_000, calls: 1_000_000 };
+pub const BOUNDS: Limits = Limits { retention: 600_000_000, lease: 20_000_000, max_calls: 1_000_000 };
 
 /// What the ledger says to a runner that asks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,19 +51,19 @@
     pub fn put_to(self, ledger: &mut Ledger<String>, now: u64) -> Said {
         match self.how {
             None => match ledger.admit(now, &self.key, self.fence) {
-                Verdict::Run => Said::Run,
-                Verdict::Ran(answer) => Said::Ran(answer),
-                Verdict::Busy => Said::Busy,
-                Verdict::Stale => Said::Stale,
-                Verdict::Doubt => Said::Doubt,
-                Verdict::Full => Said::Full,
+                Admission::Run => Said::Run,
+                Admission::Ran(answer) => Said::Ran(answer),
+                Admission::Busy => Said::Busy,
+                Admission::Stale => Said::Stale,
+                Admission::InDoubt => Said::Doubt,
+                Admission::Full => Said::Full,
             },
             Some(How::Ran(answer)) => {
-                ledger.ran(now, &self.key, self.fence, answer);
+                ledger.record_ran(now, &self.key, self.fence, answer);
                 Said::Run
             }
             Some(How::NeverRan) => {
-                ledger.never_ran(now, &self.key, self.fence);
+                ledger.record_never_ran(now, &self.key, self.fence);
                 Said::Run
             }
         }
