--- a/crates/badgerwind-fleet/src/link.rs
+++ b/crates/badgerwind-fleet/src/link.rs
@@ -125,7 +125,7 @@
         proven();
         let mut sealed = vec![0u8; 65_535];
         loop {
-            let bytes = message.bytes();
+            let bytes = message.encode();
             let framed = [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat();
             for part in framed.chunks(PIECE) {
                 let n = noise.write_message(part, &mut sealed)?;
@@ -196,7 +196,7 @@
                 return Err(Broken::Long(length));
             }
             let Some(bytes) = rest.get(..length) else { break };
-            let message = Message::read(bytes);
+            let message = Message::decode(bytes);
             come.drain(..4 + length);
             // Of a form that is not known: passed over.
             if let Some(message) = message {
--- a/crates/badgerwind-gateway/src/zones.rs
+++ b/crates/badgerwind-gateway/src/zones.rs
@@ -109,12 +109,12 @@
 
     /// Bytes from another front end; false where they are not of zones.
     pub(crate) fn heard(&self, from: u32, bytes: &[u8]) -> bool {
-        let (Ok(member), Some(message)) = (Member::try_from(from), Message::read(bytes)) else {
+        let (Ok(member), Some(message)) = (Member::try_from(from), Message::decode(bytes)) else {
             return false;
         };
         let now = self.clock.now();
         let answer = self.state().node.receive(now, member, &message);
-        answer.into_iter().for_each(|a| self.peers.tell(Some(from), &a.bytes()));
+        answer.into_iter().for_each(|a| self.peers.tell(Some(from), &a.encode()));
         true
     }
 
@@ -212,7 +212,7 @@
             }
         }
         drop(state);
-        out.iter().for_each(|(to, message)| self.peers.tell(Some(u32::from(*to)), &message.bytes()));
+        out.iter().for_each(|(to, message)| self.peers.tell(Some(u32::from(*to)), &message.encode()));
         for worker in probes {
             let me = self.clone();
             smol::spawn(async move {
--- a/crates/badgerwind-register/src/message.rs
+++ b/crates/badgerwind-register/src/message.rs
@@ -52,13 +52,13 @@
 
 impl Message {
     /// Serializes the message.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Serializing these types to memory cannot fail.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// Parses a message; `None` where the bytes are invalid.
-    pub fn read(bytes: &[u8]) -> Option<Message> {
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/badgerwind-register/src/node.rs
+++ b/crates/badgerwind-register/src/node.rs
@@ -324,7 +324,7 @@
         if self.stuck || at != self.ledger.applied() + 1 {
             return;
         }
-        let Some(records) = record::read(data) else {
+        let Some(records) = record::decode(data) else {
             self.stuck = true;
             return out.push(Output::UnknownRecordVersion(at));
         };
--- a/crates/badgerwind-register/src/record.rs
+++ b/crates/badgerwind-register/src/record.rs
@@ -64,7 +64,7 @@
 }
 
 /// Serializes the records of one entry, prefixed by the record version.
-pub(crate) fn write(records: &[Record]) -> Vec<u8> {
+pub(crate) fn encode(records: &[Record]) -> Vec<u8> {
     let mut out = vec![VERSION];
     // Serializing these types to memory cannot fail.
     out.extend(postcard::to_allocvec(records).unwrap_or_default());
@@ -72,7 +72,7 @@
 }
 
 /// Parses the records of one entry; `None` for a version that this program does not know.
-pub(crate) fn read(bytes: &[u8]) -> Option<Vec<Record>> {
+pub(crate) fn decode(bytes: &[u8]) -> Option<Vec<Record>> {
     match bytes.split_first() {
         None => Some(Vec::new()), // a new leader's first entry, or a change of voters
         Some((&VERSION, rest)) => postcard::from_bytes(rest).ok(),
--- a/crates/badgerwind-register/src/session.rs
+++ b/crates/badgerwind-register/src/session.rs
@@ -36,7 +36,7 @@
     /// Position in the list of voters of the one that is asked for the log's next entries and, while no
     /// leader is known, for the leader.
     voter_index: usize,
-    /// When the leader last renewed the lease, or the incarnation began.
+    /// When the leader last renewed the lease, the incarnation began, or the last leader was given up.
     renewed: Time,
     /// When a voter last sent entries of the log.
     entries_received: Time,
--- a/crates/badgerwind-register/src/voter.rs
+++ b/crates/badgerwind-register/src/voter.rs
@@ -332,7 +332,7 @@
                 }
             }
             leadership.queued_bytes = leadership.queued_bytes.saturating_sub(bytes);
-            if self.node.propose(vec![], record::write(&records)).is_err() {
+            if self.node.propose(vec![], record::encode(&records)).is_err() {
                 // Rejected for now: members propose their announcements again, and expired leases are found
                 // again.
                 for record in records {
--- a/crates/badgerwind-register/tests/wire.rs
+++ b/crates/badgerwind-register/tests/wire.rs
@@ -4,8 +4,8 @@
 use badgerwind_register::{Message, Record};
 
 fn assert_bytes(message: Message, bytes: &[u8]) {
-    assert_eq!(message.bytes(), bytes, "{message:?}");
-    assert_eq!(Message::read(bytes), Some(message));
+    assert_eq!(message.encode(), bytes, "{message:?}");
+    assert_eq!(Message::decode(bytes), Some(message));
 }
 
 #[test]
--- a/crates/badgerwind-register/tests/world/mod.rs
+++ b/crates/badgerwind-register/tests/world/mod.rs
@@ -313,11 +313,11 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        let bytes = message.bytes();
+        let bytes = message.encode();
         self.observed.messages += 1;
         self.observed.bytes += bytes.len() as u64;
         self.observed.longest = self.observed.longest.max(bytes.len());
-        let message = Message::read(&bytes).expect("what was written can be read");
+        let message = Message::decode(&bytes).expect("what was written can be read");
         if to >= self.hosts.len() || self.blocked.contains(&(from, to)) {
             return;
         }
--- a/crates/badgerwind-scale/src/rows/register/group.rs
+++ b/crates/badgerwind-scale/src/rows/register/group.rs
@@ -309,7 +309,7 @@
 
     fn arrive(&mut self, from: usize, to: usize, bytes: &[u8]) {
         self.act(to, |node, now, out| {
-            if let Some(message) = Message::read(bytes) {
+            if let Some(message) = Message::decode(bytes) {
                 node.handle(now, Input::Received(from as Member, message), out);
             }
         });
@@ -324,7 +324,7 @@
         act(node, now, &mut out);
         for output in out {
             match output {
-                Output::Send(to, message) => sends.push((usize::from(to), kind(&message), message.bytes())),
+                Output::Send(to, message) => sends.push((usize::from(to), kind(&message), message.encode())),
                 Output::Write(write) => writes = Some(write),
                 Output::Event(_, LogEvent::Ended(_, incarnation)) => ended.push(incarnation),
                 Output::Event(..) | Output::IncarnationLost(_) | Output::UnknownRecordVersion(_) => {}
--- a/crates/badgerwind-scale/src/rows/zones.rs
+++ b/crates/badgerwind-scale/src/rows/zones.rs
@@ -107,7 +107,7 @@
         aggregator.receive(now, member as Member, serial, &zones, &terms);
     }
     let measured = front_ends;
-    let reports: Vec<Vec<u8>> = (0..measured).map(|_| calm_report(2, 40).bytes()).collect();
+    let reports: Vec<Vec<u8>> = (0..measured).map(|_| calm_report(2, 40).encode()).collect();
     let meter = ProcessorMeter::start();
     let mut bytes = 0;
     let mut messages = 0;
@@ -134,12 +134,12 @@
     bytes: &[u8],
     terms: &Settings,
 ) -> Option<Vec<u8>> {
-    let Some(Message::Report { serial, zones }) = Message::read(bytes) else { return None };
+    let Some(Message::Report { serial, zones }) = Message::decode(bytes) else { return None };
     if !aggregator.receive(now, from, serial, &zones, terms) {
         return None;
     }
     let (members, zones) = aggregator.digest(now, &evidence.listed_counts(ZONES), terms);
-    Some(Message::Digest { serial, members, zones }.bytes())
+    Some(Message::Digest { serial, members, zones }.encode())
 }
 
 /// All rows of zones.
@@ -214,15 +214,18 @@
         owed -= answered.len() as f64;
         let meter = ProcessorMeter::start();
         answered.iter().for_each(|r| node.record(now, *r, Observation::Answered, now - ANSWER));
-        let out: Vec<(Member, u32, Vec<u8>)> =
-            node.tick(now).into_iter().map(|(to, message)| (to, serial(&message), message.bytes())).collect();
+        let out: Vec<(Member, u32, Vec<u8>)> = node
+            .tick(now)
+            .into_iter()
+            .map(|(to, message)| (to, serial(&message), message.encode()))
+            .collect();
         processor += meter.microseconds();
         for (voter, serial, report) in out {
-            let digest = calm_digest(serial, members).bytes();
+            let digest = calm_digest(serial, members).encode();
             bytes += (report.len() + digest.len()) as u64;
             messages += 2;
             let meter = ProcessorMeter::start();
-            if let Some(message) = Message::read(&digest) {
+            if let Some(message) = Message::decode(&digest) {
                 node.receive(now, voter, &message);
             }
             processor += meter.microseconds();
@@ -376,11 +379,11 @@
     fn report(&mut self, from: usize, out: Vec<(Member, Message)>) {
         let Some(first) = out.first().cloned() else { return };
         for (to, message) in out {
-            self.network.send(from, usize::from(to), "report", message.bytes());
+            self.network.send(from, usize::from(to), "report", message.encode());
         }
         if self.mutant == Some(Mutant::ReportsToAll) {
             for other in (VOTERS..self.network.members()).filter(|other| *other != from) {
-                self.network.send(from, other, "report", first.1.bytes());
+                self.network.send(from, other, "report", first.1.encode());
             }
         }
     }
@@ -430,9 +433,9 @@
 
     fn hear(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.network.clock(to);
-        let Some(message) = Message::read(bytes) else { return };
+        let Some(message) = Message::decode(bytes) else { return };
         if let Some(answer) = self.nodes[to].receive(now, from as Member, &message) {
-            self.network.send(to, from, "digest", answer.bytes());
+            self.network.send(to, from, "digest", answer.encode());
         }
     }
 
--- a/crates/badgerwind-zones/src/message.rs
+++ b/crates/badgerwind-zones/src/message.rs
@@ -76,7 +76,7 @@
 
 impl Message {
     /// Serializes the message. Zones beyond [`MAX_ZONES`] are left out.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut out = vec![FORMAT];
         match self {
             Message::Report { serial, zones } => {
@@ -108,7 +108,7 @@
     }
 
     /// Parses a message; `None` where the bytes are invalid or of another format.
-    pub fn read(bytes: &[u8]) -> Option<Message> {
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
         let b = &mut &bytes[..];
         let [format, kind] = read_bytes(b)?;
         let serial = u32::from_be_bytes(read_bytes(b)?);
--- a/crates/badgerwind-zones/tests/leaving.rs
+++ b/crates/badgerwind-zones/tests/leaving.rs
@@ -19,10 +19,10 @@
     let stage = Stage::Left;
     let report = ZoneReport { answered: 2, late: 3, lost: 4, generation: 5, stage, failed_returns: 6 };
     let report = Message::Report { serial: 1, zones: vec![report] };
-    assert_eq!(report.bytes(), [0xb3, 0, 0, 0, 0, 1, 1, 0, 2, 0, 3, 0, 4, 0, 5, 2, 6]);
+    assert_eq!(report.encode(), [0xb3, 0, 0, 0, 0, 1, 1, 0, 2, 0, 3, 0, 4, 0, 5, 2, 6]);
     let digest = ZoneDigest { lost: -2, late: 3, reached_by: 4, generation: 5, stage, failed_returns: 6 };
     let digest = Message::Digest { serial: 1, members: 7, zones: vec![digest] };
-    assert_eq!(digest.bytes(), [0xb3, 1, 0, 0, 0, 1, 1, 0, 7, 0xff, 0xfe, 0, 3, 0, 4, 0, 5, 2, 6]);
+    assert_eq!(digest.encode(), [0xb3, 1, 0, 0, 0, 1, 1, 0, 7, 0xff, 0xfe, 0, 3, 0, 4, 0, 5, 2, 6]);
 }
 
 #[test]
--- a/crates/badgerwind-zones/tests/world/mod.rs
+++ b/crates/badgerwind-zones/tests/world/mod.rs
@@ -162,9 +162,9 @@
                     z.reached_by = if *claims_lost { 0 } else { 1000 };
                 }
             }
-            let bytes = message.bytes();
+            let bytes = message.encode();
             assert!(bytes.len() <= badgerwind_zones::MAX_BYTES);
-            assert_eq!(Message::read(&bytes).as_ref(), Some(&message));
+            assert_eq!(Message::decode(&bytes).as_ref(), Some(&message));
             self.messages_sent += 1;
             if self.partitioned.contains(&(from, to)) || self.rng.random_bool(self.loss) {
                 continue;
@@ -200,7 +200,7 @@
             let Some(Reverse((_, _, event))) = self.in_flight.pop() else { break };
             match event {
                 Event::Message(from, to, bytes) => {
-                    let message = Message::read(&bytes).unwrap();
+                    let message = Message::decode(&bytes).unwrap();
                     let Some(node) = self.nodes.get_mut(&to) else { continue };
                     if let Some(answer) = node.receive(self.now, from, &message) {
                         self.send(to, vec![(from, answer)]);
