--- a/crates/badgerwind-budgets/src/coordinator.rs
+++ b/crates/badgerwind-budgets/src/coordinator.rs
@@ -1,43 +1,55 @@
-//! The coordinator: a front end that most voters have given their vote, and that says who owns which unit. It keeps nothing on
-//! disk. One that begins knows nothing of what its forerunner granted: it lets lessees go on with what they hold, and gives
-//! nothing new out until every grant of before must have ended and has rested.
+//! The coordinator: a front end with the votes of a majority, which decides who owns which unit. It stores
+//! nothing on disk. A new coordinator does not know what its predecessor granted: it renews what lessees
+//! hold, and grants no other units until every earlier grant must have expired and its units have cooled
+//! down.
 
-use crate::divide::fair;
-use crate::message::{Message, RANGES};
-use crate::terms::{Book, Incarnation, Limit, Member, Terms, Time};
+use crate::divide::max_min_fair;
+use crate::message::{Message, MAX_RANGES};
+use crate::settings::{Incarnation, LeaseSettings, Limit, LimitSet, Member, Time};
 use crate::units::{Unit, Units};
 use crate::Mutant;
 use std::collections::BTreeMap;
 
-/// A lessee keeps what is above its part by less than one in so many.
-const TREMBLE: usize = 8;
+/// A lessee keeps units above its share while they are less than one part in this many of what it holds:
+/// demand fluctuates, and a unit that changes owner is unusable during its cooldown.
+const SHARE_TOLERANCE: usize = 8;
 
-/// A unit's entry.
+/// The record of a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
-    /// Who may hold it.
+    /// The member that may hold it.
     owner: Option<(Member, Incarnation)>,
-    /// It must have ended for the owner by then, on this clock.
-    until: Time,
-    /// From then on it may be another's.
+    /// The owner's lease must have expired by then, on this clock.
+    owned_until: Time,
+    /// From then on it may be granted to another member.
     free_from: Time,
-    /// Nor before this, whatever lessees say: an earlier coordinator may have given it to one who has not asked since.
+    /// It is not free before this time, whatever lessees report: an earlier coordinator may have granted it
+    /// to a member that has sent no request since.
     unknown_until: Time,
 }
 
-/// A member, as it last asked.
+/// A member that has sent requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Asker {
+struct Requester {
     incarnation: Incarnation,
-    /// By budget: the serial, what it wants, and when it said so.
-    asked: BTreeMap<u8, (u32, Unit, Time)>,
+    /// Its latest request for each budget.
+    latest: BTreeMap<u8, LatestRequest>,
 }
 
-/// What a coordinator knows while it coordinates.
+/// A lessee's latest request for a budget.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct LatestRequest {
+    serial: u32,
+    wants: Unit,
+    received_at: Time,
+}
+
+/// State of a coordinator, from winning a majority until it loses it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Leadership {
+    /// Units by budget.
     ledgers: Vec<Vec<Entry>>,
-    askers: BTreeMap<Member, Asker>,
+    requesters: BTreeMap<Member, Requester>,
 }
 
 /// A candidate, or the coordinator.
@@ -46,22 +58,22 @@
     me: Member,
     incarnation: Incarnation,
     round: u32,
-    /// When this round's votes were asked for.
-    asked_at: Time,
-    /// Votes, and until when they count on this clock.
+    /// When the votes of this round were requested.
+    requested_at: Time,
+    /// Voters, and when each vote expires on this clock.
     votes: BTreeMap<Member, Time>,
     leadership: Option<Leadership>,
     mutant: Option<Mutant>,
 }
 
-/// What is known of a unit, for people.
+/// State of a unit, for reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// Somebody's, or ended by then.
+pub enum UnitState {
+    /// Owned by this member, at most until then.
     Owned(Member, Time),
-    /// In nobody's hands until then.
-    Rests(Time),
-    /// To be had.
+    /// Without an owner, and not free until then.
+    CoolingDown(Time),
+    /// Free to be granted.
     Free,
 }
 
@@ -72,193 +84,225 @@
             me,
             incarnation,
             round: 0,
-            asked_at: 0,
+            requested_at: 0,
             votes: BTreeMap::new(),
             leadership: None,
             mutant: None,
         }
     }
 
-    /// With a defect; for tests that show that it is found.
+    /// Injects a defect, for tests that show that it is detected.
     #[doc(hidden)]
-    pub fn with(mut self, mutant: Option<Mutant>) -> Coordinator {
+    pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Coordinator {
         self.mutant = mutant;
         self
     }
 
-    /// Asks all voters for their vote; answers to earlier rounds count no more.
-    pub fn request_votes(&mut self, now: Time, book: &Book, terms: &Terms) -> Message {
+    /// Starts a new round of votes and returns the request. Votes of earlier rounds are no longer counted.
+    pub fn request_votes(&mut self, now: Time, limit_set: &LimitSet, settings: &LeaseSettings) -> Message {
         self.round += 1;
-        self.asked_at = now;
-        let is_coordinator = self.is_coordinator(now, book, terms);
+        self.requested_at = now;
+        let is_coordinator = self.is_coordinator(now, limit_set, settings);
         Message::RequestVote {
             incarnation: self.incarnation,
             round: self.round,
             is_coordinator,
-            version: book.version,
+            version: limit_set.version,
         }
     }
 
-    /// A vote has come. It counts from when it was asked for.
-    pub fn voted(&mut self, now: Time, from: Member, message: &Message, book: &Book, terms: &Terms) {
+    /// Counts a vote, valid from the time of the request.
+    pub fn on_vote(
+        &mut self,
+        now: Time,
+        from: Member,
+        message: &Message,
+        limit_set: &LimitSet,
+        settings: &LeaseSettings,
+    ) {
         let Message::Vote { incarnation, round } = message else { return };
-        let mine = *incarnation == self.incarnation
+        let current = *incarnation == self.incarnation
             && (*round == self.round || self.mutant == Some(Mutant::CountsOldVotes));
-        if mine && terms.voters.contains(&from) {
-            self.votes.insert(from, self.asked_at + terms.vote);
-            self.is_coordinator(now, book, terms);
+        if current && settings.voters.contains(&from) {
+            self.votes.insert(from, self.requested_at + settings.vote);
+            self.is_coordinator(now, limit_set, settings);
         }
     }
 
-    /// Whether it is coordinator at this moment. A leadership that lapsed for an instant has ended: another may have been coordinator since.
-    pub fn is_coordinator(&mut self, now: Time, book: &Book, terms: &Terms) -> bool {
+    /// Whether it is coordinator now. A leadership that lapsed even briefly has ended: another member may
+    /// have been coordinator since.
+    pub fn is_coordinator(&mut self, now: Time, limit_set: &LimitSet, settings: &LeaseSettings) -> bool {
         if self.mutant != Some(Mutant::VotesNeverEnd) {
             self.votes.retain(|_, until| now < *until);
         }
-        let enough = terms.most(self.votes.len())
-            || self.mutant == Some(Mutant::HalfIsEnough) && 2 * self.votes.len() >= terms.voters.len();
-        if !enough {
+        let majority = settings.is_majority(self.votes.len())
+            || self.mutant == Some(Mutant::HalfIsMajority) && 2 * self.votes.len() >= settings.voters.len();
+        if !majority {
             self.leadership = None;
         } else if self.leadership.is_none() {
             self.leadership = Some(Leadership {
-                ledgers: book.limits.iter().map(|w| self.nothing_known(now, w, terms)).collect(),
-                askers: BTreeMap::new(),
+                ledgers: limit_set
+                    .limits
+                    .iter()
+                    .map(|limit| self.unknown_entries(now, limit, settings))
+                    .collect(),
+                requesters: BTreeMap::new(),
             });
         }
         self.leadership.is_some()
     }
 
-    fn nothing_known(&self, now: Time, limit: &Limit, terms: &Terms) -> Vec<Entry> {
-        let ended_by = now + terms.outlasts(terms.lease);
-        let mut free_from = ended_by + terms.outlasts(limit.rest);
-        if self.mutant == Some(Mutant::NewCoordinatorGivesAtOnce) {
+    /// Records of units of which it is unknown whether an earlier coordinator granted them.
+    fn unknown_entries(&self, now: Time, limit: &Limit, settings: &LeaseSettings) -> Vec<Entry> {
+        let ended_by = now + settings.drift_adjusted(settings.lease);
+        let mut free_from = ended_by + settings.drift_adjusted(limit.cooldown);
+        if self.mutant == Some(Mutant::NewCoordinatorGrantsAtOnce) {
             free_from = now;
         }
         vec![
-            Entry { owner: None, until: ended_by, free_from, unknown_until: free_from };
+            Entry { owner: None, owned_until: ended_by, free_from, unknown_until: free_from };
             usize::from(limit.units)
         ]
     }
 
-    /// Another version of the settings: units that are new are free once nothing of before can hold them.
-    pub fn set(&mut self, now: Time, book: &Book, terms: &Terms) {
+    /// Applies a new version of the limits. Added units become free once no earlier grant can hold them.
+    pub fn apply_limits(&mut self, now: Time, limit_set: &LimitSet, settings: &LeaseSettings) {
         let Some(mut leadership) = self.leadership.take() else { return };
-        for (n, limit) in book.limits.iter().enumerate() {
-            let fresh = self.nothing_known(now, limit, terms);
+        for (n, limit) in limit_set.limits.iter().enumerate() {
+            let unknown = self.unknown_entries(now, limit, settings);
             match leadership.ledgers.get_mut(n) {
                 Some(ledger) => {
                     let had = ledger.len();
-                    ledger.truncate(fresh.len());
-                    ledger.extend(fresh.into_iter().skip(had));
+                    ledger.truncate(unknown.len());
+                    ledger.extend(unknown.into_iter().skip(had));
                 }
-                None => leadership.ledgers.push(fresh),
+                None => leadership.ledgers.push(unknown),
             }
         }
         self.leadership = Some(leadership);
     }
 
-    /// Answers a lessee's ask, if it is coordinator. What holds at this moment is looked at here and nowhere else.
-    pub fn asked(
+    /// Answers a lessee's request if it is coordinator. Leases are evaluated here only, at the time of a
+    /// request, never by a timer.
+    pub fn on_lease_request(
         &mut self,
         now: Time,
         from: Member,
         message: &Message,
-        book: &Book,
-        terms: &Terms,
+        limit_set: &LimitSet,
+        settings: &LeaseSettings,
     ) -> Option<Message> {
-        let Message::Ask { budget, incarnation, serial, version, held, wants } = message else { return None };
-        let limit = book.limits.get(usize::from(*budget)).filter(|_| *version == book.version)?;
-        if !self.is_coordinator(now, book, terms) {
+        let Message::LeaseRequest { budget, incarnation, serial, version, held, wants } = message else {
+            return None;
+        };
+        let limit = limit_set.limits.get(usize::from(*budget)).filter(|_| *version == limit_set.version)?;
+        if !self.is_coordinator(now, limit_set, settings) {
             return None;
         }
         let mutant = self.mutant;
         let leadership = self.leadership.as_mut()?;
-        let none = || Asker { incarnation: *incarnation, asked: BTreeMap::new() };
-        let asker = leadership.askers.entry(from).or_insert_with(none);
-        if *incarnation < asker.incarnation {
-            return Some(Message::Superseded { incarnation: *incarnation, latest: asker.incarnation });
+        let none = || Requester { incarnation: *incarnation, latest: BTreeMap::new() };
+        let requester = leadership.requesters.entry(from).or_insert_with(none);
+        if *incarnation < requester.incarnation {
+            return Some(Message::Superseded { incarnation: *incarnation, latest: requester.incarnation });
         }
-        if *incarnation > asker.incarnation {
-            *asker = none();
+        if *incarnation > requester.incarnation {
+            *requester = none();
         }
-        let last = asker.asked.get(budget).map_or(0, |a| a.0);
-        if *serial <= last && mutant != Some(Mutant::TakesOldAsks) {
+        let last = requester.latest.get(budget).map_or(0, |request| request.serial);
+        if *serial <= last && mutant != Some(Mutant::AcceptsStaleRequests) {
             return None;
         }
-        asker.asked.insert(*budget, (*serial, *wants, now));
+        requester.latest.insert(*budget, LatestRequest { serial: *serial, wants: *wants, received_at: now });
         let ledger = &mut leadership.ledgers[usize::from(*budget)];
-        let pool = limit.granted();
-        let (lease, rest) = (terms.outlasts(terms.lease), terms.outlasts(limit.rest));
-        let (lease, rest) = match mutant {
-            Some(Mutant::NoRest) => (lease, 0),
-            Some(Mutant::IgnoresDrift) => (terms.lease, limit.rest),
+        let pool = limit.grantable();
+        let (lease, cooldown) =
+            (settings.drift_adjusted(settings.lease), settings.drift_adjusted(limit.cooldown));
+        let (lease, cooldown) = match mutant {
+            Some(Mutant::NoCooldown) => (lease, 0),
+            Some(Mutant::IgnoresDrift) => (settings.lease, limit.cooldown),
             Some(Mutant::ForgetsLease) => (0, 0),
-            _ => (lease, rest),
+            _ => (lease, cooldown),
         };
-        // What the same incarnation no longer holds it will never use again: it rests from now.
+        // The same incarnation never again uses units that it no longer holds: their cooldown starts now.
         let who = (from, *incarnation);
-        for (n, e) in ledger.iter_mut().enumerate() {
-            if e.owner == Some(who) && !held.has(n as Unit) {
-                (e.owner, e.until) = (None, now);
-                e.free_from = e.free_from.min(now + rest);
-                if mutant != Some(Mutant::ForgetsTheUnknown) {
-                    e.free_from = e.free_from.max(e.unknown_until);
+        for (n, entry) in ledger.iter_mut().enumerate() {
+            if entry.owner == Some(who) && !held.contains(n as Unit) {
+                (entry.owner, entry.owned_until) = (None, now);
+                entry.free_from = entry.free_from.min(now + cooldown);
+                if mutant != Some(Mutant::ForgetsUnknownOwners) {
+                    entry.free_from = entry.free_from.max(entry.unknown_until);
                 }
             }
         }
-        // What it holds is its own as long as nobody else's; one stale ask among them costs use, never a second owner.
-        let unknown = |e: &Entry| e.owner.is_none() && now < e.free_from;
+        // A lessee keeps what it holds unless another member owns it. A stale request may make units unusable
+        // for a while, but never gives them a second owner.
+        let unknown = |entry: &Entry| entry.owner.is_none() && now < entry.free_from;
         let may_keep = |u: Unit| {
-            let e = &ledger[usize::from(u)];
-            e.owner == Some(who) || unknown(e)
+            let entry = &ledger[usize::from(u)];
+            entry.owner == Some(who) || unknown(entry)
         };
-        let held = held.only(|u| pool.has(u) && may_keep(u));
-        let target = self.part(now, from, *budget, limit, terms);
+        let held = held.filter_units(|u| pool.contains(u) && may_keep(u));
+        let target = self.target_units(now, from, *budget, limit, settings);
         let leadership = self.leadership.as_mut()?;
         let ledger = &mut leadership.ledgers[usize::from(*budget)];
-        let moves = usize::from((u32::from(limit.units) * u32::from(terms.moves) / 256).max(1) as Unit);
-        // A little more than its part stays where it is: demand trembles, and what moves rests on its way.
+        let moves =
+            usize::from((u32::from(limit.units) * u32::from(settings.max_moves) / 256).max(1) as Unit);
+        // A small excess over its share stays with the lessee, see `SHARE_TOLERANCE`.
         let excess = held.len().saturating_sub(target);
-        let excess = if excess * TREMBLE > held.len() { excess.min(moves) } else { 0 };
-        let keep: Units = held.iter().take(held.len() - excess).collect();
+        let excess = if excess * SHARE_TOLERANCE > held.len() { excess.min(moves) } else { 0 };
+        let renewed: Units = held.iter().take(held.len() - excess).collect();
         let free = |u: &Unit| {
-            let e = &ledger[usize::from(*u)];
-            let gone = now >= e.free_from || mutant == Some(Mutant::GivesTwice) && e.owner != Some(who);
-            gone && !keep.has(*u)
+            let entry = &ledger[usize::from(*u)];
+            let available =
+                now >= entry.free_from || mutant == Some(Mutant::GrantsTwice) && entry.owner != Some(who);
+            available && !renewed.contains(*u)
         };
-        let more = target.saturating_sub(keep.len()).min(moves.max(target / 2));
-        let fresh: Units = pool.iter().filter(free).take(more).collect();
-        let (keep, fresh) = (keep.within(RANGES), fresh.within(RANGES));
-        for u in keep.iter().chain(fresh.iter()) {
-            let e = &mut ledger[usize::from(u)];
-            (e.owner, e.until, e.free_from) = (Some(who), now + lease, now + lease + rest);
+        let missing = target.saturating_sub(renewed.len()).min(moves.max(target / 2));
+        let added: Units = pool.iter().filter(free).take(missing).collect();
+        let (renewed, added) = (renewed.first_ranges(MAX_RANGES), added.first_ranges(MAX_RANGES));
+        for u in renewed.iter().chain(added.iter()) {
+            let entry = &mut ledger[usize::from(u)];
+            (entry.owner, entry.owned_until, entry.free_from) =
+                (Some(who), now + lease, now + lease + cooldown);
         }
         let (budget, incarnation, serial, version) = (*budget, *incarnation, *serial, *version);
-        Some(Message::Grant { budget, incarnation, serial, version, keep, fresh })
+        Some(Message::Grant { budget, incarnation, serial, version, renewed, added })
     }
 
-    /// A member's part of what is granted, by what those say who asked lately.
-    fn part(&self, now: Time, member: Member, budget: u8, limit: &Limit, terms: &Terms) -> usize {
+    /// A member's fair share of the grantable units, by the wants of all members that sent a request within a
+    /// lease.
+    fn target_units(
+        &self,
+        now: Time,
+        member: Member,
+        budget: u8,
+        limit: &Limit,
+        settings: &LeaseSettings,
+    ) -> usize {
         let Some(leadership) = &self.leadership else { return 0 };
-        let lately = |a: &Asker| a.asked.get(&budget).filter(|a| now < a.2 + terms.lease).map(|a| a.1);
+        let recent = |requester: &Requester| {
+            let latest = requester.latest.get(&budget);
+            latest.filter(|r| now < r.received_at + settings.lease).map(|r| r.wants)
+        };
         let all: Vec<(Member, Unit)> =
-            leadership.askers.iter().filter_map(|(m, a)| lately(a).map(|wants| (*m, wants))).collect();
+            leadership.requesters.iter().filter_map(|(m, r)| recent(r).map(|wants| (*m, wants))).collect();
         let wants: Vec<Unit> = all.iter().map(|a| a.1).collect();
-        let parts = fair(limit.granted().len() as Unit, &wants, 0);
-        all.iter().position(|a| a.0 == member).map_or(0, |n| usize::from(parts[n]))
+        let shares = max_min_fair(limit.grantable().len() as Unit, &wants, 0);
+        all.iter().position(|a| a.0 == member).map_or(0, |n| usize::from(shares[n]))
     }
 
-    /// What is known of each unit of a budget that is granted; `None` where it is not coordinator.
-    pub fn standings(&self, now: Time, budget: u8, limit: &Limit) -> Option<Vec<(Unit, Standing)>> {
+    /// State of each grantable unit of a budget; `None` if it is not coordinator.
+    pub fn unit_states(&self, now: Time, budget: u8, limit: &Limit) -> Option<Vec<(Unit, UnitState)>> {
         let ledger = self.leadership.as_ref()?.ledgers.get(usize::from(budget))?;
-        let say = |u: Unit| {
-            let e = &ledger[usize::from(u)];
-            match e.owner {
-                Some((m, _)) if now < e.until => Standing::Owned(m, e.until),
-                _ if now < e.free_from => Standing::Rests(e.free_from),
-                _ => Standing::Free,
+        let state = |u: Unit| {
+            let entry = &ledger[usize::from(u)];
+            match entry.owner {
+                Some((m, _)) if now < entry.owned_until => UnitState::Owned(m, entry.owned_until),
+                _ if now < entry.free_from => UnitState::CoolingDown(entry.free_from),
+                _ => UnitState::Free,
             }
         };
-        Some(limit.granted().iter().map(|u| (u, say(u))).collect())
+        Some(limit.grantable().iter().map(|u| (u, state(u))).collect())
     }
 }
--- a/crates/badgerwind-budgets/src/demand.rs
+++ b/crates/badgerwind-budgets/src/demand.rs
@@ -1,73 +1,83 @@
-//! What a member says it could use of a budget: by what it was asked for of late, and a little before it is asked.
+//! Estimate of the units of a budget that a member could use, from recent demand plus some headroom.
 
-use crate::terms::{Span, Time};
+use crate::settings::{Micros, Time};
 use crate::units::Unit;
 
-/// Parts into which the window is cut: what left it is forgotten no later than one of them after.
+/// Slots into which the window is divided: demand that has left the window is forgotten within one slot.
 const SLOTS: usize = 8;
-/// What was asked for in the busiest window of late counts less by one in so many at each look.
-const FORGET: f64 = 16.0;
-/// Above what was asked for, a quarter more is wanted: demand trembles, and what comes later rests on its way.
-const SPARE: f64 = 1.25;
-/// From this part of what is owned on, what was asked for may have been all that could be.
-const NEAR: f64 = 0.75;
+/// The peak demand decays by one part in this many at each estimate.
+const PEAK_DECAY: f64 = 16.0;
+/// Factor of headroom above recent demand: demand fluctuates, and additional units arrive only after their
+/// cooldown.
+const HEADROOM: f64 = 1.25;
+/// Fraction of the owned units from which on demand counts as saturated: it may be limited by what is owned.
+const SATURATION: f64 = 0.75;
 
 /// Demand for one budget at one member.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    window: Span,
-    /// Whoever asks knows what is owned and asks for no more: then what is asked for says little of what could be used.
+    window: Micros,
+    /// The caller knows what is owned and never requests more, so recorded demand may be below what could be
+    /// used.
     bounded: bool,
     slots: [f64; SLOTS],
-    /// The slot that counts now, by its number since time began.
-    at: u64,
+    /// Number of the current slot, counted from time 0.
+    current_slot: u64,
     peak: f64,
 }
 
 impl Demand {
-    /// Nothing asked for yet. `bounded`: it is never asked for more than is owned.
-    pub fn new(window: Span, bounded: bool) -> Demand {
-        Demand { window: window.max(SLOTS as Span), bounded, slots: [0.0; SLOTS], at: 0, peak: 0.0 }
+    /// No demand yet. `bounded`: the demand recorded never exceeds what is owned.
+    pub fn new(window: Micros, bounded: bool) -> Demand {
+        Demand {
+            window: window.max(SLOTS as Micros),
+            bounded,
+            slots: [0.0; SLOTS],
+            current_slot: 0,
+            peak: 0.0,
+        }
     }
 
-    fn turn(&mut self, now: Time) {
-        let slot = now / (self.window / SLOTS as Span);
-        let passed = slot.saturating_sub(self.at).min(SLOTS as u64);
+    fn advance(&mut self, now: Time) {
+        let slot = now / (self.window / SLOTS as Micros);
+        let passed = slot.saturating_sub(self.current_slot).min(SLOTS as u64);
         for n in 0..passed {
             self.slots[((slot - n) % SLOTS as u64) as usize] = 0.0;
         }
-        self.at = self.at.max(slot);
+        self.current_slot = self.current_slot.max(slot);
     }
 
-    /// So many units were asked for, whether they were there or not.
-    pub fn asked(&mut self, now: Time, units: f64) {
-        self.turn(now);
-        self.slots[(self.at % SLOTS as u64) as usize] += units;
+    /// Records demand for this many units, whether or not they were available.
+    pub fn record(&mut self, now: Time, units: f64) {
+        self.advance(now);
+        self.slots[(self.current_slot % SLOTS as u64) as usize] += units;
     }
 
-    /// Units asked for in the window that ends now.
-    pub fn lately(&mut self, now: Time) -> f64 {
-        self.turn(now);
+    /// Units demanded in the window that ends now.
+    pub fn in_window(&mut self, now: Time) -> f64 {
+        self.advance(now);
         self.slots.iter().sum()
     }
 
-    /// What it could use. `reserve` is wanted even where nothing was asked for, so that the first calls find something.
-    pub fn wants(&mut self, now: Time, owned: usize, reserve: Unit) -> Unit {
-        let lately = self.lately(now);
+    /// Units that the member could use. At least `reserve`, even without demand, so that the first calls find
+    /// some units.
+    pub fn estimate(&mut self, now: Time, owned: usize, reserve: Unit) -> Unit {
+        let recent = self.in_window(now);
         let owned = owned as f64;
-        let could = match self.bounded && lately >= NEAR * owned {
-            true => lately.max(owned) * 1.5 + 1.0,
-            false => lately,
+        let usable = match self.bounded && recent >= SATURATION * owned {
+            true => recent.max(owned) * 1.5 + 1.0,
+            false => recent,
         };
-        self.peak = could.max(self.peak - self.peak / FORGET);
-        // From float to whole numbers this keeps within the bounds of the latter.
-        ((self.peak * SPARE).ceil() as Unit).max(reserve)
+        self.peak = usable.max(self.peak - self.peak / PEAK_DECAY);
+        // The cast from float to integer saturates.
+        ((self.peak * HEADROOM).ceil() as Unit).max(reserve)
     }
 }
 
-/// The reserve of each member: half of its even part among those that are there. The other half goes where the work is.
-pub fn reserve(granted: usize, there: usize) -> Unit {
-    (granted / (2 * there.max(1))).min(usize::from(Unit::MAX)) as Unit
+/// The reserve of each member: half of its even share among the running members. The other half goes where
+/// the demand is.
+pub fn reserve(grantable: usize, running: usize) -> Unit {
+    (grantable / (2 * running.max(1))).min(usize::from(Unit::MAX)) as Unit
 }
 
 #[cfg(test)]
--- a/crates/badgerwind-budgets/src/election.rs
+++ b/crates/badgerwind-budgets/src/election.rs
@@ -1,68 +1,80 @@
-//! When a front end asks for votes. Only whether there is a coordinator rests on this, and how soon; never that there is one at
-//! most.
+//! When a front end requests votes. Only liveness depends on this, whether and how soon there is a
+//! coordinator; that there is at most one does not.
 
-use crate::node::To;
-use crate::terms::{Member, Span, Terms, Time};
+use crate::node::Recipient;
+use crate::settings::{LeaseSettings, Member, Micros, Time};
 
-/// Rounds of votes in the time that a vote counts: a third of all datagrams may be lost.
-const ROUNDS: u64 = 6;
-/// Places in line at the most: where most voters are gone the others do not wait for ever.
-const MOST_TURNS: u64 = 8;
+/// A coordinator requests votes this many times while a vote is valid, which tolerates the loss of a third of
+/// all datagrams.
+const REQUESTS_PER_VOTE: u64 = 6;
+/// Upper bound of the rank in the candidates' delay, so that the others do not wait too long where most
+/// voters are down.
+const MAX_RANK: u64 = 8;
 
-/// A member's side of elections.
+/// A member's candidacy: when it requests votes, and from whom.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Election {
-    /// How many stand before it: voters in the order of the terms, then all others together.
+    /// Number of candidates ahead of it: voters in the order of the settings, then all other members with the
+    /// same rank.
     rank: u64,
-    due: Time,
-    heard: Time,
-    /// When it was last announced to all.
+    next_request: Time,
+    /// When a coordinator was last heard from.
+    coordinator_seen: Time,
+    /// When this coordinator last sent its request to all members.
     announced: Time,
 }
 
 impl Election {
-    /// Of a process that starts now; it listens first. `part` is drawn from 0 to 1, here and below: candidates that ask
-    /// in step would split the votes again and again.
-    pub fn new(now: Time, me: Member, terms: &Terms, part: f64) -> Election {
-        let rank = terms.voters.iter().position(|v| *v == me).unwrap_or(terms.voters.len()) as u64;
-        let mut election = Election { rank, due: 0, heard: now, announced: 0 };
-        election.due = now + terms.outlasts(terms.vote) + election.turn(terms, part);
+    /// The state of a process that starts now; it first listens for a coordinator. `jitter` is drawn from 0
+    /// to 1, here and below: candidates that request votes in step would split the votes again and again.
+    pub fn new(now: Time, me: Member, settings: &LeaseSettings, jitter: f64) -> Election {
+        let rank = settings.voters.iter().position(|v| *v == me).unwrap_or(settings.voters.len()) as u64;
+        let mut election = Election { rank, next_request: 0, coordinator_seen: now, announced: 0 };
+        election.next_request =
+            now + settings.drift_adjusted(settings.vote) + election.delay(settings, jitter);
         election
     }
 
-    /// Its place in line after a vote's time, and a little more by chance.
-    fn turn(&self, terms: &Terms, part: f64) -> Span {
-        let step = terms.vote / 4;
-        self.rank.min(MOST_TURNS) * step + (step as f64 * part.clamp(0.0, 1.0)) as Span
+    /// Delay of this candidate by its rank, plus a random part.
+    fn delay(&self, settings: &LeaseSettings, jitter: f64) -> Micros {
+        let step = settings.vote / 4;
+        self.rank.min(MAX_RANK) * step + (step as f64 * jitter.clamp(0.0, 1.0)) as Micros
     }
 
-    /// A coordinator has made itself heard. Whoever hears one leaves it in peace.
-    pub fn heard_coordinator(&mut self, now: Time) {
-        self.heard = now;
+    /// Records a sign of life of a coordinator. A member that has seen one recently requests no votes.
+    pub fn on_coordinator_message(&mut self, now: Time) {
+        self.coordinator_seen = now;
     }
 
-    /// This front end has become coordinator: it asks again long before its votes end.
-    pub fn won(&mut self, now: Time, terms: &Terms) {
-        (self.due, self.announced) = (now + terms.vote / ROUNDS, 0);
+    /// This member has become coordinator. It requests votes again well before the current ones expire.
+    pub fn won(&mut self, now: Time, settings: &LeaseSettings) {
+        (self.next_request, self.announced) = (now + settings.vote / REQUESTS_PER_VOTE, 0);
     }
 
-    /// Whom to ask for votes now, if anybody. To others than voters a coordinator announces itself, and seldomer: what
-    /// each of three hundred sends to all is sent ninety thousand times.
-    pub fn asks(&mut self, now: Time, is_coordinator: bool, terms: &Terms, part: f64) -> Option<To> {
-        if now < self.due {
+    /// The members to request votes from now, if any. A coordinator also announces itself to members that do
+    /// not vote, but less often: what each of three hundred members sends to all is sent ninety thousand
+    /// times.
+    pub fn poll(
+        &mut self,
+        now: Time,
+        is_coordinator: bool,
+        settings: &LeaseSettings,
+        jitter: f64,
+    ) -> Option<Recipient> {
+        if now < self.next_request {
             return None;
         }
         if is_coordinator {
-            self.due = now + terms.vote / ROUNDS;
-            let all = now >= self.announced + terms.vote / 2;
+            self.next_request = now + settings.vote / REQUESTS_PER_VOTE;
+            let all = now >= self.announced + settings.vote / 2;
             self.announced = if all { now } else { self.announced };
-            return Some(if all { To::All } else { To::Voters });
+            return Some(if all { Recipient::All } else { Recipient::Voters });
         }
-        // Some messages of a coordinator are lost.
-        let alone = now >= self.heard + 2 * terms.vote;
-        // A lost vote binds its voter for as long as a won one.
-        let from = if alone { now } else { self.heard + terms.vote };
-        self.due = from + terms.vote + self.turn(terms, part);
-        alone.then_some(To::Voters)
+        // Twice the validity of a vote, since some messages of a coordinator are lost.
+        let no_coordinator = now >= self.coordinator_seen + 2 * settings.vote;
+        // A vote given to a losing candidate binds its voter for as long as one given to the winner.
+        let from = if no_coordinator { now } else { self.coordinator_seen + settings.vote };
+        self.next_request = from + settings.vote + self.delay(settings, jitter);
+        no_coordinator.then_some(Recipient::Voters)
     }
 }
--- a/crates/badgerwind-budgets/src/lessee.rs
+++ b/crates/badgerwind-budgets/src/lessee.rs
@@ -1,8 +1,9 @@
-//! A lessee: what this front end owns of a budget, and whether it may spend now. The lease is looked at when a unit is
-//! spent, never by a timer: a process that was stopped for longer than its lease finds it expired at its first instruction.
+//! A lessee: what this front end owns of a budget, and whether it may spend now. The lease is checked when a
+//! unit is spent, not by a timer: a process that was stopped for longer than its lease finds it expired at
+//! its first instruction.
 
-use crate::message::{ends, Message, RANGES};
-use crate::terms::{Book, Incarnation, Limit, Member, Span, Terms, Time};
+use crate::message::{grant_expiry, Message, MAX_RANGES};
+use crate::settings::{Incarnation, LeaseSettings, Limit, LimitSet, Member, Micros, Time};
 use crate::units::{Unit, Units};
 use crate::Mutant;
 use std::collections::BTreeMap;
@@ -16,177 +17,186 @@
     serial: u32,
     version: u32,
     limit: Limit,
-    lease: Span,
+    lease: Micros,
     granted: Units,
-    until: Time,
-    /// The ask that may still be answered, and when it went out.
-    asked: Option<(u32, Time)>,
-    /// Units that were spent, and from when on they may be again.
-    rests: BTreeMap<Unit, Time>,
-    /// How long they rest on this clock.
-    rest: Span,
-    /// Own floor units rest as long after a start: what the last incarnation spent of them is forgotten.
-    floor_from: Time,
+    lease_end: Time,
+    /// Serial number of the request whose answer is accepted, and when it was sent.
+    pending_request: Option<(u32, Time)>,
+    /// Units that were spent, and when each may be spent again.
+    cooling: BTreeMap<Unit, Time>,
+    /// Cooldown of a spent unit, measured on this clock.
+    cooldown: Micros,
+    /// Floor units may be spent from this time on: it is not known which of them the previous incarnation
+    /// spent.
+    floor_usable_from: Time,
     mutant: Option<Mutant>,
 }
 
 impl Lessee {
-    /// A front end that starts now and holds its floor.
+    /// A front end that starts now and owns only its floor.
     pub fn new(
         now: Time,
         (me, incarnation): (Member, Incarnation),
         budget: u8,
-        book: &Book,
-        terms: &Terms,
+        limit_set: &LimitSet,
+        settings: &LeaseSettings,
     ) -> Lessee {
-        let limit = book.limits[usize::from(budget)].clone();
-        let (rest, floor_from) = (limit.rest, now + terms.outlasts(limit.rest));
+        let limit = limit_set.limits[usize::from(budget)].clone();
+        let (cooldown, floor_usable_from) = (limit.cooldown, now + settings.drift_adjusted(limit.cooldown));
         Lessee {
             budget,
             me,
             incarnation,
             serial: 0,
-            version: book.version,
+            version: limit_set.version,
             limit,
-            lease: terms.lease,
+            lease: settings.lease,
             granted: Units::new(),
-            until: 0,
-            asked: None,
-            rests: BTreeMap::new(),
-            rest: terms.outlasts(rest),
-            floor_from,
+            lease_end: 0,
+            pending_request: None,
+            cooling: BTreeMap::new(),
+            cooldown: settings.drift_adjusted(cooldown),
+            floor_usable_from,
             mutant: None,
         }
     }
 
-    /// With a defect; for tests that show that it is found.
+    /// Injects a defect, for tests that show that it is detected.
     #[doc(hidden)]
-    pub fn with(mut self, mutant: Option<Mutant>) -> Lessee {
+    pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Lessee {
         self.mutant = mutant;
         if mutant == Some(Mutant::RestartSpendsFloor) {
-            self.floor_from = 0;
+            self.floor_usable_from = 0;
         }
         self
     }
 
-    /// Its incarnation; a later one is greater.
+    /// The incarnation of this lessee.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The limit that it goes by.
+    /// The limit that it uses.
     pub fn limit(&self) -> &Limit {
         &self.limit
     }
 
-    /// Granted units that count at this moment.
+    /// Granted units whose lease has not expired.
     pub fn granted(&self, now: Time) -> Units {
-        if now < self.until || self.mutant == Some(Mutant::SpendsAfterLease) {
+        if now < self.lease_end || self.mutant == Some(Mutant::SpendsAfterLease) {
             self.granted.clone()
         } else {
             Units::new()
         }
     }
 
-    /// All that it owns at this moment.
+    /// All units that it owns now: its floor and what is granted.
     pub fn owned(&self, now: Time) -> Units {
         self.limit.floor_of(self.me).union(&self.granted(now))
     }
 
-    /// Of what it will own at this time, unless something changes, what a window may use: not a floor that rests since the start.
+    /// Number of units that it can use within a window at this time unless a grant changes it. The floor is
+    /// not included during its cooldown after the start.
     pub fn usable(&self, at: Time) -> usize {
-        let floor = if at < self.floor_from { 0 } else { self.limit.floor_of(self.me).len() };
+        let floor = if at < self.floor_usable_from { 0 } else { self.limit.floor_of(self.me).len() };
         floor + self.granted(at).len()
     }
 
-    /// Spends a unit now, if one is there; it rests for the limit's time from now.
+    /// Spends a unit if one is available. The unit is unavailable for the limit's cooldown from now.
     pub fn spend(&mut self, now: Time) -> Option<Unit> {
-        self.rests.retain(|_, from| *from > now);
-        let floor = if now < self.floor_from { Units::new() } else { self.limit.floor_of(self.me) };
+        self.cooling.retain(|_, from| *from > now);
+        let floor = if now < self.floor_usable_from { Units::new() } else { self.limit.floor_of(self.me) };
         let granted = self.granted(now);
-        let unit = floor.iter().chain(granted.iter()).find(|u| !self.rests.contains_key(u))?;
-        self.rests.insert(unit, now + self.rest);
+        let unit = floor.iter().chain(granted.iter()).find(|u| !self.cooling.contains_key(u))?;
+        self.cooling.insert(unit, now + self.cooldown);
         Some(unit)
     }
 
-    /// A unit of a level is out of use again. It may be taken anew at once, as long as it is owned.
-    pub fn give_back(&mut self, unit: Unit) {
-        self.rests.remove(&unit);
+    /// Releases a unit of a concurrency limit. It may be spent again at once while it is owned.
+    pub fn release(&mut self, unit: Unit) {
+        self.cooling.remove(&unit);
     }
 
-    /// How long until a unit that it owns now may be spent, in microseconds; `None` where it owns none.
-    pub fn wait(&self, now: Time) -> Option<Span> {
+    /// Time until one of the units that it owns may be spent, in microseconds; `None` if it owns none.
+    pub fn wait_time(&self, now: Time) -> Option<Micros> {
         let floor = self.limit.floor_of(self.me);
-        let at = |u: Unit| {
-            let from = if floor.has(u) { self.floor_from } else { 0 };
-            self.rests.get(&u).copied().unwrap_or(0).max(from).saturating_sub(now)
+        let wait = |u: Unit| {
+            let from = if floor.contains(u) { self.floor_usable_from } else { 0 };
+            self.cooling.get(&u).copied().unwrap_or(0).max(from).saturating_sub(now)
         };
-        self.owned(now).iter().map(at).min()
+        self.owned(now).iter().map(wait).min()
     }
 
-    /// Asks for what it could use: says what it holds, and will not take the answer to any earlier ask.
-    pub fn ask(&mut self, now: Time, wants: Unit) -> Message {
-        self.granted = self.granted(now).within(RANGES);
+    /// Returns a request for `wants` units that reports what is held. Answers to earlier requests are no
+    /// longer accepted.
+    pub fn request_lease(&mut self, now: Time, wants: Unit) -> Message {
+        self.granted = self.granted(now).first_ranges(MAX_RANGES);
         self.serial += 1;
-        self.asked = Some((self.serial, now));
+        self.pending_request = Some((self.serial, now));
         let held =
             if self.mutant == Some(Mutant::HidesHoldings) { Units::new() } else { self.granted.clone() };
         let (budget, incarnation, serial, version) =
             (self.budget, self.incarnation, self.serial, self.version);
-        Message::Ask { budget, incarnation, serial, version, held, wants }
+        Message::LeaseRequest { budget, incarnation, serial, version, held, wants }
     }
 
-    /// Takes in an answer; true if it changed what is owned.
-    pub fn heard(&mut self, now: Time, message: &Message) -> bool {
+    /// Applies the answer to a request; returns whether the granted units changed.
+    pub fn on_grant(&mut self, now: Time, message: &Message) -> bool {
         match message {
-            Message::Grant { budget, incarnation, serial, version, keep, fresh } => {
-                let mine = *budget == self.budget && *incarnation == self.incarnation;
-                let asked = self.asked.filter(|(s, _)| *s == *serial);
-                let asked = match self.mutant {
-                    Some(Mutant::TakesAnyGrant) => asked.or(Some((0, now))),
-                    _ => asked,
+            Message::Grant { budget, incarnation, serial, version, renewed, added } => {
+                let addressed = *budget == self.budget && *incarnation == self.incarnation;
+                let request = self.pending_request.filter(|(s, _)| *s == *serial);
+                let request = match self.mutant {
+                    Some(Mutant::AcceptsAnyGrant) => request.or(Some((0, now))),
+                    _ => request,
                 };
-                let Some((_, at)) = asked.filter(|_| mine && *version == self.version) else { return false };
-                self.asked = None;
-                // The lease counts from the ask: however late this comes, the coordinator's own count ends later.
-                let until = if self.mutant == Some(Mutant::LeaseFromReceipt) {
+                let Some((_, requested_at)) = request.filter(|_| addressed && *version == self.version)
+                else {
+                    return false;
+                };
+                self.pending_request = None;
+                // The lease starts when the request is sent: however late the answer arrives, the
+                // coordinator's record of the lease ends later.
+                let lease_end = if self.mutant == Some(Mutant::LeaseFromReceipt) {
                     now + self.lease
                 } else {
-                    ends(at, self.lease)
+                    grant_expiry(requested_at, self.lease)
                 };
-                if now >= until {
-                    return false; // its time is up already
+                if now >= lease_end {
+                    return false; // already expired
                 }
-                let still = self.granted(now);
-                let retained = keep.only(|u| still.has(u));
-                let next = retained.union(fresh);
+                let held = self.granted(now);
+                let retained = renewed.filter_units(|u| held.contains(u));
+                let next = retained.union(added);
                 let before = std::mem::replace(&mut self.granted, next);
-                self.until = until;
+                self.lease_end = lease_end;
                 before != self.granted
             }
             _ => false,
         }
     }
 
-    /// Goes on as a later incarnation, and with nothing: a later one has asked in its name, or one from before its first message.
+    /// Continues as a later incarnation without granted units, after the coordinator has seen a greater
+    /// incarnation of this member.
     pub fn restart_as(&mut self, incarnation: Incarnation) {
-        (self.incarnation, self.serial, self.asked) = (incarnation, 0, None);
+        (self.incarnation, self.serial, self.pending_request) = (incarnation, 0, None);
         self.granted = Units::new();
     }
 
-    /// When its grant ends, unless it is renewed.
-    pub fn until(&self) -> Time {
-        self.until
+    /// When the current grant expires unless it is renewed.
+    pub fn lease_end(&self) -> Time {
+        self.lease_end
     }
 
-    /// Another version of the settings. What the limit no longer has is out of use at once.
-    pub fn set(&mut self, now: Time, book: &Book) {
-        let Some(limit) = book.limits.get(usize::from(self.budget)).filter(|_| book.version > self.version)
+    /// Applies a new version of the limits. Units that it no longer has are given up at once.
+    pub fn apply_limits(&mut self, now: Time, limit_set: &LimitSet) {
+        let Some(limit) =
+            limit_set.limits.get(usize::from(self.budget)).filter(|_| limit_set.version > self.version)
         else {
             return;
         };
-        let all = limit.granted();
-        self.granted = self.granted(now).only(|u| all.has(u));
-        (self.limit, self.version, self.asked) = (limit.clone(), book.version, None);
+        let grantable = limit.grantable();
+        self.granted = self.granted(now).filter_units(|u| grantable.contains(u));
+        (self.limit, self.version, self.pending_request) = (limit.clone(), limit_set.version, None);
     }
 }
--- a/crates/badgerwind-budgets/src/lib.rs
+++ b/crates/badgerwind-budgets/src/lib.rs
@@ -1,8 +1,10 @@
-//! Budgets of a fleet: one limit, divided among the front ends that are there. Every unit has at most one owner at any
-//! instant, whatever dies, pauses, restarts or is cut off. No I/O; time comes in as an argument, each member's own.
+//! Budgets shared by a fleet: the units of one limit are leased to the front ends that are running. Every
+//! unit has at most one owner at any instant, whatever members crash, pause, restart or are partitioned. No
+//! I/O; time is passed in as an argument, read from each member's own clock.
 //!
-//! A [`Lessee`] owns units and spends them, a [`Voter`] promises its vote, a [`Coordinator`] that has most votes says who owns
-//! what. All three run in every front end, put together by [`Node`]. Why no unit has two owners: `docs/design/fleet-budgets.md`.
+//! A [`Lessee`] owns units and spends them, a [`Voter`] promises its vote, and a [`Coordinator`] that holds a
+//! majority of the votes decides who owns what. All three run in every front end, combined in a [`Node`].
+//! `docs/design/fleet-budgets.md` argues why no unit has two owners.
 
 #![warn(missing_docs)]
 
@@ -13,38 +15,38 @@
 mod lessee;
 mod message;
 mod node;
-mod terms;
+mod settings;
 mod units;
 mod voter;
 
-pub use coordinator::{Coordinator, Standing};
+pub use coordinator::{Coordinator, UnitState};
 pub use demand::Demand;
 pub use election::Election;
 pub use lessee::Lessee;
-pub use message::{Message, MOST, RANGES};
-pub use node::{Node, To};
-pub use terms::{BadTerms, Book, Incarnation, Limit, Member, Span, Terms, Time};
+pub use message::{Message, MAX_MESSAGE_BYTES, MAX_RANGES};
+pub use node::{Node, Recipient};
+pub use settings::{Incarnation, LeaseSettings, Limit, LimitSet, Member, Micros, SettingsError, Time};
 pub use units::{Unit, Units};
 pub use voter::Voter;
 
-/// Defects that the tests put in on purpose, to show that each is found.
+/// Defects that tests inject to show that each is detected.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
     SpendsAfterLease,
     LeaseFromReceipt,
-    TakesAnyGrant,
+    AcceptsAnyGrant,
     HidesHoldings,
     RestartSpendsFloor,
     CountsOldVotes,
     VotesNeverEnd,
-    HalfIsEnough,
-    NewCoordinatorGivesAtOnce,
-    TakesOldAsks,
-    NoRest,
+    HalfIsMajority,
+    NewCoordinatorGrantsAtOnce,
+    AcceptsStaleRequests,
+    NoCooldown,
     IgnoresDrift,
     ForgetsLease,
-    GivesTwice,
-    VoterForgetsItsPromise,
-    ForgetsTheUnknown,
+    GrantsTwice,
+    VoterForgetsPromise,
+    ForgetsUnknownOwners,
 }
--- a/crates/badgerwind-budgets/src/message.rs
+++ b/crates/badgerwind-budgets/src/message.rs
@@ -1,102 +1,103 @@
-//! What members say to each other about budgets, and its bytes: 256 at the most.
+//! Messages between members about budgets and their encoding, at most 256 bytes.
 
-use crate::terms::{Incarnation, Span};
+use crate::settings::{Incarnation, Micros};
 use crate::units::{Unit, Units};
 
-/// The form of these bytes. Others are passed over, like a lost datagram.
-const FORM: u8 = 0xb1;
-/// Ranges of units in a message; what has more falls back into nobody's hands.
-pub const RANGES: usize = 24;
-/// Bytes of a message, at the most.
-pub const MOST: usize = 256;
+/// First byte, which identifies the format. Datagrams of another format are ignored like lost ones.
+const FORMAT: u8 = 0xb1;
+/// Maximum number of unit ranges in a message; units in further ranges lose their owner.
+pub const MAX_RANGES: usize = 24;
+/// Maximum size of a message in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 256;
 
-/// A message.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Message {
-    /// Asks for a vote; a coordinator asks again long before the last one ends.
+    /// Requests a vote; a coordinator requests votes again well before its current ones expire.
     RequestVote {
-        /// The asking incarnation.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// Told apart from its other rounds.
+        /// Number of the request; votes are counted for the latest one only.
         round: u32,
-        /// It is coordinator now: whoever wants units may ask it.
+        /// Whether the sender is the coordinator now and accepts lease requests.
         is_coordinator: bool,
-        /// The version of the settings that it goes by.
+        /// Version of the settings that the sender uses.
         version: u32,
     },
-    /// A vote, for the time that the terms name from when it was asked for.
+    /// A vote, valid from the time of the request for the duration in the settings.
     Vote {
-        /// To this incarnation.
+        /// Incarnation of the candidate.
         incarnation: Incarnation,
-        /// For this round.
+        /// Round of the request.
         round: u32,
     },
-    /// A lessee says what it holds and wants of a budget.
-    Ask {
-        /// The budget.
+    /// A lessee reports what it holds of a budget and requests units.
+    LeaseRequest {
+        /// Number of the budget.
         budget: u8,
-        /// The asking incarnation.
+        /// Incarnation of the lessee.
         incarnation: Incarnation,
-        /// Counted up with each.
+        /// Serial number, incremented with each request.
         serial: u32,
-        /// The version of the limit that it goes by.
+        /// Version of the limits that the lessee uses.
         version: u32,
-        /// What it holds, whatever its lease; nothing else will it use under an earlier grant.
+        /// Units that the lessee holds. It will use no others under an earlier grant.
         held: Units,
-        /// Units that it could use.
+        /// Number of units that the lessee could use.
         wants: Unit,
     },
-    /// The coordinator's answer to an ask.
+    /// The coordinator's answer to a lease request.
     Grant {
-        /// The budget.
+        /// Number of the budget.
         budget: u8,
-        /// To this incarnation.
+        /// Incarnation of the lessee.
         incarnation: Incarnation,
-        /// For this ask.
+        /// Serial number of the request.
         serial: u32,
-        /// The version of the limit.
+        /// Version of the limits.
         version: u32,
-        /// Of what the lessee holds it may go on with these, if it holds them still.
-        keep: Units,
-        /// Nobody holds these: they are its own from now on.
-        fresh: Units,
+        /// Units held by the lessee whose lease is renewed, as far as it still holds them.
+        renewed: Units,
+        /// Units without an owner that the lessee owns from now on.
+        added: Units,
     },
-    /// A later incarnation has asked in this one's name, or one from before its own first message.
+    /// A greater incarnation of the same member has already sent a request, from a later run or from an
+    /// earlier one whose wall clock was ahead.
     Superseded {
-        /// To this incarnation.
+        /// Incarnation of the receiver.
         incarnation: Incarnation,
-        /// The latest known.
+        /// The greatest incarnation known.
         latest: Incarnation,
     },
 }
 
-/// How long a grant counts, from the ask.
-pub fn ends(asked: u64, lease: Span) -> u64 {
-    asked.saturating_add(lease)
+/// When a grant expires: its lease starts when the request is sent.
+pub fn grant_expiry(requested_at: u64, lease: Micros) -> u64 {
+    requested_at.saturating_add(lease)
 }
 
 struct Reader<'a>(&'a [u8]);
 
 impl Reader<'_> {
-    fn take<const N: usize>(&mut self) -> Option<[u8; N]> {
+    fn array<const N: usize>(&mut self) -> Option<[u8; N]> {
         let (head, rest) = self.0.split_first_chunk::<N>()?;
         self.0 = rest;
         Some(*head)
     }
     fn u8(&mut self) -> Option<u8> {
-        self.take::<1>().map(|b| b[0])
+        self.array::<1>().map(|b| b[0])
     }
     fn u16(&mut self) -> Option<u16> {
-        self.take().map(u16::from_be_bytes)
+        self.array().map(u16::from_be_bytes)
     }
     fn u32(&mut self) -> Option<u32> {
-        self.take().map(u32::from_be_bytes)
+        self.array().map(u32::from_be_bytes)
     }
     fn u64(&mut self) -> Option<u64> {
-        self.take().map(u64::from_be_bytes)
+        self.array().map(u64::from_be_bytes)
     }
     fn units(&mut self) -> Option<Units> {
-        let n = self.u8().filter(|n| usize::from(*n) <= RANGES)?;
+        let n = self.u8().filter(|n| usize::from(*n) <= MAX_RANGES)?;
         let mut all = Vec::new();
         let mut last = None;
         for _ in 0..n {
@@ -111,8 +112,8 @@
     }
 }
 
-fn put_units(out: &mut Vec<u8>, units: &Units, most: usize) {
-    let ranges = &units.ranges()[..units.ranges().len().min(most)];
+fn put_units(out: &mut Vec<u8>, units: &Units, max_ranges: usize) {
+    let ranges = &units.ranges()[..units.ranges().len().min(max_ranges)];
     out.push(ranges.len() as u8);
     for (from, to) in ranges {
         out.extend(from.to_be_bytes());
@@ -121,9 +122,9 @@
 }
 
 impl Message {
-    /// Its bytes.
-    pub fn bytes(&self) -> Vec<u8> {
-        let mut out = vec![FORM];
+    /// Encodes the message.
+    pub fn encode(&self) -> Vec<u8> {
+        let mut out = vec![FORMAT];
         match self {
             Message::RequestVote { incarnation, round, is_coordinator, version } => {
                 out.push(1);
@@ -137,21 +138,21 @@
                 out.extend(incarnation.to_be_bytes());
                 out.extend(round.to_be_bytes());
             }
-            Message::Ask { budget, incarnation, serial, version, held, wants } => {
+            Message::LeaseRequest { budget, incarnation, serial, version, held, wants } => {
                 out.extend([3, *budget]);
                 out.extend(incarnation.to_be_bytes());
                 out.extend(serial.to_be_bytes());
                 out.extend(version.to_be_bytes());
                 out.extend(wants.to_be_bytes());
-                put_units(&mut out, held, RANGES);
+                put_units(&mut out, held, MAX_RANGES);
             }
-            Message::Grant { budget, incarnation, serial, version, keep, fresh } => {
+            Message::Grant { budget, incarnation, serial, version, renewed, added } => {
                 out.extend([4, *budget]);
                 out.extend(incarnation.to_be_bytes());
                 out.extend(serial.to_be_bytes());
                 out.extend(version.to_be_bytes());
-                put_units(&mut out, keep, RANGES);
-                put_units(&mut out, fresh, RANGES);
+                put_units(&mut out, renewed, MAX_RANGES);
+                put_units(&mut out, added, MAX_RANGES);
             }
             Message::Superseded { incarnation, latest } => {
                 out.push(5);
@@ -162,42 +163,42 @@
         out
     }
 
-    /// Reads one; `None` for what is cut, too long, of another form or makes no sense.
-    pub fn read(bytes: &[u8]) -> Option<Message> {
-        if bytes.len() > MOST {
+    /// Decodes a message; `None` if it is truncated, too long, of another format or invalid.
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
         }
-        let mut r = Reader(bytes);
-        if r.u8()? != FORM {
+        let mut reader = Reader(bytes);
+        if reader.u8()? != FORMAT {
             return None;
         }
-        let message = match r.u8()? {
+        let message = match reader.u8()? {
             1 => Message::RequestVote {
-                incarnation: r.u64()?,
-                round: r.u32()?,
-                is_coordinator: r.u8()? == 1,
-                version: r.u32()?,
+                incarnation: reader.u64()?,
+                round: reader.u32()?,
+                is_coordinator: reader.u8()? == 1,
+                version: reader.u32()?,
             },
-            2 => Message::Vote { incarnation: r.u64()?, round: r.u32()? },
-            3 => Message::Ask {
-                budget: r.u8()?,
-                incarnation: r.u64()?,
-                serial: r.u32()?,
-                version: r.u32()?,
-                wants: r.u16()?,
-                held: r.units()?,
+            2 => Message::Vote { incarnation: reader.u64()?, round: reader.u32()? },
+            3 => Message::LeaseRequest {
+                budget: reader.u8()?,
+                incarnation: reader.u64()?,
+                serial: reader.u32()?,
+                version: reader.u32()?,
+                wants: reader.u16()?,
+                held: reader.units()?,
             },
             4 => Message::Grant {
-                budget: r.u8()?,
-                incarnation: r.u64()?,
-                serial: r.u32()?,
-                version: r.u32()?,
-                keep: r.units()?,
-                fresh: r.units()?,
+                budget: reader.u8()?,
+                incarnation: reader.u64()?,
+                serial: reader.u32()?,
+                version: reader.u32()?,
+                renewed: reader.units()?,
+                added: reader.units()?,
             },
-            5 => Message::Superseded { incarnation: r.u64()?, latest: r.u64()? },
+            5 => Message::Superseded { incarnation: reader.u64()?, latest: reader.u64()? },
             _ => return None,
         };
-        r.0.is_empty().then_some(message)
+        reader.0.is_empty().then_some(message)
     }
 }
--- a/crates/badgerwind-budgets/src/node.rs
+++ b/crates/badgerwind-budgets/src/node.rs
@@ -1,23 +1,24 @@
-//! A member with all its parts: what it holds, its vote, and its candidacy. This is what runs in a front end, in simulated
-//! time and in tests; a runtime gives it time, chance and messages, and sends what it puts out.
+//! A member with all its roles: lessee, voter and candidate. The same state machine runs in front ends, in
+//! simulated time and in tests; a runtime passes in the time, random numbers and received messages, and sends
+//! the messages that it returns.
 
-use crate::coordinator::{Coordinator, Standing};
+use crate::coordinator::{Coordinator, UnitState};
 use crate::election::Election;
 use crate::lessee::Lessee;
 use crate::message::Message;
-use crate::terms::{BadTerms, Book, Incarnation, Member, Span, Terms, Time};
+use crate::settings::{Incarnation, LeaseSettings, LimitSet, Member, Micros, SettingsError, Time};
 use crate::units::{Unit, Units};
 use crate::voter::Voter;
 use crate::Mutant;
 
-/// For whom a message is.
+/// Recipients of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum Recipient {
     /// Every other member.
     All,
-    /// Every other member that votes.
+    /// Every other member that is a voter.
     Voters,
-    /// This one.
+    /// This member.
     One(Member),
 }
 
@@ -25,77 +26,82 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     me: Member,
-    terms: Terms,
-    book: Book,
+    settings: LeaseSettings,
+    limit_set: LimitSet,
     lessees: Vec<Lessee>,
-    wants: Vec<Unit>,
+    wanted: Vec<Unit>,
     voter: Voter,
     coordinator: Coordinator,
     election: Election,
-    believes: Option<Member>,
-    beat_at: Time,
+    believed_coordinator: Option<Member>,
+    next_request_at: Time,
     was_coordinator: bool,
 }
 
 impl Node {
-    /// A process that starts now. `incarnation` is greater than that of its last one (its wall clock will do: one that went back
-    /// is corrected by the coordinator's answer); `part` is drawn from 0 to 1, here and below.
+    /// The state of a process that starts now. `incarnation` must be greater than that of the previous
+    /// process; the wall clock is sufficient, since the coordinator's answer corrects one that went back.
+    /// `jitter` is drawn from 0 to 1, here and below.
     pub fn new(
         now: Time,
         (me, incarnation): (Member, Incarnation),
-        book: Book,
-        terms: Terms,
-        part: f64,
+        limit_set: LimitSet,
+        settings: LeaseSettings,
+        jitter: f64,
     ) -> Node {
-        let lessee = |n| Lessee::new(now, (me, incarnation), n as u8, &book, &terms);
+        let lessee = |n| Lessee::new(now, (me, incarnation), n as u8, &limit_set, &settings);
         Node {
             me,
-            lessees: (0..book.limits.len().min(256)).map(lessee).collect(),
-            wants: vec![0; book.limits.len()],
-            voter: Voter::new(now, &terms),
+            lessees: (0..limit_set.limits.len().min(256)).map(lessee).collect(),
+            wanted: vec![0; limit_set.limits.len()],
+            voter: Voter::new(now, &settings),
             coordinator: Coordinator::new(me, incarnation),
-            election: Election::new(now, me, &terms, part),
-            believes: None,
-            beat_at: now + (terms.beat as f64 * part) as Span,
+            election: Election::new(now, me, &settings, jitter),
+            believed_coordinator: None,
+            next_request_at: now + (settings.request_interval as f64 * jitter) as Micros,
             was_coordinator: false,
-            book,
-            terms,
+            limit_set,
+            settings,
         }
     }
 
-    /// With a defect; for tests that show that it is found.
+    /// Injects a defect, for tests that show that it is detected.
     #[doc(hidden)]
-    pub fn with(mut self, mutant: Option<Mutant>) -> Node {
-        self.lessees = self.lessees.into_iter().map(|h| h.with(mutant)).collect();
-        self.coordinator = self.coordinator.with(mutant);
+    pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Node {
+        self.lessees = self.lessees.into_iter().map(|lessee| lessee.with_mutant(mutant)).collect();
+        self.coordinator = self.coordinator.with_mutant(mutant);
         self
     }
 
-    /// How often it has to be given the time, at least.
-    pub fn pace(&self) -> Span {
-        (self.terms.beat / 4).max(1)
+    /// Longest interval between calls of [`Node::tick`], in microseconds.
+    pub fn tick_interval(&self) -> Micros {
+        (self.settings.request_interval / 4).max(1)
     }
 
-    /// What is due now.
-    pub fn tick(&mut self, now: Time, part: f64) -> Vec<(To, Message)> {
+    /// Does what is due now and returns the messages to send.
+    pub fn tick(&mut self, now: Time, jitter: f64) -> Vec<(Recipient, Message)> {
         let mut out = Vec::new();
         let is_coordinator = self.is_coordinator(now);
-        if let Some(to) = self.election.asks(now, is_coordinator, &self.terms, part) {
+        if let Some(to) = self.election.poll(now, is_coordinator, &self.settings, jitter) {
             self.request_votes(now, to, &mut out);
         }
-        if now >= self.beat_at {
-            self.beat_at = now + self.terms.beat;
+        if now >= self.next_request_at {
+            self.next_request_at = now + self.settings.request_interval;
             for n in 0..self.lessees.len() {
-                let ask = self.lessees[n].ask(now, self.wants[n]);
-                match self.believes {
+                let request = self.lessees[n].request_lease(now, self.wanted[n]);
+                match self.believed_coordinator {
                     Some(coordinator) if coordinator == self.me => {
-                        if let Some(answer) =
-                            self.coordinator.asked(now, self.me, &ask, &self.book, &self.terms)
-                        {
-                            self.answered(now, &answer);
+                        if let Some(answer) = self.coordinator.on_lease_request(
+                            now,
+                            self.me,
+                            &request,
+                            &self.limit_set,
+                            &self.settings,
+                        ) {
+                            self.on_answer(now, &answer);
                         }
                     }
-                    Some(coordinator) => out.push((To::One(coordinator), ask)),
+                    Some(coordinator) => out.push((Recipient::One(coordinator), request)),
                     None => {}
                 }
             }
@@ -103,150 +109,154 @@
         out
     }
 
-    /// Asks for votes, whether it is time or not: nothing but fewer messages rests on the time.
-    pub fn request_votes(&mut self, now: Time, to: To, out: &mut Vec<(To, Message)>) {
-        let message = self.coordinator.request_votes(now, &self.book, &self.terms);
+    /// Requests votes, whether due or not: the schedule only limits the number of messages.
+    pub fn request_votes(&mut self, now: Time, to: Recipient, out: &mut Vec<(Recipient, Message)>) {
+        let message = self.coordinator.request_votes(now, &self.limit_set, &self.settings);
         out.push((to, message.clone()));
         if let Some(vote) = self.vote(now, self.me, &message) {
-            self.voted(now, self.me, &vote);
+            self.on_vote(now, self.me, &vote);
         }
     }
 
+    /// The vote for a request, if this member gives one.
     fn vote(&mut self, now: Time, from: Member, message: &Message) -> Option<Message> {
         let Message::RequestVote { incarnation, round, version, .. } = message else { return None };
-        let voter = self.terms.voters.contains(&self.me);
-        let votes = (*version, self.book.version);
-        (voter && self.voter.vote_requested(now, (from, *incarnation), votes, &self.terms))
+        let voter = self.settings.voters.contains(&self.me);
+        let versions = (*version, self.limit_set.version);
+        (voter && self.voter.on_vote_request(now, (from, *incarnation), versions, &self.settings))
             .then_some(Message::Vote { incarnation: *incarnation, round: *round })
     }
 
-    fn voted(&mut self, now: Time, from: Member, vote: &Message) {
-        self.coordinator.voted(now, from, vote, &self.book, &self.terms);
+    fn on_vote(&mut self, now: Time, from: Member, vote: &Message) {
+        self.coordinator.on_vote(now, from, vote, &self.limit_set, &self.settings);
         if self.is_coordinator(now) && !self.was_coordinator {
-            (self.was_coordinator, self.believes) = (true, Some(self.me));
-            self.election.won(now, &self.terms);
+            (self.was_coordinator, self.believed_coordinator) = (true, Some(self.me));
+            self.election.won(now, &self.settings);
         }
     }
 
-    /// A message has come. What it answers, if anything.
-    pub fn heard(&mut self, now: Time, from: Member, message: &Message) -> Option<Message> {
+    /// Processes a received message and returns the answer, if any.
+    pub fn receive(&mut self, now: Time, from: Member, message: &Message) -> Option<Message> {
         match message {
             Message::RequestVote { is_coordinator, .. } => {
                 if *is_coordinator {
-                    self.believes = Some(from);
-                    self.election.heard_coordinator(now);
+                    self.believed_coordinator = Some(from);
+                    self.election.on_coordinator_message(now);
                 }
                 self.vote(now, from, message)
             }
             Message::Vote { .. } => {
-                self.voted(now, from, message);
+                self.on_vote(now, from, message);
                 None
             }
-            Message::Ask { .. } => self.coordinator.asked(now, from, message, &self.book, &self.terms),
+            Message::LeaseRequest { .. } => {
+                self.coordinator.on_lease_request(now, from, message, &self.limit_set, &self.settings)
+            }
             Message::Grant { .. } | Message::Superseded { .. } => {
-                if self.believes == Some(from) {
-                    self.election.heard_coordinator(now);
+                if self.believed_coordinator == Some(from) {
+                    self.election.on_coordinator_message(now);
                 }
-                self.answered(now, message);
+                self.on_answer(now, message);
                 None
             }
         }
     }
 
-    fn answered(&mut self, now: Time, message: &Message) {
+    fn on_answer(&mut self, now: Time, message: &Message) {
         match message {
             Message::Grant { budget, .. } => {
                 if let Some(lessee) = self.lessees.get_mut(usize::from(*budget)) {
-                    lessee.heard(now, message);
+                    lessee.on_grant(now, message);
                 }
             }
-            // All lessees go on in one incarnation: a coordinator tells incarnations apart by member.
+            // All lessees continue in the same incarnation, since a coordinator tracks one incarnation per
+            // member.
             Message::Superseded { incarnation, latest }
-                if self.lessees.iter().any(|h| h.incarnation() == *incarnation) =>
+                if self.lessees.iter().any(|lessee| lessee.incarnation() == *incarnation) =>
             {
-                self.lessees.iter_mut().for_each(|h| h.restart_as(latest + 1));
+                self.lessees.iter_mut().for_each(|lessee| lessee.restart_as(latest + 1));
             }
             _ => {}
         }
     }
 
-    /// What it could use of a budget from now on.
-    pub fn want(&mut self, budget: usize, units: Unit) {
-        if let Some(wants) = self.wants.get_mut(budget) {
-            *wants = units;
+    /// Sets how many units of a budget the member could use from now on.
+    pub fn set_wanted(&mut self, budget: usize, units: Unit) {
+        if let Some(wanted) = self.wanted.get_mut(budget) {
+            *wanted = units;
         }
     }
 
-    /// Spends a unit of a budget, if one is there.
+    /// Spends a unit of a budget if one is available.
     pub fn spend(&mut self, now: Time, budget: usize) -> Option<Unit> {
         self.lessees.get_mut(budget)?.spend(now)
     }
 
-    /// A unit of a level is out of use again.
-    pub fn give_back(&mut self, budget: usize, unit: Unit) {
+    /// Releases a unit of a concurrency limit.
+    pub fn release(&mut self, budget: usize, unit: Unit) {
         if let Some(lessee) = self.lessees.get_mut(budget) {
-            lessee.give_back(unit);
+            lessee.release(unit);
         }
     }
 
-    /// How long until something of a budget may be spent, in microseconds; `None` where it owns nothing of it.
-    pub fn wait(&self, now: Time, budget: usize) -> Option<Span> {
-        self.lessees.get(budget)?.wait(now)
+    /// Time until a unit of a budget may be spent, in microseconds; `None` if it owns none of it.
+    pub fn wait_time(&self, now: Time, budget: usize) -> Option<Micros> {
+        self.lessees.get(budget)?.wait_time(now)
     }
 
-    /// What it owns of a budget.
+    /// The units of a budget that it owns.
     pub fn owned(&self, now: Time, budget: usize) -> Units {
-        self.lessees.get(budget).map_or_else(Units::new, |h| h.owned(now))
+        self.lessees.get(budget).map_or_else(Units::new, |lessee| lessee.owned(now))
     }
 
-    /// How many units of a budget it may use within a window, seen from then on, unless something changes.
+    /// Number of units of a budget that it can use within a window at this time unless a grant changes it.
     pub fn usable(&self, at: Time, budget: usize) -> usize {
-        self.lessees.get(budget).map_or(0, |h| h.usable(at))
+        self.lessees.get(budget).map_or(0, |lessee| lessee.usable(at))
     }
 
-    /// What it said last that it could use of a budget.
-    pub fn wants(&self, budget: usize) -> Unit {
-        self.wants.get(budget).copied().unwrap_or(0)
+    /// Number of units of a budget that it could use, as last set.
+    pub fn wanted(&self, budget: usize) -> Unit {
+        self.wanted.get(budget).copied().unwrap_or(0)
     }
 
-    /// When what it was granted of a budget ends, unless it is renewed.
-    pub fn until(&self, budget: usize) -> Time {
-        self.lessees.get(budget).map_or(0, Lessee::until)
+    /// When its current grant of a budget expires unless it is renewed.
+    pub fn lease_end(&self, budget: usize) -> Time {
+        self.lessees.get(budget).map_or(0, Lessee::lease_end)
     }
 
-    /// Whether it is coordinator.
+    /// Whether it is coordinator now.
     pub fn is_coordinator(&mut self, now: Time) -> bool {
-        let is_coordinator = self.coordinator.is_coordinator(now, &self.book, &self.terms);
+        let is_coordinator = self.coordinator.is_coordinator(now, &self.limit_set, &self.settings);
         self.was_coordinator &= is_coordinator;
         is_coordinator
     }
 
-    /// Whom it takes for coordinator. It may be wrong; nothing but time is lost then.
-    pub fn believes(&self) -> Option<Member> {
-        self.believes
+    /// The member that it believes to be coordinator. A wrong belief only delays its requests.
+    pub fn believed_coordinator(&self) -> Option<Member> {
+        self.believed_coordinator
     }
 
-    /// What is known of each unit of a budget that is granted; `None` where it is not coordinator.
-    pub fn standings(&self, now: Time, budget: usize) -> Option<Vec<(Unit, Standing)>> {
-        self.coordinator.standings(now, budget as u8, self.book.limits.get(budget)?)
+    /// State of each grantable unit of a budget; `None` if it is not coordinator.
+    pub fn unit_states(&self, now: Time, budget: usize) -> Option<Vec<(Unit, UnitState)>> {
+        self.coordinator.unit_states(now, budget as u8, self.limit_set.limits.get(budget)?)
     }
 
-    /// The settings that it goes by.
-    pub fn book(&self) -> &Book {
-        &self.book
+    /// The limits that it uses.
+    pub fn limit_set(&self) -> &LimitSet {
+        &self.limit_set
     }
 
-    /// Another version of the settings; an older one changes nothing, and one that cuts floors anew or does not hold
-    /// together is refused: the member goes on by the version it has.
-    pub fn set(&mut self, now: Time, book: &Book) -> Result<(), BadTerms> {
-        if book.version <= self.book.version {
+    /// Applies a new version of the limits. An older version changes nothing. One that changes floors or
+    /// cooldowns or is inconsistent is rejected, and the member keeps the version it has.
+    pub fn apply_limits(&mut self, now: Time, limit_set: &LimitSet) -> Result<(), SettingsError> {
+        if limit_set.version <= self.limit_set.version {
             return Ok(());
         }
-        self.book.follows(book)?;
-        self.terms.check(&book.limits)?;
-        self.lessees.iter_mut().for_each(|h| h.set(now, book));
-        self.coordinator.set(now, book, &self.terms);
-        self.book = book.clone();
+        self.limit_set.check_successor(limit_set)?;
+        self.settings.validate(&limit_set.limits)?;
+        self.lessees.iter_mut().for_each(|lessee| lessee.apply_limits(now, limit_set));
+        self.coordinator.apply_limits(now, limit_set, &self.settings);
+        self.limit_set = limit_set.clone();
         Ok(())
     }
 }
--- a/crates/badgerwind-budgets/src/units.rs
+++ b/crates/badgerwind-budgets/src/units.rs
@@ -1,19 +1,19 @@
-//! Sets of units, as ranges.
+//! Sets of units, stored as ranges.
 
-/// A unit of a budget, by its number.
+/// The number of a unit of a budget.
 pub type Unit = u16;
 
-/// A set of units: ranges in order that neither touch nor overlap.
+/// A set of units: sorted half-open ranges that neither touch nor overlap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Units(Vec<(Unit, Unit)>);
 
 impl Units {
-    /// None.
+    /// The empty set.
     pub fn new() -> Units {
         Units::default()
     }
 
-    /// Those from the first up to and without the second.
+    /// The units from `from` up to but excluding `to`; empty if `from >= to`.
     pub fn range(from: Unit, to: Unit) -> Units {
         if from < to {
             Units(vec![(from, to)])
@@ -22,34 +22,34 @@
         }
     }
 
-    /// How many.
+    /// Number of units in the set.
     pub fn len(&self) -> usize {
         self.0.iter().map(|(a, b)| usize::from(b - a)).sum()
     }
 
-    /// Whether there are none.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether this one is among them.
-    pub fn has(&self, unit: Unit) -> bool {
+    /// Whether the set contains this unit.
+    pub fn contains(&self, unit: Unit) -> bool {
         self.0.iter().any(|(a, b)| (*a..*b).contains(&unit))
     }
 
-    /// Each of them, in order.
+    /// The units in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = Unit> + '_ {
         self.0.iter().flat_map(|(a, b)| *a..*b)
     }
 
-    /// Its ranges, each from the first up to and without the second.
+    /// The ranges of the set, each including its first bound and excluding its second.
     pub fn ranges(&self) -> &[(Unit, Unit)] {
         &self.0
     }
 
-    /// Adds one.
+    /// Inserts a unit. [`Unit::MAX`] is ignored, since a range could not end after it.
     pub fn add(&mut self, unit: Unit) {
-        if self.has(unit) || unit == Unit::MAX {
+        if self.contains(unit) || unit == Unit::MAX {
             return;
         }
         let at = self.0.partition_point(|(a, _)| *a < unit);
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Those for which this holds.
-    pub fn only(&self, holds: impl Fn(Unit) -> bool) -> Units {
-        self.iter().filter(|u| holds(*u)).collect()
+    /// The units that satisfy the predicate.
+    pub fn filter_units(&self, predicate: impl Fn(Unit) -> bool) -> Units {
+        self.iter().filter(|u| predicate(*u)).collect()
     }
 
-    /// Those of both.
+    /// The units that are in either set.
     pub fn union(&self, other: &Units) -> Units {
         self.iter().chain(other.iter()).collect()
     }
 
-    /// The first ranges of it, so many at the most: what a message has room for.
-    pub fn within(&self, ranges: usize) -> Units {
-        Units(self.0.iter().take(ranges).copied().collect())
+    /// The first `max` ranges of the set: a message has room for a limited number of them.
+    pub fn first_ranges(&self, max: usize) -> Units {
+        Units(self.0.iter().take(max).copied().collect())
     }
 }
 
--- a/crates/badgerwind-budgets/src/voter.rs
+++ b/crates/badgerwind-budgets/src/voter.rs
@@ -1,36 +1,44 @@
-//! A voter: it promises its vote to one candidate's incarnation at a time, for a time. What it promised in an earlier incarnation is
-//! forgotten, so a new one keeps quiet until all of that must have ended. After PaxosLease (Trencseni, Gazso and Reinhardt
-//! 2012): no disk, no common time, only clocks whose rates differ by little.
+//! A voter: it promises its vote to one incarnation of one candidate at a time, for a limited time. Promises
+//! of an earlier incarnation are not stored, so a voter that starts gives no vote until all of them must have
+//! expired. After PaxosLease (Trencseni, Gazso and Reinhardt 2012): no disk and no common time, only clocks
+//! whose rates differ by a bounded amount.
 
-use crate::terms::{Incarnation, Member, Terms, Time};
+use crate::settings::{Incarnation, LeaseSettings, Member, Time};
 
 /// A voter's state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    promised: Option<(Member, Incarnation, Time)>,
+    /// The candidate, its incarnation, and when the promise expires.
+    promise: Option<(Member, Incarnation, Time)>,
     quiet_until: Time,
 }
 
 impl Voter {
     /// A voter of a process that starts now.
-    pub fn new(now: Time, terms: &Terms) -> Voter {
-        Voter { promised: None, quiet_until: now + terms.outlasts(terms.vote) }
+    pub fn new(now: Time, settings: &LeaseSettings) -> Voter {
+        Voter { promise: None, quiet_until: now + settings.drift_adjusted(settings.vote) }
     }
 
-    /// Whether this candidate's incarnation gets the vote. It is promised from now, which is later than when it was asked for.
-    /// One that goes by older settings than this voter gets none: what it would grant may not be there any more.
-    pub fn vote_requested(
+    /// Returns whether this incarnation of the candidate gets the vote. The promise counts from now, which is
+    /// later than the time of the request. A candidate with older settings than this voter gets no vote: it
+    /// might grant units that no longer exist.
+    pub fn on_vote_request(
         &mut self,
         now: Time,
         (from, incarnation): (Member, Incarnation),
-        (theirs, own): (u32, u32),
-        terms: &Terms,
+        (candidate_version, own_version): (u32, u32),
+        settings: &LeaseSettings,
     ) -> bool {
-        let other = |(m, l, until): (Member, Incarnation, Time)| (m, l) != (from, incarnation) && now < until;
-        if theirs < own || now < self.quiet_until || self.promised.is_some_and(other) {
+        let promised_to_other = |(member, promised, until): (Member, Incarnation, Time)| {
+            (member, promised) != (from, incarnation) && now < until
+        };
+        if candidate_version < own_version
+            || now < self.quiet_until
+            || self.promise.is_some_and(promised_to_other)
+        {
             return false;
         }
-        self.promised = Some((from, incarnation, now + terms.outlasts(terms.vote)));
+        self.promise = Some((from, incarnation, now + settings.drift_adjusted(settings.vote)));
         true
     }
 }
--- a/crates/badgerwind-budgets/tests/turns.rs
+++ b/crates/badgerwind-budgets/tests/turns.rs
@@ -1,97 +1,126 @@
-//! Orders of events that random days hardly ever draw.
+//! Sequences of events that random schedules hardly ever produce.
 
 use badgerwind_budgets::*;
 
-fn terms() -> (Terms, Book) {
-    let terms = Terms { voters: vec![0], vote: 10, lease: 6, beat: 2, drift: 0, moves: 256 };
-    let limit = Limit { units: 1, floor: 0, members: 0, rest: 0 };
-    (terms, Book { version: 1, limits: vec![limit] })
+fn fixture() -> (LeaseSettings, LimitSet) {
+    let settings = LeaseSettings {
+        voters: vec![0],
+        vote: 10,
+        lease: 6,
+        request_interval: 2,
+        drift_ppm: 0,
+        max_moves: 256,
+    };
+    let limit = Limit { units: 1, floor: 0, members: 0, cooldown: 0 };
+    (settings, LimitSet { version: 1, limits: vec![limit] })
 }
 
-/// A voter's word to a candidate that asks now.
-fn elect(coordinator: &mut Coordinator, now: Time, book: &Book, terms: &Terms) {
-    let Message::RequestVote { incarnation, round, .. } = coordinator.request_votes(now, book, terms) else {
+/// Gives the candidate the vote of the only voter.
+fn elect(coordinator: &mut Coordinator, now: Time, limit_set: &LimitSet, settings: &LeaseSettings) {
+    let Message::RequestVote { incarnation, round, .. } = coordinator.request_votes(now, limit_set, settings)
+    else {
         unreachable!()
     };
-    coordinator.voted(now, 0, &Message::Vote { incarnation, round }, book, terms);
-    assert!(coordinator.is_coordinator(now, book, terms));
+    coordinator.on_vote(now, 0, &Message::Vote { incarnation, round }, limit_set, settings);
+    assert!(coordinator.is_coordinator(now, limit_set, settings));
 }
 
-/// A new coordinator hears an ask that was sent long ago, by one that held the unit then. That it holds it no more says
-/// nothing of the one to whom the old coordinator gave it since, and who has not asked the new one yet.
-fn an_old_ask_reaches_a_new_coordinator(mutant: Option<Mutant>) -> bool {
-    let (terms, book) = terms();
-    let mut old = Coordinator::new(0, 1).with(mutant);
-    let mut new = Coordinator::new(1, 1).with(mutant);
-    let mut a = Lessee::new(0, (2, 1), 0, &book, &terms);
-    let mut b = Lessee::new(0, (3, 1), 0, &book, &terms);
-    elect(&mut old, 0, &book, &terms);
-    elect(&mut old, 8, &book, &terms);
-    let ask = b.ask(9, 1);
-    let grant = old.asked(9, 3, &ask, &book, &terms).expect("it coordinates");
-    assert!(b.heard(9, &grant) && b.owned(9).has(0));
-    let late = b.ask(10, 1);
-    // Its lease ends, it says so, and the unit is the other's.
-    let ask = b.ask(16, 0);
-    old.asked(16, 3, &ask, &book, &terms);
-    let ask = a.ask(17, 1);
-    let grant = old.asked(17, 2, &ask, &book, &terms).expect("it coordinates");
-    assert!(a.heard(17, &grant) && a.owned(18).has(0));
-    // The old coordinator's votes are over.
-    assert!(!old.is_coordinator(18, &book, &terms));
-    elect(&mut new, 18, &book, &terms);
-    new.asked(18, 3, &late, &book, &terms);
-    let ask = b.ask(18, 0);
-    new.asked(18, 3, &ask, &book, &terms);
-    let ask = b.ask(20, 1);
-    if let Some(grant) = new.asked(20, 3, &ask, &book, &terms) {
-        b.heard(20, &grant);
+/// A new coordinator receives a delayed request of a lessee that held the unit when it sent it. That this
+/// lessee no longer holds the unit does not make it free: the old coordinator may have granted it to another
+/// one, which has not sent the new coordinator a request yet. Returns whether the unit has two owners at the
+/// end.
+fn a_delayed_request_reaches_a_new_coordinator(mutant: Option<Mutant>) -> bool {
+    let (settings, limit_set) = fixture();
+    let mut old = Coordinator::new(0, 1).with_mutant(mutant);
+    let mut new = Coordinator::new(1, 1).with_mutant(mutant);
+    let mut a = Lessee::new(0, (2, 1), 0, &limit_set, &settings);
+    let mut b = Lessee::new(0, (3, 1), 0, &limit_set, &settings);
+    elect(&mut old, 0, &limit_set, &settings);
+    elect(&mut old, 8, &limit_set, &settings);
+    let request = b.request_lease(9, 1);
+    let grant = old.on_lease_request(9, 3, &request, &limit_set, &settings).expect("it is coordinator");
+    assert!(b.on_grant(9, &grant) && b.owned(9).contains(0));
+    let delayed = b.request_lease(10, 1);
+    // The lease of `b` expires, its next request says so, and the unit is granted to `a`.
+    let request = b.request_lease(16, 0);
+    old.on_lease_request(16, 3, &request, &limit_set, &settings);
+    let request = a.request_lease(17, 1);
+    let grant = old.on_lease_request(17, 2, &request, &limit_set, &settings).expect("it is coordinator");
+    assert!(a.on_grant(17, &grant) && a.owned(18).contains(0));
+    // The old coordinator's votes have expired.
+    assert!(!old.is_coordinator(18, &limit_set, &settings));
+    elect(&mut new, 18, &limit_set, &settings);
+    new.on_lease_request(18, 3, &delayed, &limit_set, &settings);
+    let request = b.request_lease(18, 0);
+    new.on_lease_request(18, 3, &request, &limit_set, &settings);
+    let request = b.request_lease(20, 1);
+    if let Some(grant) = new.on_lease_request(20, 3, &request, &limit_set, &settings) {
+        b.on_grant(20, &grant);
     }
-    a.owned(20).has(0) && b.owned(20).has(0)
+    a.owned(20).contains(0) && b.owned(20).contains(0)
 }
 
 #[test]
-fn what_an_old_keeper_gave_is_nobody_elses_until_it_must_be_over() {
-    assert!(!an_old_ask_reaches_a_new_coordinator(None));
-    assert!(an_old_ask_reaches_a_new_coordinator(Some(Mutant::ForgetsTheUnknown)), "the defect shows");
+fn units_of_an_old_coordinator_are_not_granted_before_its_leases_must_have_ended() {
+    assert!(!a_delayed_request_reaches_a_new_coordinator(None));
+    assert!(
+        a_delayed_request_reaches_a_new_coordinator(Some(Mutant::ForgetsUnknownOwners)),
+        "the defect is detected"
+    );
 }
 
-/// A voter that starts again knows nothing of its promise, and gives none until the last one must be over.
+/// A voter does not store its promises, so after a restart it must give no vote before the last one must have
+/// expired.
 #[test]
-fn a_voter_that_starts_again_is_quiet_until_its_promises_must_be_over() {
-    let (terms, _) = terms();
-    let mut voter = Voter::new(0, &terms);
-    assert!(!voter.vote_requested(10, (0, 1), (1, 1), &terms), "quiet at first");
-    assert!(voter.vote_requested(11, (0, 1), (1, 1), &terms));
-    assert!(!voter.vote_requested(12, (1, 1), (1, 1), &terms), "one at a time");
-    assert!(voter.vote_requested(12, (0, 1), (1, 1), &terms), "the same again");
-    assert!(!voter.vote_requested(22, (1, 1), (1, 1), &terms));
-    let mut again = Voter::new(13, &terms);
-    assert!(!again.vote_requested(22, (1, 1), (1, 1), &terms), "what it promised counts still");
-    let mut forgets = Voter::new(0, &terms); // as if it had run for long
-    assert!(forgets.vote_requested(22, (1, 1), (1, 1), &terms), "two coordinators, if it were not");
-    assert!(again.vote_requested(24, (1, 1), (1, 1), &terms));
-    assert!(!Voter::new(0, &terms).vote_requested(50, (1, 1), (1, 2), &terms), "not by older settings");
+fn a_restarted_voter_gives_no_vote_before_its_promises_must_have_expired() {
+    let (settings, _) = fixture();
+    let mut voter = Voter::new(0, &settings);
+    assert!(!voter.on_vote_request(10, (0, 1), (1, 1), &settings), "no vote right after the start");
+    assert!(voter.on_vote_request(11, (0, 1), (1, 1), &settings));
+    assert!(!voter.on_vote_request(12, (1, 1), (1, 1), &settings), "one promise at a time");
+    assert!(voter.on_vote_request(12, (0, 1), (1, 1), &settings), "the same candidate again");
+    assert!(!voter.on_vote_request(22, (1, 1), (1, 1), &settings));
+    let mut again = Voter::new(13, &settings);
+    assert!(
+        !again.on_vote_request(22, (1, 1), (1, 1), &settings),
+        "the promise before the restart is still valid"
+    );
+    let mut forgets = Voter::new(0, &settings); // a voter past its quiet time that has lost its promise
+    assert!(
+        forgets.on_vote_request(22, (1, 1), (1, 1), &settings),
+        "without the quiet time it would elect a second coordinator"
+    );
+    assert!(again.on_vote_request(24, (1, 1), (1, 1), &settings));
+    assert!(
+        !Voter::new(0, &settings).on_vote_request(50, (1, 1), (1, 2), &settings),
+        "no vote for a candidate with older settings"
+    );
 }
 
 #[test]
-fn settings_that_do_not_hold_together_are_told() {
-    let (terms, book) = terms();
-    assert_eq!(terms.check(&book.limits), Ok(()));
-    let limit = Limit { units: 5, floor: 2, members: 3, rest: 0 };
-    assert_eq!(terms.check(&[limit]), Err(BadTerms::Floors { units: 5, floor: 2, members: 3 }));
-    let none = Terms { voters: vec![], ..terms.clone() };
-    assert_eq!(none.check(&book.limits), Err(BadTerms::NoVoter));
-    let slow = Terms { beat: 3, ..terms.clone() };
-    assert_eq!(slow.check(&book.limits), Err(BadTerms::Beat { beat: 3, lease: 6 }));
-    let wild = Terms { drift: 200_000, ..terms.clone() };
-    assert_eq!(wild.check(&book.limits), Err(BadTerms::Drift(200_000)));
-    let mut next = book.clone();
+fn inconsistent_settings_are_rejected() {
+    let (settings, limit_set) = fixture();
+    assert_eq!(settings.validate(&limit_set.limits), Ok(()));
+    let limit = Limit { units: 5, floor: 2, members: 3, cooldown: 0 };
+    assert_eq!(
+        settings.validate(&[limit]),
+        Err(SettingsError::FloorsExceedLimit { units: 5, floor: 2, members: 3 })
+    );
+    let none = LeaseSettings { voters: vec![], ..settings.clone() };
+    assert_eq!(none.validate(&limit_set.limits), Err(SettingsError::NoVoter));
+    let slow = LeaseSettings { request_interval: 3, ..settings.clone() };
+    assert_eq!(
+        slow.validate(&limit_set.limits),
+        Err(SettingsError::IntervalTooLong { request_interval: 3, lease: 6 })
+    );
+    let wild = LeaseSettings { drift_ppm: 200_000, ..settings.clone() };
+    assert_eq!(wild.validate(&limit_set.limits), Err(SettingsError::DriftTooLarge(200_000)));
+    let mut next = limit_set.clone();
     (next.version, next.limits[0].units) = (2, 9);
-    assert_eq!(book.follows(&next), Ok(()));
+    assert_eq!(limit_set.check_successor(&next), Ok(()));
     next.limits[0].floor = 1;
-    assert_eq!(book.follows(&next), Err(BadTerms::Recut(2)));
-    let mut node = Node::new(0, (0, 1), book.clone(), terms.clone(), 0.5);
-    assert_eq!(node.set(1, &next), Err(BadTerms::Recut(2)));
-    assert_eq!(node.book(), &book, "it goes on by what it has");
+    assert_eq!(limit_set.check_successor(&next), Err(SettingsError::IncompatibleChange(2)));
+    let mut node = Node::new(0, (0, 1), limit_set.clone(), settings.clone(), 0.5);
+    assert_eq!(node.apply_limits(1, &next), Err(SettingsError::IncompatibleChange(2)));
+    assert_eq!(node.limit_set(), &limit_set, "the node keeps its limits");
 }
--- a/crates/badgerwind-cli/src/budgets/mod.rs
+++ b/crates/badgerwind-cli/src/budgets/mod.rs
@@ -12,7 +12,7 @@
 pub use shrink::shrink;
 
 use crate::Stop;
-use badgerwind_budgets::{Book, Limit, Member, Terms, Unit};
+use badgerwind_budgets::{LeaseSettings, Limit, LimitSet, Member, Unit};
 use badgerwind_check::budgets::{Line, What};
 use badgerwind_gateway::fleet::{wall, FleetMember, MemberOptions};
 use badgerwind_webhook::Key;
@@ -83,15 +83,15 @@
         serde_json::from_slice(&text).map_err(|e| Stop::usage(format!("{shown}: {e}")))
     }
 
-    fn book(&self) -> Book {
+    fn book(&self) -> LimitSet {
         let (units, floor, rest) = (self.units, self.floor, self.rest);
         let members = self.peers.len() as Member;
-        Book { version: self.version, limits: vec![Limit { units, floor, members, rest }] }
+        LimitSet { version: self.version, limits: vec![Limit { units, floor, members, cooldown: rest }] }
     }
 
-    fn terms(&self) -> Terms {
+    fn terms(&self) -> LeaseSettings {
         let Trial { voters, vote, lease, beat, drift, .. } = self.clone();
-        Terms { voters, vote, lease, beat, drift, moves: 64 }
+        LeaseSettings { voters, vote, lease, request_interval: beat, drift_ppm: drift, max_moves: 64 }
     }
 }
 
@@ -138,8 +138,8 @@
             if let Ok(next) = Trial::read(&args.trial) {
                 let wants = next.wants.get(&number).copied().unwrap_or(0);
                 let set = member.with(|node, now| {
-                    node.want(0, wants);
-                    node.set(now, &next.book())
+                    node.set_wanted(0, wants);
+                    node.apply_limits(now, &next.book())
                 });
                 set.map_err(|e| Stop::usage(format!("{}: {e}", args.trial.display())))?;
             }
@@ -147,10 +147,10 @@
         turn += 1;
         // A line bears the moment at which its matter was looked at: a stop before it is written changes nothing.
         let (floor, granted, left, now) = member.with(|node, now| {
-            let limit = &node.book().limits[0];
+            let limit = &node.limit_set().limits[0];
             let (floor, all) = (limit.floor_of(number), node.owned(now, 0));
-            let granted = all.only(|u| !floor.has(u));
-            (floor.ranges().to_vec(), granted.ranges().to_vec(), node.until(0).saturating_sub(now), now)
+            let granted = all.filter_units(|u| !floor.contains(u));
+            (floor.ranges().to_vec(), granted.ranges().to_vec(), node.lease_end(0).saturating_sub(now), now)
         });
         let at = member.wall_at(now);
         let until = if granted.is_empty() { at } else { at + left };
--- a/crates/badgerwind-gateway/src/fleet.rs
+++ b/crates/badgerwind-gateway/src/fleet.rs
@@ -2,7 +2,9 @@
 //! front ends. One thread; whoever spends asks under the same lock, so that the lease is looked at when a unit is spent.
 
 use crate::peers::{open, seal};
-use badgerwind_budgets::{BadTerms, Book, Member, Message, Node, Terms, Time, To, Unit};
+use badgerwind_budgets::{
+    LeaseSettings, LimitSet, Member, Message, Node, Recipient, SettingsError, Time, Unit,
+};
 use badgerwind_webhook::Key;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -23,9 +25,9 @@
     /// Seals what they say to each other.
     pub key: Key,
     /// What is shared out.
-    pub book: Book,
+    pub book: LimitSet,
     /// On what terms.
-    pub terms: Terms,
+    pub terms: LeaseSettings,
     /// Millionths by which its clock runs fast; for tests of the bound on drift.
     pub clock_fast: i64,
 }
@@ -35,7 +37,7 @@
 pub enum MemberError {
     /// The terms do not hold together.
     #[error(transparent)]
-    Terms(#[from] BadTerms),
+    Terms(#[from] SettingsError),
     /// No socket.
     #[error("cannot hear the others at {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
@@ -58,7 +60,7 @@
 impl FleetMember {
     /// Binds its socket; nothing is said or granted before [`FleetMember::run`].
     pub fn start(options: MemberOptions) -> Result<FleetMember, MemberError> {
-        options.terms.check(&options.book.limits)?;
+        options.terms.validate(&options.book.limits)?;
         let socket =
             crate::peers::bind(options.listen).map_err(|e| MemberError::Listen(options.listen, e))?;
         // An incarnation is greater than the one before as long as the wall clock is; the coordinator's answer corrects what is not.
@@ -100,7 +102,7 @@
     /// Hears and says what is due until told to stop.
     pub fn run(&self, stop: &AtomicBool) {
         let mut rng = StdRng::seed_from_u64(wall() ^ u64::from(self.options.number));
-        let pace = Duration::from_micros(self.with(|node, _| node.pace()));
+        let pace = Duration::from_micros(self.with(|node, _| node.tick_interval()));
         let mut counter = wall();
         let mut newest: BTreeMap<Member, u64> = BTreeMap::new();
         let mut buf = [0u8; 512];
@@ -112,8 +114,8 @@
             let heard =
                 self.socket.recv_from(&mut buf).ok().and_then(|(n, _)| self.read(&buf[..n], &mut newest));
             if let Some((from, message)) = heard {
-                let answer = self.with(|node, now| node.heard(now, from, &message));
-                answer.into_iter().for_each(|a| self.say(To::One(from), &a, &mut counter));
+                let answer = self.with(|node, now| node.receive(now, from, &message));
+                answer.into_iter().for_each(|a| self.say(Recipient::One(from), &a, &mut counter));
             }
             if Instant::now() >= due {
                 due = Instant::now() + pace;
@@ -128,17 +130,17 @@
     fn read(&self, datagram: &[u8], newest: &mut BTreeMap<Member, u64>) -> Option<(Member, Message)> {
         let (from, count, bytes) = open(&self.options.key, datagram)?;
         let from = Member::try_from(from).ok().filter(|from| self.options.peers.contains_key(from))?;
-        let message = Message::read(bytes)?;
+        let message = Message::decode(bytes)?;
         let last = newest.entry(from).or_default();
         (count > std::mem::replace(last, count.max(*last))).then_some((from, message))
     }
 
-    fn say(&self, to: To, message: &Message, counter: &mut u64) {
-        let bytes = message.bytes();
+    fn say(&self, to: Recipient, message: &Message, counter: &mut u64) {
+        let bytes = message.encode();
         let meant = |n: &Member| match to {
-            To::All => *n != self.options.number,
-            To::Voters => *n != self.options.number && self.options.terms.voters.contains(n),
-            To::One(to) => *n == to,
+            Recipient::All => *n != self.options.number,
+            Recipient::Voters => *n != self.options.number && self.options.terms.voters.contains(n),
+            Recipient::One(to) => *n == to,
         };
         for (_, address) in self.options.peers.iter().filter(|(n, _)| meant(n)) {
             *counter += 1;
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -100,7 +100,7 @@
 }
 
 /// Budgets that cannot follow those that run.
-fn unfit(budgets: &badgerwind_settings::Budgets, e: &badgerwind_budgets::BadTerms) -> Problem {
+fn unfit(budgets: &badgerwind_settings::Budgets, e: &badgerwind_budgets::SettingsError) -> Problem {
     Problem {
         file: "settings".into(),
         line: budgets.line,
--- a/crates/badgerwind-gateway/src/shares.rs
+++ b/crates/badgerwind-gateway/src/shares.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use badgerwind::interface::{Parts, Settings as RouterSettings};
 use badgerwind_budgets::demand::reserve;
-use badgerwind_budgets::{BadTerms, Demand, Member, Message, Node, Standing, Time, To};
+use badgerwind_budgets::{Demand, Member, Message, Node, Recipient, SettingsError, Time, UnitState};
 use badgerwind_members::{Members, Message as MembersMessage};
 use badgerwind_settings::{BudgetOf, Budgets, Settings};
 use rand::rngs::StdRng;
@@ -63,9 +63,10 @@
         let me = (settings.router.my_number as Member, now);
         let node = Node::new(now, me, budgets.book.clone(), budgets.terms.clone(), rng.random());
         let others = peers.peers.iter().filter_map(|(n, _)| Member::try_from(*n).ok());
-        let members = Members::new(now, me, others, badgerwind_members::Terms::paced(budgets.terms.beat));
+        let members =
+            Members::new(now, me, others, badgerwind_members::Terms::paced(budgets.terms.request_interval));
         let here = |(limit, b): (&badgerwind_budgets::Limit, &badgerwind_settings::Budget)| Here {
-            demand: Demand::new(limit.rest, b.of == BudgetOf::Orders),
+            demand: Demand::new(limit.cooldown, b.of == BudgetOf::Orders),
             refused: 0,
             logged: (0, 0, 0),
         };
@@ -81,13 +82,13 @@
     }
 
     /// Another version of the limits. Refused as a whole where it cannot follow the one that runs.
-    pub(crate) fn change(&self, next: &Budgets) -> Result<(), BadTerms> {
+    pub(crate) fn change(&self, next: &Budgets) -> Result<(), SettingsError> {
         let mut state = self.state();
         if next.budgets != state.budgets.budgets || next.terms != state.budgets.terms {
-            return Err(BadTerms::Recut(next.book.version));
+            return Err(SettingsError::IncompatibleChange(next.book.version));
         }
         let now = self.clock.now();
-        state.node.set(now, &next.book)?;
+        state.node.apply_limits(now, &next.book)?;
         if next.book.version > state.budgets.book.version {
             tracing::info!(version = next.book.version, "the limits of the budgets changed");
             state.budgets = next.clone();
@@ -114,7 +115,7 @@
         let Some(n) = state.budgets.budgets.iter().position(|b| b.of == BudgetOf::Orders) else {
             return true;
         };
-        state.here[n].demand.asked(now, 1.0);
+        state.here[n].demand.record(now, 1.0);
         let spent = state.node.spend(now, n).is_some();
         if !spent {
             state.here[n].refused += 1;
@@ -131,18 +132,18 @@
         let Some(n) = state.budgets.budgets.iter().position(|b| b.of == of) else { return };
         let units = units_of_a_call(&state, n, tenant);
         let now = self.clock.now();
-        state.here[n].demand.asked(now, units);
+        state.here[n].demand.record(now, units);
     }
 
     /// Bytes from another front end; false where they are not for the budgets.
     pub(crate) fn heard(&self, from: u32, bytes: &[u8]) -> bool {
         let Ok(from) = Member::try_from(from) else { return false };
-        if let Some(message) = Message::read(bytes) {
+        if let Some(message) = Message::decode(bytes) {
             let mut state = self.state();
             let now = self.clock.now();
-            let answer = state.node.heard(now, from, &message);
+            let answer = state.node.receive(now, from, &message);
             drop(state);
-            answer.into_iter().for_each(|a| self.peers.tell(Some(u32::from(from)), &a.bytes()));
+            answer.into_iter().for_each(|a| self.peers.tell(Some(u32::from(from)), &a.encode()));
             return true;
         }
         let Some(message) = MembersMessage::read(bytes) else { return false };
@@ -160,7 +161,7 @@
 
     /// Says what is due, and tells the module its parts, for ever.
     pub(crate) async fn run(self: Arc<Self>) {
-        let pace = Duration::from_micros(self.state().node.pace());
+        let pace = Duration::from_micros(self.state().node.tick_interval());
         loop {
             if let Some(parts) = self.tick(pace) {
                 if self.report.send(Input::Parts(parts)).await.is_err() {
@@ -179,8 +180,8 @@
         let there = members.alive_count();
         for (n, (here, limit)) in here.iter_mut().zip(&budgets.book.limits).enumerate() {
             let owned = node.owned(now, n).len();
-            let granted = limit.granted().len();
-            node.want(n, here.demand.wants(now, owned, reserve(granted, there)));
+            let granted = limit.grantable().len();
+            node.set_wanted(n, here.demand.estimate(now, owned, reserve(granted, there)));
         }
         let out = node.tick(now, rng.random());
         for (n, b) in budgets.budgets.iter().enumerate() {
@@ -198,8 +199,8 @@
                 (*last, *again, *passed) = (owned, now + LOG_SPAN, 0);
             }
         }
-        if node.believes() != *coordinator {
-            *coordinator = node.believes();
+        if node.believed_coordinator() != *coordinator {
+            *coordinator = node.believed_coordinator();
             tracing::info!(coordinator = ?*coordinator, "another lease coordinator of the budgets");
         }
         self.metrics.members_there.set(there as i64);
@@ -211,11 +212,11 @@
         *told = Some(parts.clone());
         drop(state);
         for (to, message) in &out {
-            let bytes = message.bytes();
+            let bytes = message.encode();
             match to {
-                To::All => self.peers.tell(None, &bytes),
-                To::One(to) => self.peers.tell(Some(u32::from(*to)), &bytes),
-                To::Voters => {
+                Recipient::All => self.peers.tell(None, &bytes),
+                Recipient::One(to) => self.peers.tell(Some(u32::from(*to)), &bytes),
+                Recipient::Voters => {
                     let voters = self.state().budgets.terms.voters.clone();
                     voters.iter().for_each(|v| self.peers.tell(Some(u32::from(*v)), &bytes));
                 }
@@ -244,13 +245,13 @@
                     BudgetOf::Orders => None,
                     BudgetOf::Tenant(t) => Some(t),
                 };
-                let standings = node.standings(now, n).map(|all| {
+                let standings = node.unit_states(now, n).map(|all| {
                     let mut by: Vec<Value> = Vec::new();
                     for (unit, standing) in all {
                         let (state, member, left) = match standing {
-                            Standing::Owned(m, until) => ("owned", Some(m), ms(until)),
-                            Standing::Rests(until) => ("rests", None, ms(until)),
-                            Standing::Free => ("free", None, 0),
+                            UnitState::Owned(m, until) => ("owned", Some(m), ms(until)),
+                            UnitState::CoolingDown(until) => ("rests", None, ms(until)),
+                            UnitState::Free => ("free", None, 0),
                         };
                         match by.last_mut().filter(|l| {
                             l["state"] == state && l["member"] == json!(member) && l["ms"] == left
@@ -268,14 +269,14 @@
                     "of": if tenant.is_some() { "tenant" } else { "orders" },
                     "units": limit.units,
                     "floor": limit.floor,
-                    "window_ms": limit.rest / 1000,
+                    "window_ms": limit.cooldown / 1000,
                     "owned": node.owned(now, n).len(),
                     "owned_floor": limit.floor_of(members.me()).len(),
                     "ranges": node.owned(now, n).ranges(),
-                    "until_ms": ms(node.until(n)),
-                    "wants": node.wants(n),
-                    "asked_lately": here[n].demand.lately(now),
-                    "wait_ms": node.wait(now, n).map(|w| w / 1000),
+                    "until_ms": ms(node.lease_end(n)),
+                    "wants": node.wanted(n),
+                    "asked_lately": here[n].demand.in_window(now),
+                    "wait_ms": node.wait_time(now, n).map(|w| w / 1000),
                     "refused": here[n].refused,
                     "standings": standings,
                 })
@@ -289,7 +290,7 @@
             "number": members.me(),
             "version": budgets.book.version,
             "voters": budgets.terms.voters,
-            "keeper": node.believes(),
+            "keeper": node.believed_coordinator(),
             "reigns": is_coordinator,
             "lease_ms": budgets.terms.lease / 1000,
             "health": members.local_health(),
@@ -303,7 +304,7 @@
 fn units_of_a_call(state: &State, n: usize, tenant: usize) -> f64 {
     let limit = &state.budgets.book.limits[n];
     let quota = state.router.tenants.get(tenant).and_then(|t| t.quota_per_s).unwrap_or(0.0);
-    let calls = quota * limit.rest as f64 / 1e6;
+    let calls = quota * limit.cooldown as f64 / 1e6;
     f64::from(limit.units) / calls.max(1e-9)
 }
 
--- a/crates/badgerwind-gateway/tests/unit/shares.rs
+++ b/crates/badgerwind-gateway/tests/unit/shares.rs
@@ -1,7 +1,7 @@
 //! What only the inside of `shares.rs` shows.
 
 use super::*;
-use badgerwind_budgets::{Book, Limit, Terms};
+use badgerwind_budgets::{LeaseSettings, Limit, LimitSet};
 use badgerwind_settings::Budget;
 
 #[test]
@@ -10,10 +10,17 @@
         badgerwind_settings::read("s.xml", include_str!("../../../badgerwind-settings/tests/example.xml"))
             .unwrap()
             .router;
-    let limit = Limit { units: 10, floor: 5, members: 1, rest: 1_000 };
-    let book = Book { version: 1, limits: vec![limit] };
+    let limit = Limit { units: 10, floor: 5, members: 1, cooldown: 1_000 };
+    let book = LimitSet { version: 1, limits: vec![limit] };
     let (lease, beat) = (3_000, 1_000);
-    let terms = Terms { voters: vec![0], vote: 1_000, lease, beat, drift: 0, moves: 64 };
+    let terms = LeaseSettings {
+        voters: vec![0],
+        vote: 1_000,
+        lease,
+        request_interval: beat,
+        drift_ppm: 0,
+        max_moves: 64,
+    };
     let node = Node::new(0, (0, 1), book.clone(), terms.clone(), 0.0);
     let brolga = Budget { name: "brolga".into(), of: BudgetOf::Tenant(0) };
     let budgets = Budgets { terms, book, budgets: vec![brolga], line: 1 };
--- a/crates/badgerwind-scale/src/rows/budgets/group.rs
+++ b/crates/badgerwind-scale/src/rows/budgets/group.rs
@@ -2,7 +2,7 @@
 
 use crate::rows::load::{Peaks, Processor, SLICE};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND, SECOND};
-use badgerwind_budgets::{Book, Limit, Member, Message, Node, Terms, To, Unit};
+use badgerwind_budgets::{LeaseSettings, Limit, LimitSet, Member, Message, Node, Recipient, Unit};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -56,8 +56,8 @@
 /// A hollow group.
 pub struct Group {
     plan: Plan,
-    terms: Terms,
-    book: Book,
+    terms: LeaseSettings,
+    book: LimitSet,
     rng: StdRng,
     network: Network,
     hosts: Vec<Host>,
@@ -72,8 +72,15 @@
 }
 
 /// Terms with the times that the settings have by default.
-fn terms(voters: Vec<Member>) -> Terms {
-    Terms { voters, vote: SECOND, lease: 3 * SECOND, beat: 300 * MILLISECOND, drift: 1_000, moves: 64 }
+fn terms(voters: Vec<Member>) -> LeaseSettings {
+    LeaseSettings {
+        voters,
+        vote: SECOND,
+        lease: 3 * SECOND,
+        request_interval: 300 * MILLISECOND,
+        drift_ppm: 1_000,
+        max_moves: 64,
+    }
 }
 
 impl Group {
@@ -81,13 +88,13 @@
     pub fn new(plan: Plan) -> Group {
         let terms = terms(voters(plan.members));
         let units = (plan.members * UNITS_EACH).min(UNITS_MOST) as Unit;
-        let limit = Limit { units, floor: 0, members: plan.members as Member, rest: WINDOW };
-        let conditions = Conditions { drift: u64::from(terms.drift), ..plan.conditions };
+        let limit = Limit { units, floor: 0, members: plan.members as Member, cooldown: WINDOW };
+        let conditions = Conditions { drift: u64::from(terms.drift_ppm), ..plan.conditions };
         let network = Network::new(conditions, plan.members, plan.seed);
         let host = |_| Host { node: None, incarnation: 0, demand_changes: 0 };
         Group {
             terms,
-            book: Book { version: 1, limits: vec![limit; plan.budgets] },
+            book: LimitSet { version: 1, limits: vec![limit; plan.budgets] },
             rng: StdRng::seed_from_u64(plan.seed ^ 0xb0d9e7),
             peaks: Peaks::new(&network),
             network,
@@ -126,7 +133,7 @@
         host.demand_changes = 0;
         let who = (member as Member, host.incarnation);
         let node = Node::new(now, who, self.book.clone(), self.terms.clone(), part);
-        let first_tick = self.rng.random_range(0..node.pace());
+        let first_tick = self.rng.random_range(0..node.tick_interval());
         host.node = Some(node);
         self.network.start(member);
         self.network.wake_at(member, TICK, now + first_tick);
@@ -213,9 +220,9 @@
         let Some(node) = &mut self.hosts[member].node else { return };
         let meter = self.processor.start(member);
         let out = node.tick(now, part);
-        let sends: Vec<_> = out.iter().map(|(to, message)| (*to, kind(message), message.bytes())).collect();
+        let sends: Vec<_> = out.iter().map(|(to, message)| (*to, kind(message), message.encode())).collect();
         self.processor.stop(member, meter);
-        self.network.wake_at(member, TICK, now + node.pace());
+        self.network.wake_at(member, TICK, now + node.tick_interval());
         sends.iter().for_each(|(to, kind, bytes)| self.send_all(member, *to, kind, bytes));
     }
 
@@ -231,7 +238,7 @@
             let quarters = self.rng.random_range(DEMAND_QUARTERS.0..=DEMAND_QUARTERS.1);
             let wants = (even * quarters).div_ceil(4) as Unit;
             if let Some(node) = &mut self.hosts[member].node {
-                node.want(budget, wants);
+                node.set_wanted(budget, wants);
             }
         }
     }
@@ -240,19 +247,19 @@
         let now = self.network.clock(to);
         let Some(node) = &mut self.hosts[to].node else { return };
         let meter = self.processor.start(to);
-        let answer = Message::read(bytes).and_then(|message| node.heard(now, from as Member, &message));
-        let answer = answer.map(|message| (kind(&message), message.bytes()));
+        let answer = Message::decode(bytes).and_then(|message| node.receive(now, from as Member, &message));
+        let answer = answer.map(|message| (kind(&message), message.encode()));
         self.processor.stop(to, meter);
         if let Some((kind, bytes)) = answer {
             self.send(to, from, kind, &bytes);
         }
     }
 
-    fn send_all(&mut self, from: usize, to: To, kind: &'static str, bytes: &[u8]) {
+    fn send_all(&mut self, from: usize, to: Recipient, kind: &'static str, bytes: &[u8]) {
         let all = match to {
-            To::One(member) => vec![usize::from(member)],
-            To::Voters => self.voters(),
-            To::All => self.all(),
+            Recipient::One(member) => vec![usize::from(member)],
+            Recipient::Voters => self.voters(),
+            Recipient::All => self.all(),
         };
         let others = all.into_iter().filter(|member| *member != from);
         others.for_each(|member| self.send(from, member, kind, bytes));
@@ -272,7 +279,7 @@
     match message {
         Message::RequestVote { .. } => "request-vote",
         Message::Vote { .. } => "vote",
-        Message::Ask { .. } => "ask",
+        Message::LeaseRequest { .. } => "ask",
         Message::Grant { .. } => "grant",
         Message::Superseded { .. } => "superseded",
     }
--- a/crates/badgerwind-settings/src/read.rs
+++ b/crates/badgerwind-settings/src/read.rs
@@ -422,25 +422,25 @@
         units: one.whole("units") as u16,
         floor: one.whole("floor") as u16,
         members: front_ends.min(65_535) as u16,
-        rest: one.span("window"),
+        cooldown: one.span("window"),
     };
-    let terms = badgerwind_budgets::Terms {
+    let terms = badgerwind_budgets::LeaseSettings {
         voters,
         vote: b.span("vote"),
         lease: b.span("lease"),
-        beat: b.span("beat"),
-        drift: b.whole("drift") as u32,
-        moves: b.whole("moves") as u16,
+        request_interval: b.span("beat"),
+        drift_ppm: b.whole("drift") as u32,
+        max_moves: b.whole("moves") as u16,
     };
     let limits: Vec<_> = all.iter().map(limit).collect();
-    if let Err(e) = terms.check(&limits) {
+    if let Err(e) = terms.validate(&limits) {
         let text = e.to_string();
         let (what, right) = text.split_once("; ").unwrap_or((&text, "change it"));
         r.add(b, what.into(), right);
     }
     let names = all.iter().zip(of).map(|(one, of)| Budget { name: one.string("name"), of }).collect();
     let version = b.whole("version") as u32;
-    Budgets { terms, book: badgerwind_budgets::Book { version, limits }, budgets: names, line: b.line() }
+    Budgets { terms, book: badgerwind_budgets::LimitSet { version, limits }, budgets: names, line: b.line() }
 }
 
 fn budget_of(
--- a/crates/badgerwind-settings/src/typed.rs
+++ b/crates/badgerwind-settings/src/typed.rs
@@ -261,9 +261,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budgets {
     /// On what terms.
-    pub terms: badgerwind_budgets::Terms,
+    pub terms: badgerwind_budgets::LeaseSettings,
     /// The limits, under their version.
-    pub book: badgerwind_budgets::Book,
+    pub book: badgerwind_budgets::LimitSet,
     /// What each whole is of, in the same order.
     pub budgets: Vec<Budget>,
     /// The line that begins them.
--- a/crates/badgerwind-settings/tests/documents.rs
+++ b/crates/badgerwind-settings/tests/documents.rs
@@ -123,7 +123,7 @@
     assert_eq!(b.budgets[1].of, BudgetOf::Tenant(0));
     assert_eq!((b.book.version, b.terms.voters.clone(), b.terms.lease), (4, vec![0, 1], 3_000_000));
     let limit = &b.book.limits[0];
-    assert_eq!((limit.units, limit.floor, limit.members, limit.rest), (30, 2, 3, 10_000_000));
+    assert_eq!((limit.units, limit.floor, limit.members, limit.cooldown), (30, 2, 3, 10_000_000));
 }
 
 #[test]
