--- a/crates/badgerwind-gateway/src/shares.rs
+++ b/crates/badgerwind-gateway/src/shares.rs
@@ -63,8 +63,12 @@
         let me = (settings.router.my_number as Member, now);
         let node = Node::new(now, me, budgets.book.clone(), budgets.terms.clone(), rng.random());
         let others = peers.peers.iter().filter_map(|(n, _)| Member::try_from(*n).ok());
-        let members =
-            Members::new(now, me, others, badgerwind_members::Terms::paced(budgets.terms.request_interval));
+        let members = Members::new(
+            now,
+            me,
+            others,
+            badgerwind_members::DetectionSettings::for_period(budgets.terms.request_interval),
+        );
         let here = |(limit, b): (&badgerwind_budgets::Limit, &badgerwind_settings::Budget)| Here {
             demand: Demand::new(limit.cooldown, b.of == BudgetOf::Orders),
             refused: 0,
@@ -146,7 +150,7 @@
             answer.into_iter().for_each(|a| self.peers.tell(Some(u32::from(from)), &a.encode()));
             return true;
         }
-        let Some(message) = MembersMessage::read(bytes) else { return false };
+        let Some(message) = MembersMessage::decode(bytes) else { return false };
         let mut state = self.state();
         let now = self.clock.now();
         let out = state.members.receive(now, from, &message);
@@ -156,7 +160,7 @@
     }
 
     fn send_members(&self, out: Vec<(Member, MembersMessage)>) {
-        out.iter().for_each(|(to, message)| self.peers.tell(Some(u32::from(*to)), &message.bytes()));
+        out.iter().for_each(|(to, message)| self.peers.tell(Some(u32::from(*to)), &message.encode()));
     }
 
     /// Says what is due, and tells the module its parts, for ever.
--- a/crates/badgerwind-members/src/members.rs
+++ b/crates/badgerwind-members/src/members.rs
@@ -1,27 +1,28 @@
-//! One member's view of the fleet: which member it probes next, which it suspects, which updates it disseminates, and how
-//! it refutes a suspicion of itself.
+//! One member's view of the fleet: which member it probes next, which it suspects, which updates it
+//! disseminates, and how it refutes a suspicion of itself.
 
 use crate::message::{Kind, Message, Update, MAX_UPDATES};
-use crate::{Incarnation, Member, Mutant, Span, Terms, Time};
+use crate::{DetectionSettings, Incarnation, Member, Micros, Mutant, Time};
 use std::collections::BTreeMap;
 
-/// An update is sent this many times the logarithm of the members (SWIM, section 4.1).
+/// An update is sent this many times the logarithm of the number of members (SWIM, section 4.1).
 const RETRANSMIT_MULTIPLIER: u32 = 3;
-/// One probe in so many goes to a member that is dead, left or unknown: this is how a partition heals.
+/// One probe in this many goes to a member that is dead, left or unknown. Without these probes the halves of
+/// a partition would not find each other again.
 const PROBES_PER_DEAD_PROBE: u32 = 6;
-/// Open probes on behalf of others; further requests are ignored.
+/// Maximum number of open probes on behalf of other members; further requests are ignored.
 const MAX_INDIRECT_PROBES: usize = 32;
-/// A member that leaves sends its update to so many others, which disseminate it.
+/// A member that leaves sends its update to this many others, which disseminate it.
 const LEAVE_FANOUT: usize = 3;
 
-/// State of a member in another's view. At equal incarnation and refutations the later variant wins.
+/// State of a member in another member's view. At equal incarnation and refutations the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     /// No update has arrived yet.
     Unknown,
-    /// It answers, or another member reported so.
+    /// It answers probes, or another member reported that it does.
     Alive,
-    /// It did not answer a probe; it has some time to refute.
+    /// It did not answer a probe and has some time to refute the suspicion.
     Suspect,
     /// It did not refute the suspicion in time.
     Dead,
@@ -33,7 +34,7 @@
     pub(crate) fn rank(self) -> u8 {
         self as u8
     }
-    pub(crate) fn ranked(n: u8) -> Option<State> {
+    pub(crate) fn from_rank(n: u8) -> Option<State> {
         [State::Unknown, State::Alive, State::Suspect, State::Dead, State::Left].get(usize::from(n)).copied()
     }
 }
@@ -43,21 +44,21 @@
 pub struct PeerRecord {
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// How often it refuted a suspicion within this incarnation; only the member itself counts this up.
+    /// How often it has refuted a suspicion in this incarnation; only the member itself increments this.
     pub refutations: u32,
     /// Its state.
     pub state: State,
     /// The member that reported the state.
-    by: Member,
-    /// Since when it is suspected, and which others suspect it independently.
+    reported_by: Member,
+    /// When it became a suspect, and which other members suspect it independently.
     since: Time,
     confirmed_by: Vec<Member>,
-    /// How often this record was sent as news.
+    /// How often this record was sent as a recent change.
     transmissions: u32,
 }
 
 impl PeerRecord {
-    /// Name of its state, for reports.
+    /// Name of the state, for reports.
     pub fn state_name(&self) -> &'static str {
         match self.state {
             State::Unknown => "unknown",
@@ -75,7 +76,7 @@
     to: Member,
     serial: u32,
     at: Time,
-    /// Members that were asked to probe as well, and how many of them reported no answer.
+    /// Number of members that were asked to probe as well, and how many of them reported no answer.
     indirect_probers: usize,
     nacks: usize,
     answered: bool,
@@ -86,17 +87,17 @@
 struct IndirectProbe {
     requester: Member,
     requested_serial: u32,
-    about: Member,
+    target: Member,
     until: Time,
 }
 
-/// A member's view of the fleet. Bounded by the members that the settings name.
+/// A member's view of the fleet. Its size is bounded by the members in the settings.
 #[derive(Clone, Debug)]
 pub struct Members {
     me: Member,
     incarnation: Incarnation,
     refutations: u32,
-    terms: Terms,
+    settings: DetectionSettings,
     peers: BTreeMap<Member, PeerRecord>,
     /// Members still to be probed in this round, the next one last.
     probe_order: Vec<Member>,
@@ -109,7 +110,7 @@
     serial: u32,
     /// Lifeguard's local health counter: 0 when healthy, greater when the fault may be this member's own.
     local_health: u32,
-    /// First member of the next part of the view that fills the room left in messages.
+    /// First member of the next part of the view that fills the remaining room in messages.
     cursor: Member,
     left: bool,
     mutant: Option<Mutant>,
@@ -118,18 +119,19 @@
 type Draw<'a> = &'a mut dyn FnMut(usize) -> usize;
 
 impl Members {
-    /// A member that starts now and knows nothing of the others. Members that are not named here are ignored later.
+    /// A member that starts now and knows nothing of `others`. Members that are not among them are always
+    /// ignored.
     pub fn new(
         now: Time,
         (me, incarnation): (Member, Incarnation),
         others: impl IntoIterator<Item = Member>,
-        terms: Terms,
+        settings: DetectionSettings,
     ) -> Members {
         let none = PeerRecord {
             incarnation: 0,
             refutations: 0,
             state: State::Unknown,
-            by: me,
+            reported_by: me,
             since: now,
             confirmed_by: Vec::new(),
             transmissions: u32::MAX,
@@ -149,21 +151,22 @@
             local_health: 0,
             cursor: 0,
             left: false,
-            terms,
+            settings,
             mutant: None,
         }
     }
 
-    /// With a defect, for tests that show that it is found.
+    /// Injects a defect, for tests that show that it is detected.
     #[doc(hidden)]
-    pub fn with(mut self, mutant: Option<Mutant>) -> Members {
+    pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Members {
         self.mutant = mutant;
         self
     }
 
-    /// With these others known as alive and no update left to disseminate, for measurements that begin in a calm fleet.
+    /// Marks these members as alive with no update left to disseminate, for measurements that begin in a
+    /// converged fleet.
     #[doc(hidden)]
-    pub fn acquainted(mut self, others: impl IntoIterator<Item = (Member, Incarnation)>) -> Members {
+    pub fn with_known_members(mut self, others: impl IntoIterator<Item = (Member, Incarnation)>) -> Members {
         for (member, incarnation) in others {
             if let Some(peer) = self.peers.get_mut(&member) {
                 (peer.incarnation, peer.state) = (incarnation, State::Alive);
@@ -172,60 +175,65 @@
         self
     }
 
-    /// What is known of one other member; `None` for itself and for numbers that the settings do not name.
+    /// The record of another member; `None` for itself and for numbers that are not in the settings.
     pub fn peer(&self, member: Member) -> Option<&PeerRecord> {
         self.peers.get(&member)
     }
 
-    /// Its own number.
+    /// The number of this member.
     pub fn me(&self) -> Member {
         self.me
     }
 
-    /// Its own incarnation.
+    /// The incarnation of this member.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Lifeguard's local health counter: 0 when healthy; timeouts are longer by that many times.
+    /// Lifeguard's local health counter: 0 when healthy; timeouts are multiplied by one more than that.
     pub fn local_health(&self) -> u32 {
         self.local_health
     }
 
-    /// What is known of each other member.
+    /// The records of all other members.
     pub fn view(&self) -> impl Iterator<Item = (Member, &PeerRecord)> {
-        self.peers.iter().map(|(m, s)| (*m, s))
+        self.peers.iter().map(|(member, peer)| (*member, peer))
     }
 
     /// Members that are alive or suspect, this one included.
     pub fn alive_count(&self) -> usize {
-        1 + self.peers.values().filter(|s| matches!(s.state, State::Alive | State::Suspect)).count()
+        1 + self.peers.values().filter(|peer| matches!(peer.state, State::Alive | State::Suspect)).count()
     }
 
-    /// Does what is due now and returns what to send. `draw` gives a number below its argument.
+    /// Does what is due now and returns the messages to send. `draw` gives a number below its argument.
     pub fn tick(&mut self, now: Time, draw: Draw<'_>) -> Vec<(Member, Message)> {
         let mut out = Vec::new();
         if self.left {
             return out;
         }
-        let slept = now > std::mem::replace(&mut self.last_tick, now) + self.terms.period;
-        if slept && self.mutant != Some(Mutant::NoLocalHealth) {
-            // This process was stopped: an unanswered probe proves nothing, and suspects had no time to refute.
+        let was_suspended = now > std::mem::replace(&mut self.last_tick, now) + self.settings.period;
+        if was_suspended && self.mutant != Some(Mutant::NoLocalHealth) {
+            // This process was suspended: an unanswered probe proves nothing, and suspects had no time to
+            // refute.
             self.probe = None;
             self.worsen_local_health(1);
-            self.peers.values_mut().filter(|s| s.state == State::Suspect).for_each(|s| s.since = now);
+            self.peers
+                .values_mut()
+                .filter(|peer| peer.state == State::Suspect)
+                .for_each(|peer| peer.since = now);
         }
         self.declare_dead(now);
         self.expire_indirect_probes(now, &mut out);
-        let slower = Span::from(1 + self.local_health);
-        if let Some(probe) = self.probe.clone().filter(|a| !a.answered) {
-            let helping = self.mutant != Some(Mutant::NoIndirectProbes);
-            if probe.indirect_probers == 0 && helping && now >= probe.at + self.terms.ack_timeout * slower {
+        let slower = Micros::from(1 + self.local_health);
+        if let Some(probe) = self.probe.clone().filter(|probe| !probe.answered) {
+            let indirect = self.mutant != Some(Mutant::NoIndirectProbes);
+            if probe.indirect_probers == 0 && indirect && now >= probe.at + self.settings.ack_timeout * slower
+            {
                 self.send_indirect_probes(probe, &mut out, draw);
             }
         }
         if now >= self.next_probe {
-            self.next_probe = now + self.terms.period * slower;
+            self.next_probe = now + self.settings.period * slower;
             self.end_probe(now);
             self.begin_probe(now, &mut out, draw);
         }
@@ -234,59 +242,61 @@
 
     fn send_indirect_probes(&mut self, probe: Probe, out: &mut Vec<(Member, Message)>, draw: Draw<'_>) {
         let mut able: Vec<Member> =
-            self.peers.iter().filter(|(_, s)| s.state == State::Alive).map(|(m, _)| *m).collect();
+            self.peers.iter().filter(|(_, peer)| peer.state == State::Alive).map(|(m, _)| *m).collect();
         able.retain(|m| *m != probe.to);
         let mut indirect_probers = 0;
-        while indirect_probers < self.terms.indirect_probers && !able.is_empty() {
+        while indirect_probers < self.settings.indirect_probers && !able.is_empty() {
             let prober = able.swap_remove(draw(able.len()));
             let message = self.message(Kind::PingRequest, probe.serial, probe.to, prober);
             out.push((prober, message));
             indirect_probers += 1;
         }
-        // The target is probed once more directly: under heavy loss most failed probes are due to a lost datagram.
+        // The target is probed once more directly: under heavy loss most failed probes are due to a lost
+        // datagram.
         let again = self.message(Kind::Ping, probe.serial, probe.to, probe.to);
         out.push((probe.to, again));
-        // Where nobody can be asked, that counts as one nack, and nobody is asked again.
+        // If no member can be asked, that counts as one nack, and this probe is not repeated.
         let nacks = usize::from(indirect_probers == 0);
         self.probe = Some(Probe { indirect_probers: indirect_probers.max(1), nacks, ..probe });
     }
 
-    /// The period is over: a target that did not answer becomes suspect.
+    /// Ends the probe of the period: a target that did not answer becomes a suspect.
     fn end_probe(&mut self, now: Time) {
-        let Some(probe) = self.probe.take().filter(|a| !a.answered) else { return };
-        // Where the indirect probers are silent as well, the fault may be this member's own.
+        let Some(probe) = self.probe.take().filter(|probe| !probe.answered) else { return };
+        // If the indirect probers do not answer either, the fault may be this member's own.
         self.worsen_local_health(u32::from(probe.nacks < probe.indirect_probers));
-        let Some(seen) = self.peers.get(&probe.to) else { return };
-        let news = Update {
+        let Some(peer) = self.peers.get(&probe.to) else { return };
+        let update = Update {
             member: probe.to,
-            incarnation: seen.incarnation,
-            refutations: seen.refutations,
+            incarnation: peer.incarnation,
+            refutations: peer.refutations,
             state: if self.mutant == Some(Mutant::NoSuspicion) { State::Dead } else { State::Suspect },
-            by: self.me,
+            reported_by: self.me,
         };
-        if seen.state == State::Alive || seen.state == State::Suspect {
-            self.apply(now, &news);
+        if peer.state == State::Alive || peer.state == State::Suspect {
+            self.apply(now, &update);
         }
     }
 
     fn worsen_local_health(&mut self, by: u32) {
         if self.mutant != Some(Mutant::NoLocalHealth) {
-            self.local_health = (self.local_health + by).min(self.terms.max_local_health);
+            self.local_health = (self.local_health + by).min(self.settings.max_local_health);
         }
     }
 
     fn begin_probe(&mut self, now: Time, out: &mut Vec<(Member, Message)>, draw: Draw<'_>) {
         self.probe_count = self.probe_count.wrapping_add(1);
-        let lost = |s: &PeerRecord| matches!(s.state, State::Dead | State::Unknown | State::Left);
-        let never_dead = self.mutant == Some(Mutant::NeverProbesDead);
+        let unreachable =
+            |peer: &PeerRecord| matches!(peer.state, State::Dead | State::Unknown | State::Left);
+        let skips_dead = self.mutant == Some(Mutant::NeverProbesDead);
         let dead: Vec<Member> = self
             .peers
             .iter()
-            .filter(|(_, s)| lost(s) && !(never_dead && s.state == State::Dead))
+            .filter(|(_, peer)| unreachable(peer) && !(skips_dead && peer.state == State::Dead))
             .map(|(m, _)| *m)
             .collect();
-        let there = self.peers.len() - self.peers.values().filter(|s| lost(s)).count();
-        let to = if !dead.is_empty() && (there == 0 || self.probe_count % PROBES_PER_DEAD_PROBE == 0) {
+        let reachable = self.peers.len() - self.peers.values().filter(|peer| unreachable(peer)).count();
+        let to = if !dead.is_empty() && (reachable == 0 || self.probe_count % PROBES_PER_DEAD_PROBE == 0) {
             Some(dead[draw(dead.len())])
         } else {
             self.next_target(draw)
@@ -299,17 +309,18 @@
             Some(Probe { to, serial: self.serial, at: now, indirect_probers: 0, nacks: 0, answered: false });
     }
 
-    /// Round robin over all that are alive or suspect, shuffled for each round: the time until a member is probed is bounded
-    /// (SWIM, section 4.3).
+    /// Round robin over all members that are alive or suspect, shuffled for each round, which bounds the time
+    /// until a member is probed (SWIM, section 4.3).
     fn next_target(&mut self, draw: Draw<'_>) -> Option<Member> {
-        let there = |s: &PeerRecord| matches!(s.state, State::Alive | State::Suspect);
+        let reachable = |peer: &PeerRecord| matches!(peer.state, State::Alive | State::Suspect);
         for _ in 0..2 {
             while let Some(m) = self.probe_order.pop() {
-                if self.peers.get(&m).is_some_and(there) {
+                if self.peers.get(&m).is_some_and(reachable) {
                     return Some(m);
                 }
             }
-            self.probe_order = self.peers.iter().filter(|(_, s)| there(s)).map(|(m, _)| *m).collect();
+            self.probe_order =
+                self.peers.iter().filter(|(_, peer)| reachable(peer)).map(|(m, _)| *m).collect();
             for n in (1..self.probe_order.len()).rev() {
                 self.probe_order.swap(n, draw(n + 1));
             }
@@ -317,81 +328,88 @@
         None
     }
 
-    /// Suspects whose time is up become dead. The more members suspect one, the shorter its time (Lifeguard, section IV-B).
+    /// Declares suspects dead whose time has expired. The more members suspect one, the shorter its time
+    /// (Lifeguard, section IV-B).
     fn declare_dead(&mut self, now: Time) {
         let n = self.alive_count();
-        let terms = self.terms.clone();
-        // As in SWIM, a suspect's time grows with the logarithm of the members, as dissemination does.
+        let settings = self.settings.clone();
+        // As in SWIM, a suspect's time grows with the logarithm of the number of members, as the time of
+        // dissemination does.
         let log = u64::from((n as u32).ilog2().max(1));
-        for seen in self.peers.values_mut().filter(|s| s.state == State::Suspect) {
-            let (least, most) =
-                (terms.min_suspicion * log * terms.period, terms.max_suspicion * log * terms.period);
-            let c = (seen.confirmed_by.len() as u32).min(terms.confirmations);
-            let part = (f64::from(c) + 1.0).ln() / (f64::from(terms.confirmations) + 1.0).ln();
-            let span = most - ((most - least) as f64 * part) as Span;
-            if now >= seen.since + span {
-                (seen.state, seen.transmissions, seen.by) = (State::Dead, 0, self.me);
+        for peer in self.peers.values_mut().filter(|peer| peer.state == State::Suspect) {
+            let (shortest, longest) = (
+                settings.min_suspicion * log * settings.period,
+                settings.max_suspicion * log * settings.period,
+            );
+            let confirmations = (peer.confirmed_by.len() as u32).min(settings.confirmations);
+            let shortening =
+                (f64::from(confirmations) + 1.0).ln() / (f64::from(settings.confirmations) + 1.0).ln();
+            let timeout = longest - ((longest - shortest) as f64 * shortening) as Micros;
+            if now >= peer.since + timeout {
+                (peer.state, peer.transmissions, peer.reported_by) = (State::Dead, 0, self.me);
             }
         }
     }
 
     fn expire_indirect_probes(&mut self, now: Time, out: &mut Vec<(Member, Message)>) {
         let late: Vec<u32> =
-            self.indirect_probes.iter().filter(|(_, f)| now >= f.until).map(|(n, _)| *n).collect();
+            self.indirect_probes.iter().filter(|(_, probe)| now >= probe.until).map(|(n, _)| *n).collect();
         for serial in late {
-            if let Some(f) = self.indirect_probes.remove(&serial) {
-                let message = self.message(Kind::Nack, f.requested_serial, f.about, f.requester);
-                out.push((f.requester, message));
+            if let Some(probe) = self.indirect_probes.remove(&serial) {
+                let message = self.message(Kind::Nack, probe.requested_serial, probe.target, probe.requester);
+                out.push((probe.requester, message));
             }
         }
     }
 
-    /// Takes in a message and returns what to send.
+    /// Processes a received message and returns the messages to send.
     pub fn receive(&mut self, now: Time, from: Member, message: &Message) -> Vec<(Member, Message)> {
         let mut out = Vec::new();
         if !self.peers.contains_key(&from) || self.left {
             return out;
         }
-        // The sender's own record of itself.
-        let own = Update {
+        // The sender's record of itself.
+        let sender = Update {
             member: from,
             incarnation: message.incarnation,
             refutations: message.refutations,
             state: State::Alive,
-            by: from,
+            reported_by: from,
         };
-        self.apply(now, &own);
+        self.apply(now, &sender);
         message.updates.iter().for_each(|u| self.apply(now, u));
         match message.kind {
             Kind::Ping => out.push((from, self.message(Kind::Ack, message.serial, self.me, from))),
             Kind::PingRequest => {
-                let known = self.peers.contains_key(&message.about) && message.about != from;
+                let known = self.peers.contains_key(&message.target) && message.target != from;
                 if known && self.indirect_probes.len() < MAX_INDIRECT_PROBES {
                     self.serial = self.serial.wrapping_add(1);
-                    let until = now + 2 * self.terms.ack_timeout;
-                    let (requester, requested_serial, about) = (from, message.serial, message.about);
+                    let until = now + 2 * self.settings.ack_timeout;
+                    let (requester, requested_serial, target) = (from, message.serial, message.target);
                     self.indirect_probes
-                        .insert(self.serial, IndirectProbe { requester, requested_serial, about, until });
-                    out.push((about, self.message(Kind::Ping, self.serial, about, about)));
+                        .insert(self.serial, IndirectProbe { requester, requested_serial, target, until });
+                    out.push((target, self.message(Kind::Ping, self.serial, target, target)));
                 }
             }
             Kind::Ack => {
-                if let Some(f) = self.indirect_probes.remove(&message.serial).filter(|f| f.about == from) {
+                if let Some(probe) =
+                    self.indirect_probes.remove(&message.serial).filter(|probe| probe.target == from)
+                {
                     out.push((
-                        f.requester,
-                        self.message(Kind::Ack, f.requested_serial, f.about, f.requester),
+                        probe.requester,
+                        self.message(Kind::Ack, probe.requested_serial, probe.target, probe.requester),
                     ));
                 }
-                let about = message.about;
+                let target = message.target;
                 if let Some(probe) =
-                    self.probe.as_mut().filter(|a| a.serial == message.serial && a.to == about)
+                    self.probe.as_mut().filter(|probe| probe.serial == message.serial && probe.to == target)
                 {
                     probe.answered = true;
                     self.local_health = self.local_health.saturating_sub(1);
                 }
             }
             Kind::Nack => {
-                if let Some(probe) = self.probe.as_mut().filter(|a| a.serial == message.serial) {
+                if let Some(probe) = self.probe.as_mut().filter(|probe| probe.serial == message.serial) {
                     probe.nacks += 1;
                 }
             }
@@ -399,32 +417,38 @@
         out
     }
 
-    /// Applies an update. One that is older, or of a weaker state at the same incarnation and refutations, changes nothing.
-    fn apply(&mut self, now: Time, u: &Update) {
-        if u.member == self.me {
-            return self.refute(u);
+    /// Applies an update. It changes nothing if it is older, or has a weaker state at the same incarnation
+    /// and refutations.
+    fn apply(&mut self, now: Time, update: &Update) {
+        if update.member == self.me {
+            return self.refute(update);
         }
-        let Some(seen) = self.peers.get_mut(&u.member) else { return };
-        if u.state == State::Unknown {
+        let Some(peer) = self.peers.get_mut(&update.member) else { return };
+        if update.state == State::Unknown {
             return;
         }
-        let (new, old) =
-            ((u.incarnation, u.refutations, u.state), (seen.incarnation, seen.refutations, seen.state));
-        // An independent suspicion makes a death more likely; each of the first few is disseminated.
-        let same =
-            new == old && u.state == State::Suspect && u.by != seen.by && !seen.confirmed_by.contains(&u.by);
-        if same && (seen.confirmed_by.len() as u32) < self.terms.confirmations {
-            seen.confirmed_by.push(u.by);
-            (seen.transmissions, seen.by) = (0, u.by);
+        let (new, old) = (
+            (update.incarnation, update.refutations, update.state),
+            (peer.incarnation, peer.refutations, peer.state),
+        );
+        // An independent suspicion makes a failure more likely; each of the first few is disseminated.
+        let confirms = new == old
+            && update.state == State::Suspect
+            && update.reported_by != peer.reported_by
+            && !peer.confirmed_by.contains(&update.reported_by);
+        if confirms && (peer.confirmed_by.len() as u32) < self.settings.confirmations {
+            peer.confirmed_by.push(update.reported_by);
+            (peer.transmissions, peer.reported_by) = (0, update.reported_by);
         }
         if new > old || self.mutant == Some(Mutant::AcceptsStaleUpdates) && new != old {
-            let since = if u.state == State::Suspect { now } else { seen.since };
-            let (incarnation, refutations, state, by) = (u.incarnation, u.refutations, u.state, u.by);
-            *seen = PeerRecord {
+            let since = if update.state == State::Suspect { now } else { peer.since };
+            let (incarnation, refutations, state, reported_by) =
+                (update.incarnation, update.refutations, update.state, update.reported_by);
+            *peer = PeerRecord {
                 incarnation,
                 refutations,
                 state,
-                by,
+                reported_by,
                 since,
                 confirmed_by: Vec::new(),
                 transmissions: 0,
@@ -432,33 +456,41 @@
         }
     }
 
-    /// Refutes an update by which this member is not alive, or runs in a later incarnation than it does.
-    fn refute(&mut self, u: &Update) {
-        let doubted = !matches!(u.state, State::Alive | State::Unknown) || u.incarnation > self.incarnation;
+    /// Refutes an update that reports this member as not alive, or in a later incarnation than its own.
+    fn refute(&mut self, update: &Update) {
+        let doubted =
+            !matches!(update.state, State::Alive | State::Unknown) || update.incarnation > self.incarnation;
         if !doubted
-            || (u.incarnation, u.refutations) < (self.incarnation, self.refutations)
+            || (update.incarnation, update.refutations) < (self.incarnation, self.refutations)
             || self.mutant == Some(Mutant::NeverRefutes)
         {
             return;
         }
-        // Where the clock went back over a restart, the member continues in the incarnation that the others know.
-        self.incarnation = self.incarnation.max(u.incarnation);
-        self.refutations = u.refutations.saturating_add(1);
+        // If the clock went back across a restart, the member continues in the incarnation that the others
+        // know.
+        self.incarnation = self.incarnation.max(update.incarnation);
+        self.refutations = update.refutations.saturating_add(1);
         self.worsen_local_health(1);
     }
 
-    /// This member leaves; returns what to send.
+    /// Leaves the fleet and returns the messages to send.
     pub fn leave(&mut self) -> Vec<(Member, Message)> {
-        let there = |s: &PeerRecord| matches!(s.state, State::Alive | State::Suspect);
-        let to: Vec<Member> =
-            self.peers.iter().filter(|(_, s)| there(s)).map(|(m, _)| *m).take(LEAVE_FANOUT).collect();
-        let (member, incarnation, refutations, by) = (self.me, self.incarnation, self.refutations, self.me);
-        let update = Update { member, incarnation, refutations, state: State::Left, by };
+        let reachable = |peer: &PeerRecord| matches!(peer.state, State::Alive | State::Suspect);
+        let to: Vec<Member> = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| reachable(peer))
+            .map(|(m, _)| *m)
+            .take(LEAVE_FANOUT)
+            .collect();
+        let (member, incarnation, refutations, reported_by) =
+            (self.me, self.incarnation, self.refutations, self.me);
+        let update = Update { member, incarnation, refutations, state: State::Left, reported_by };
         let farewell = |m: &Member| {
             let message = Message {
                 kind: Kind::Nack,
                 serial: 0,
-                about: self.me,
+                target: self.me,
                 incarnation,
                 refutations,
                 updates: vec![update],
@@ -470,47 +502,62 @@
         out
     }
 
-    /// A message with updates: first a doubt of the receiver itself, then news in order of fewest transmissions, then parts of
-    /// the view in turn, so that views converge whatever was lost.
-    fn message(&mut self, kind: Kind, serial: u32, about: Member, to: Member) -> Message {
+    /// Builds a message with updates: first the suspicion, death or departure of the recipient itself, if
+    /// any, then recent changes in order of fewest transmissions, then parts of the view in turn, so that
+    /// views converge whatever messages are lost.
+    fn message(&mut self, kind: Kind, serial: u32, target: Member, to: Member) -> Message {
         let n = self.peers.len() as u32 + 1;
         let max_transmissions = RETRANSMIT_MULTIPLIER * (n.ilog2() + 1);
-        let update = |m: Member, s: &PeerRecord| Update {
-            member: m,
-            incarnation: s.incarnation,
-            refutations: s.refutations,
-            state: s.state,
-            by: s.by,
+        let update = |member: Member, peer: &PeerRecord| Update {
+            member,
+            incarnation: peer.incarnation,
+            refutations: peer.refutations,
+            state: peer.state,
+            reported_by: peer.reported_by,
         };
-        let doubted = |s: &PeerRecord| matches!(s.state, State::Suspect | State::Dead | State::Left);
-        let mut updates: Vec<Update> =
-            self.peers.get(&to).filter(|s| doubted(s)).map(|s| update(to, s)).into_iter().collect();
-        let mut news: Vec<(u32, Member)> = self
+        let doubted = |peer: &PeerRecord| matches!(peer.state, State::Suspect | State::Dead | State::Left);
+        let mut updates: Vec<Update> = self
+            .peers
+            .get(&to)
+            .filter(|peer| doubted(peer))
+            .map(|peer| update(to, peer))
+            .into_iter()
+            .collect();
+        let mut recent: Vec<(u32, Member)> = self
             .peers
             .iter()
-            .filter(|(m, s)| s.transmissions < max_transmissions && **m != to)
-            .map(|(m, s)| (s.transmissions, *m))
+            .filter(|(member, peer)| peer.transmissions < max_transmissions && **member != to)
+            .map(|(member, peer)| (peer.transmissions, *member))
             .collect();
-        news.sort_unstable();
-        for (_, m) in news.into_iter().take(MAX_UPDATES - updates.len()) {
-            if let Some(seen) = self.peers.get_mut(&m) {
-                seen.transmissions += 1;
-                updates.push(update(m, seen));
+        recent.sort_unstable();
+        for (_, m) in recent.into_iter().take(MAX_UPDATES - updates.len()) {
+            if let Some(peer) = self.peers.get_mut(&m) {
+                peer.transmissions += 1;
+                updates.push(update(m, peer));
             }
         }
-        let known = |s: &PeerRecord| s.state != State::Unknown;
+        let known = |peer: &PeerRecord| peer.state != State::Unknown;
         let from = self.cursor;
         let (after, before) = (self.peers.range(from..), self.peers.range(..from));
         let rest: Vec<Update> = after
             .chain(before)
-            .filter(|(m, s)| **m != to && known(s) && !updates.iter().any(|u| u.member == **m))
-            .map(|(m, s)| update(*m, s))
+            .filter(|(member, peer)| {
+                **member != to && known(peer) && !updates.iter().any(|u| u.member == **member)
+            })
+            .map(|(member, peer)| update(*member, peer))
             .take(MAX_UPDATES - updates.len())
             .collect();
         if let Some(last) = rest.last() {
             self.cursor = last.member.wrapping_add(1);
         }
         updates.extend(rest);
-        Message { kind, serial, about, incarnation: self.incarnation, refutations: self.refutations, updates }
+        Message {
+            kind,
+            serial,
+            target,
+            incarnation: self.incarnation,
+            refutations: self.refutations,
+            updates,
+        }
     }
 }
--- a/crates/badgerwind-scale/src/rows/members.rs
+++ b/crates/badgerwind-scale/src/rows/members.rs
@@ -5,7 +5,9 @@
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use crate::rows::network::{Area, Conditions, Event, Micros, Network, MILLISECOND, SECOND};
-use badgerwind_members::{Incarnation, Kind, Member, Members, Message, State, Terms, Update, MAX_UPDATES};
+use badgerwind_members::{
+    DetectionSettings, Incarnation, Kind, Member, Members, Message, State, Update, MAX_UPDATES,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -56,7 +58,7 @@
     real: usize,
     size: usize,
     incarnations: Vec<Incarnation>,
-    terms: Terms,
+    terms: DetectionSettings,
     rng: StdRng,
     mutant: Option<Mutant>,
     /// Pings of scripted members for real ones, by serial: who asked, and under which serial of its own.
@@ -91,7 +93,7 @@
             real,
             size,
             incarnations: vec![1; size],
-            terms: Terms::paced(PERIOD),
+            terms: DetectionSettings::for_period(PERIOD),
             rng: StdRng::seed_from_u64(seed ^ 0x6d65_6d62),
             mutant: None,
             relayed: BTreeMap::new(),
@@ -101,7 +103,7 @@
         for index in 0..real {
             let mut one = fleet.newcomer(index);
             if acquainted {
-                one = one.acquainted((0..size).map(|m| (m as Member, 1)));
+                one = one.with_known_members((0..size).map(|m| (m as Member, 1)));
             }
             fleet.members.push(one);
             fleet.begin_timers(index);
@@ -178,7 +180,7 @@
     fn hear(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.network.clock(to);
         let meter = (to == 0).then(ProcessorMeter::start);
-        let Some(message) = Message::read(bytes) else { return };
+        let Some(message) = Message::decode(bytes) else { return };
         let out = encoded(self.members[to].receive(now, from as Member, &message));
         self.processor += meter.map_or(0.0, |m| m.microseconds());
         self.send(to, out);
@@ -226,12 +228,12 @@
         }
         let from = self.rng.random_range(scripted);
         let message = self.scripted(from, kind, 0, about);
-        self.network.send(from, to, kind_name(kind), message.bytes());
+        self.network.send(from, to, kind_name(kind), message.encode());
     }
 
     /// What a scripted member does with a message: it answers pings, and pings for others.
     fn scripted_answer(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        let Some(message) = Message::read(bytes) else { return };
+        let Some(message) = Message::decode(bytes) else { return };
         match message.kind {
             Kind::Ping => self.scripted_send(to, from, Kind::Ack, message.serial, to as Member),
             Kind::PingRequest => {
@@ -240,12 +242,12 @@
                     self.relayed.pop_first();
                 }
                 self.relayed.insert(self.serial, (from, message.serial));
-                let about = usize::from(message.about);
-                self.scripted_send(to, about, Kind::Ping, self.serial, message.about);
+                let about = usize::from(message.target);
+                self.scripted_send(to, about, Kind::Ping, self.serial, message.target);
             }
             Kind::Ack => {
                 if let Some((requester, serial)) = self.relayed.remove(&message.serial) {
-                    self.scripted_send(to, requester, Kind::Ack, serial, message.about);
+                    self.scripted_send(to, requester, Kind::Ack, serial, message.target);
                 }
             }
             Kind::Nack => {}
@@ -254,7 +256,7 @@
 
     fn scripted_send(&mut self, from: usize, to: usize, kind: Kind, serial: u32, about: Member) {
         let message = self.scripted(from, kind, serial, about);
-        self.network.send(from, to, kind_name(kind), message.bytes());
+        self.network.send(from, to, kind_name(kind), message.encode());
     }
 
     /// A message of a scripted member of a calm fleet: full of what all know.
@@ -266,10 +268,10 @@
             incarnation: self.incarnations[member],
             refutations: 0,
             state: State::Alive,
-            by: member as Member,
+            reported_by: member as Member,
         };
         let updates = known.map(update).collect();
-        Message { kind, serial, about, incarnation: self.incarnations[from], refutations: 0, updates }
+        Message { kind, serial, target: about, incarnation: self.incarnations[from], refutations: 0, updates }
     }
 
     /// Plays until this holds, looked at four times a second; how long that took.
@@ -350,7 +352,7 @@
 type Encoded = (usize, Kind, Vec<u8>);
 
 fn encoded(out: Vec<(Member, Message)>) -> Vec<Encoded> {
-    out.into_iter().map(|(to, message)| (usize::from(to), message.kind, message.bytes())).collect()
+    out.into_iter().map(|(to, message)| (usize::from(to), message.kind, message.encode())).collect()
 }
 
 fn seconds(span: Micros) -> f64 {
