--- a/crates/badgerwind-fleet/src/disk.rs
+++ b/crates/badgerwind-fleet/src/disk.rs
@@ -1,5 +1,5 @@
-//! A voter's disk: vote, log and snapshot in an embedded store (`redb`: each write is one transaction, on the disk when it returns,
-//! whole or not at all).
+//! A voter's disk: vote, log and snapshot in an embedded database (`redb`). Each write is one atomic
+//! transaction, which is durable when it returns.
 
 use badgerwind_register::{VoterStorage, VoterStorageError, Write};
 use redb::{Database, Durability, ReadableTable, TableDefinition};
@@ -8,53 +8,54 @@
 
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 const STATE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("state");
-const FORM: &[u8] = b"badgerwind-register 1";
+/// Identifies the format of the file.
+const FORMAT: &[u8] = b"badgerwind-register 1";
 
-/// A voter's disk.
+/// The persistent storage of a voter.
 #[derive(Debug)]
 pub struct Disk {
-    store: Database,
+    database: Database,
     path: PathBuf,
 }
 
-/// Why a disk cannot be used.
+/// Error of a voter's disk.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// There is none where one must be: a voter without its disk may have voted before.
-    #[error("{0}: no register there. A voter that has lost its disk does not vote again under its place; take it out of the voters and add it anew, or make the first one when the fleet begins")]
+    /// The file does not exist. A voter without its file may have voted before.
+    #[error("{0}: no register file exists. A voter that has lost its disk must not vote again under the same number; remove it from the voters and add it anew, or create the file if the fleet is new")]
     Missing(PathBuf),
-    /// There is one where none may be.
-    #[error("{0}: a register is there already; it is not begun anew")]
-    Present(PathBuf),
-    /// Another form, or no register.
-    #[error("{0}: not a register of this form; the file belongs to something else or to a newer program")]
-    Form(PathBuf),
-    /// What is there cannot be what a voter wrote.
+    /// The file exists where none is expected.
+    #[error("{0}: a register file exists already; it is not overwritten")]
+    AlreadyExists(PathBuf),
+    /// The file has another format, or is not a register.
+    #[error("{0}: not a register file of this format; it belongs to another program or to a newer version")]
+    UnknownFormat(PathBuf),
+    /// The contents cannot have been written by a voter.
     #[error("{0}: {1}")]
-    Damaged(PathBuf, VoterStorageError),
-    /// The store's own checks stopped at it: cut off, or written over.
-    #[error("{0}: the file is cut off or damaged; take this voter out of the voters and add it anew with a new file")]
-    Torn(PathBuf),
-    /// The store failed.
-    #[error("{0}: {1}; the voter stands still until its disk can be written")]
-    Store(PathBuf, Box<redb::Error>),
+    Invalid(PathBuf, VoterStorageError),
+    /// The checks of the database failed: the file is truncated or overwritten.
+    #[error("{0}: the file is cut off or damaged; remove this voter from the voters and add it anew with a new file")]
+    Corrupt(PathBuf),
+    /// An operation of the database failed.
+    #[error("{0}: {1}; the voter is stopped until its disk can be written")]
+    Database(PathBuf, Box<redb::Error>),
 }
 
 impl Disk {
-    fn failed(path: &Path) -> impl Fn(redb::Error) -> DiskError + '_ {
-        |e| DiskError::Store(path.to_owned(), Box::new(e))
+    fn database_error(path: &Path) -> impl Fn(redb::Error) -> DiskError + '_ {
+        |e| DiskError::Database(path.to_owned(), Box::new(e))
     }
 
-    /// Makes a voter's disk with what it begins with.
+    /// Creates a voter's file with its initial storage.
     pub fn create(path: &Path, storage: &VoterStorage) -> Result<Disk, DiskError> {
         if path.exists() {
-            return Err(DiskError::Present(path.to_owned()));
+            return Err(DiskError::AlreadyExists(path.to_owned()));
         }
-        let store = Database::create(path).map_err(|e| Disk::failed(path)(e.into()))?;
-        let disk = Disk { store, path: path.to_owned() };
+        let database = Database::create(path).map_err(|e| Disk::database_error(path)(e.into()))?;
+        let disk = Disk { database, path: path.to_owned() };
         disk.transaction(|log, state| {
             let first = postcard::to_allocvec(&storage.first()).unwrap_or_default();
-            state.insert("form", FORM)?;
+            state.insert("form", FORMAT)?;
             state.insert("snapshot", first.as_slice())?;
             log.retain(|_, _| false)?;
             Ok(())
@@ -62,81 +63,82 @@
         Ok(disk)
     }
 
-    /// Opens one, and reads what the voter must not have forgotten.
+    /// Opens a voter's file and reads its storage.
     pub fn open(path: &Path) -> Result<(Disk, VoterStorage), DiskError> {
         if !path.exists() {
             return Err(DiskError::Missing(path.to_owned()));
         }
-        // The store asserts what it finds of a file's length: a file that was cut off is an error here, and no panic.
+        // The database panics on some truncated files: this is reported as an error instead.
         catch_unwind(AssertUnwindSafe(|| Disk::read(path)))
-            .unwrap_or_else(|_| Err(DiskError::Torn(path.to_owned())))
+            .unwrap_or_else(|_| Err(DiskError::Corrupt(path.to_owned())))
     }
 
     fn read(path: &Path) -> Result<(Disk, VoterStorage), DiskError> {
-        let failed = Disk::failed(path);
-        let store = Database::open(path).map_err(|e| failed(e.into()))?;
-        let read = store.begin_read().map_err(|e| failed(e.into()))?;
-        let form = || DiskError::Form(path.to_owned());
-        let state = read.open_table(STATE).map_err(|_| form())?;
+        let failed = Disk::database_error(path);
+        let database = Database::open(path).map_err(|e| failed(e.into()))?;
+        let read = database.begin_read().map_err(|e| failed(e.into()))?;
+        let unknown_format = || DiskError::UnknownFormat(path.to_owned());
+        let state = read.open_table(STATE).map_err(|_| unknown_format())?;
         let get = |name: &str| -> Result<Option<Vec<u8>>, DiskError> {
             Ok(state.get(name).map_err(|e| failed(e.into()))?.map(|v| v.value().to_vec()))
         };
-        if get("form")?.as_deref() != Some(FORM) {
-            return Err(form());
+        if get("form")?.as_deref() != Some(FORMAT) {
+            return Err(unknown_format());
         }
-        let snapshot = get("snapshot")?.ok_or_else(form)?;
-        let snapshot = postcard::from_bytes(&snapshot).map_err(|_| form())?;
+        let snapshot = get("snapshot")?.ok_or_else(unknown_format)?;
+        let snapshot = postcard::from_bytes(&snapshot).map_err(|_| unknown_format())?;
         let hard = match get("hard")? {
-            Some(bytes) => postcard::from_bytes(&bytes).map_err(|_| form())?,
+            Some(bytes) => postcard::from_bytes(&bytes).map_err(|_| unknown_format())?,
             None => Default::default(),
         };
         let mut entries = Vec::new();
         let log = read.open_table(LOG).map_err(|e| failed(e.into()))?;
         for row in log.iter().map_err(|e| failed(e.into()))? {
             let (_, bytes) = row.map_err(|e| failed(e.into()))?;
-            entries.push(postcard::from_bytes(bytes.value()).map_err(|_| form())?);
+            entries.push(postcard::from_bytes(bytes.value()).map_err(|_| unknown_format())?);
         }
         let storage = VoterStorage::read(snapshot, hard, entries)
-            .map_err(|e| DiskError::Damaged(path.to_owned(), e))?;
+            .map_err(|e| DiskError::Invalid(path.to_owned(), e))?;
         drop((state, log));
         drop(read);
-        Ok((Disk { store, path: path.to_owned() }, storage))
+        Ok((Disk { database, path: path.to_owned() }, storage))
     }
 
     fn transaction(
         &self,
-        act: impl FnOnce(
+        apply: impl FnOnce(
             &mut redb::Table<'_, u64, &[u8]>,
             &mut redb::Table<'_, &str, &[u8]>,
         ) -> Result<(), redb::StorageError>,
     ) -> Result<(), DiskError> {
-        let failed = Disk::failed(&self.path);
-        let mut t = self.store.begin_write().map_err(|e| failed(e.into()))?;
-        t.set_durability(Durability::Immediate);
+        let failed = Disk::database_error(&self.path);
+        let mut transaction = self.database.begin_write().map_err(|e| failed(e.into()))?;
+        transaction.set_durability(Durability::Immediate);
         {
-            let mut log = t.open_table(LOG).map_err(|e| failed(e.into()))?;
-            let mut state = t.open_table(STATE).map_err(|e| failed(e.into()))?;
-            act(&mut log, &mut state).map_err(|e| failed(e.into()))?;
+            let mut log = transaction.open_table(LOG).map_err(|e| failed(e.into()))?;
+            let mut state = transaction.open_table(STATE).map_err(|e| failed(e.into()))?;
+            apply(&mut log, &mut state).map_err(|e| failed(e.into()))?;
         }
-        t.commit().map_err(|e| failed(e.into()))
+        transaction.commit().map_err(|e| failed(e.into()))
     }
 
-    /// Writes; on the disk when it returns. After an error nothing that rests on it may leave the process.
+    /// Writes in one transaction, which is durable when this returns. After an error, no message that depends
+    /// on the write may be sent.
     pub fn write(&self, write: &Write) -> Result<(), DiskError> {
         self.transaction(|log, state| {
-            if let Some(s) = &write.snapshot {
-                let bytes = postcard::to_allocvec(s).unwrap_or_default();
+            if let Some(snapshot) = &write.snapshot {
+                let bytes = postcard::to_allocvec(snapshot).unwrap_or_default();
                 state.insert("snapshot", bytes.as_slice())?;
             }
             if let Some(first) = write.entries.first().map(Write::index) {
                 log.retain_in(first.., |_, _| false)?;
             }
-            for e in &write.entries {
-                let bytes = postcard::to_allocvec(e).unwrap_or_default();
-                log.insert(Write::index(e), bytes.as_slice())?;
+            for entry in &write.entries {
+                let bytes = postcard::to_allocvec(entry).unwrap_or_default();
+                log.insert(Write::index(entry), bytes.as_slice())?;
             }
-            if let Some(h) = &write.hard {
-                let bytes = postcard::to_allocvec(h).unwrap_or_default();
+            if let Some(hard) = &write.hard {
+                let bytes = postcard::to_allocvec(hard).unwrap_or_default();
                 state.insert("hard", bytes.as_slice())?;
             }
             if let Some(cut) = write.cut {
--- a/crates/badgerwind-fleet/src/link.rs
+++ b/crates/badgerwind-fleet/src/link.rs
@@ -1,6 +1,7 @@
-//! Links between members: TCP, each way its own connection, sealed by Noise (`NNpsk0`: both prove that they have the peers' key, and
-//! each connection has keys of its own, so that nothing of an earlier one can come again). What cannot be sent is lost; the register's
-//! state machines ask again.
+//! Links between members: TCP with one connection for each direction, encrypted by Noise (`NNpsk0`: both
+//! sides prove that they have the peers' key, and each connection has its own keys, so that messages of an
+//! earlier one cannot be replayed). Messages that cannot be sent are lost; the register's state machines send
+//! them again.
 
 use async_channel::{Receiver, Sender};
 use badgerwind_register::{Member, Message};
@@ -13,45 +14,46 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest message: all that stands, at the most.
-const MOST: usize = 8 << 20;
-/// Plain bytes in one sealed piece; Noise has 65,535 with its tag.
-const PIECE: usize = 60_000;
-/// A connection that is not up, or not proven, by then is given up.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// Pause before another try.
-const PAUSE: Duration = Duration::from_millis(50);
-/// A peer that takes nothing for so long is given up: what waits for it is old.
-const STUCK: Duration = Duration::from_secs(2);
-
-/// Why a connection ended.
+/// Maximum size of a message in bytes: the largest is a snapshot of the register.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
+/// Plaintext bytes in a frame; a Noise message has at most 65,535 bytes with its tag.
+const FRAME_BYTES: usize = 60_000;
+/// Time to connect and, separately, to complete the handshake; after that the connection is abandoned.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before another attempt to connect or accept.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time to write a frame. After that the connection is abandoned, since the messages that wait for it are
+/// stale.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Error that ended a connection.
 #[derive(Debug, thiserror::Error)]
-enum Broken {
+enum LinkError {
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    #[error("not proven, or spoilt: {0}")]
+    #[error("the peer is not authenticated, or the data is corrupt: {0}")]
     Noise(#[from] snow::Error),
-    #[error("it says that it is member {0}")]
-    Other(Member),
-    #[error("a message of {0} bytes")]
-    Long(usize),
-    #[error("a handshake without a member's number")]
-    Nobody,
+    #[error("the peer identifies itself as member {0}")]
+    WrongMember(Member),
+    #[error("a message of {0} bytes exceeds the maximum size")]
+    MessageTooLong(usize),
+    #[error("the handshake carries no member number")]
+    InvalidHandshake,
 }
 
-/// What all links of a process share.
+/// A member's number and the key with which it authenticates its links.
 #[derive(Clone)]
-pub struct Seal {
+pub struct LinkIdentity {
     me: Member,
     psk: [u8; 32],
 }
 
-impl Seal {
-    /// By the peers' key. `None` for a key that is not shared.
-    pub fn new(me: Member, key: &Key) -> Option<Seal> {
+impl LinkIdentity {
+    /// Derives the link key from the peers' key. `None` for a key that is not a shared secret.
+    pub fn new(me: Member, key: &Key) -> Option<LinkIdentity> {
         let Key::Shared(secret) = key else { return None };
         let psk = Sha256::new().chain_update(b"badgerwind register link 1").chain_update(secret).finalize();
-        Some(Seal { me, psk: psk.into() })
+        Some(LinkIdentity { me, psk: psk.into() })
     }
 
     fn builder(&self) -> Result<Builder<'_>, snow::Error> {
@@ -59,17 +61,17 @@
     }
 }
 
-async fn late<T>(after: Duration) -> Result<T, Broken> {
+async fn timeout<T>(after: Duration) -> Result<T, LinkError> {
     Timer::after(after).await;
     Err(std::io::Error::from(std::io::ErrorKind::TimedOut).into())
 }
 
-async fn piece(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), Broken> {
+async fn write_frame(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), LinkError> {
     stream.write_all(&(bytes.len() as u16).to_be_bytes()).await?;
     Ok(stream.write_all(bytes).await?)
 }
 
-async fn take(stream: &mut TcpStream) -> Result<Vec<u8>, Broken> {
+async fn read_frame(stream: &mut TcpStream) -> Result<Vec<u8>, LinkError> {
     let mut length = [0u8; 2];
     stream.read_exact(&mut length).await?;
     let mut bytes = vec![0; usize::from(u16::from_be_bytes(length))];
@@ -77,59 +79,71 @@
     Ok(bytes)
 }
 
-fn number(bytes: &[u8]) -> Result<Member, Broken> {
-    Ok(Member::from_be_bytes(bytes.try_into().map_err(|_| Broken::Nobody)?))
+fn parse_member(bytes: &[u8]) -> Result<Member, LinkError> {
+    Ok(Member::from_be_bytes(bytes.try_into().map_err(|_| LinkError::InvalidHandshake)?))
 }
 
-async fn opened(seal: &Seal, to: Member, stream: &mut TcpStream) -> Result<TransportState, Broken> {
-    let mut noise = seal.builder()?.build_initiator()?;
+async fn initiate(
+    identity: &LinkIdentity,
+    to: Member,
+    stream: &mut TcpStream,
+) -> Result<TransportState, LinkError> {
+    let mut noise = identity.builder()?.build_initiator()?;
     let mut buf = [0u8; 256];
-    let n = noise.write_message(&seal.me.to_be_bytes(), &mut buf)?;
-    piece(stream, &buf[..n]).await?;
-    let answer = take(stream).await?;
+    let n = noise.write_message(&identity.me.to_be_bytes(), &mut buf)?;
+    write_frame(stream, &buf[..n]).await?;
+    let answer = read_frame(stream).await?;
     let n = noise.read_message(&answer, &mut buf)?;
-    let who = number(&buf[..n])?;
-    if who != to {
-        return Err(Broken::Other(who));
+    let member = parse_member(&buf[..n])?;
+    if member != to {
+        return Err(LinkError::WrongMember(member));
     }
     Ok(noise.into_transport_mode()?)
 }
 
-async fn accepted(seal: &Seal, stream: &mut TcpStream) -> Result<(Member, TransportState), Broken> {
-    let mut noise = seal.builder()?.build_responder()?;
+async fn respond(
+    identity: &LinkIdentity,
+    stream: &mut TcpStream,
+) -> Result<(Member, TransportState), LinkError> {
+    let mut noise = identity.builder()?.build_responder()?;
     let mut buf = vec![0u8; 65_535];
-    let first = take(stream).await?;
+    let first = read_frame(stream).await?;
     let n = noise.read_message(&first, &mut buf)?;
-    let who = number(&buf[..n])?;
-    let n = noise.write_message(&seal.me.to_be_bytes(), &mut buf)?;
-    piece(stream, &buf[..n]).await?;
-    Ok((who, noise.into_transport_mode()?))
+    let member = parse_member(&buf[..n])?;
+    let n = noise.write_message(&identity.me.to_be_bytes(), &mut buf)?;
+    write_frame(stream, &buf[..n]).await?;
+    Ok((member, noise.into_transport_mode()?))
 }
 
-/// The way to one member.
+/// An outgoing link to a member.
 struct Link<'a> {
-    seal: &'a Seal,
+    identity: &'a LinkIdentity,
     to: Member,
-    at: SocketAddr,
+    address: SocketAddr,
 }
 
 impl Link<'_> {
-    /// Sends what comes, over one connection; `proven` is called once the member has proven itself.
-    async fn sending(&self, from: &Receiver<Message>, proven: impl FnOnce()) -> Result<(), Broken> {
-        // Nothing is opened before there is something to say: of 300 members most speak to voters alone.
+    /// Sends the messages of the queue over one connection. `on_authenticated` is called once the member has
+    /// authenticated itself.
+    async fn send_from(
+        &self,
+        from: &Receiver<Message>,
+        on_authenticated: impl FnOnce(),
+    ) -> Result<(), LinkError> {
+        // The connection is opened with the first message: of 300 members, most send messages to voters only.
         let Ok(mut message) = from.recv().await else { return Ok(()) };
-        let connect = async { Ok(badgerwind_connect::connect(self.at).await?) };
-        let mut stream = TcpStream::from(connect.or(late(PATIENCE)).await?);
+        let connect = async { Ok(badgerwind_connect::connect(self.address).await?) };
+        let mut stream = TcpStream::from(connect.or(timeout(CONNECT_TIMEOUT)).await?);
         stream.set_nodelay(true)?;
-        let mut noise = opened(self.seal, self.to, &mut stream).or(late(PATIENCE)).await?;
-        proven();
+        let mut noise = initiate(self.identity, self.to, &mut stream).or(timeout(CONNECT_TIMEOUT)).await?;
+        on_authenticated();
         let mut sealed = vec![0u8; 65_535];
         loop {
             let bytes = message.bytes();
             let framed = [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat();
-            for part in framed.chunks(PIECE) {
-                let n = noise.write_message(part, &mut sealed)?;
-                piece(&mut stream, &sealed[..n]).or(late(STUCK)).await?;
+            for chunk in framed.chunks(FRAME_BYTES) {
+                let n = noise.write_message(chunk, &mut sealed)?;
+                write_frame(&mut stream, &sealed[..n]).or(timeout(WRITE_TIMEOUT)).await?;
             }
             message = match from.recv().await {
                 Ok(next) => next,
@@ -139,68 +153,75 @@
     }
 }
 
-/// Leads what is put into a queue to a member, over one connection after another, until the queue is closed. What waits while
-/// there is none is old by the time there is, and dropped. The first of failures in a row is a warning in the log.
-pub async fn lead(seal: Seal, to: Member, at: SocketAddr, from: Receiver<Message>) {
+/// Sends the messages of a queue to a member until the queue is closed, reconnecting as needed. Messages that
+/// wait while there is no connection would be stale by the time there is one and are dropped. Only the first
+/// of consecutive failures is logged as a warning.
+pub async fn run_outgoing(identity: LinkIdentity, to: Member, address: SocketAddr, from: Receiver<Message>) {
     let mut failing = false;
     while !from.is_closed() {
-        let link = Link { seal: &seal, to, at };
-        if let Err(e) = link.sending(&from, || failing = false).await {
+        let link = Link { identity: &identity, to, address };
+        if let Err(e) = link.send_from(&from, || failing = false).await {
             if failing {
                 tracing::debug!(member = to, "a link ended: {e}");
             } else {
-                tracing::warn!(member = to, address = %at, "a link ended: {e}; it is opened again");
+                tracing::warn!(member = to, address = %address, "a link ended: {e}; reconnecting");
             }
             failing = true;
         }
-        Timer::after(PAUSE).await;
+        Timer::after(RETRY_DELAY).await;
         while from.try_recv().is_ok() {}
     }
 }
 
-/// Takes connections in, each on a task of its own, and hands on what members say. `most` connections at once; more are closed.
-pub async fn listen(seal: Seal, listener: TcpListener, most: usize, hear: Sender<(Member, Message)>) {
+/// Accepts connections, each on its own task, and forwards the received messages. Connections beyond
+/// `max_connections` are closed.
+pub async fn accept_incoming(
+    identity: LinkIdentity,
+    listener: TcpListener,
+    max_connections: usize,
+    received: Sender<(Member, Message)>,
+) {
     let mut open: Vec<smol::Task<()>> = Vec::new();
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
-            Timer::after(PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
             continue;
         };
         open.retain(|t| !t.is_finished());
-        if open.len() >= most {
-            continue; // dropped: a close
+        if open.len() >= max_connections {
+            continue; // dropping the stream closes it
         }
-        let (seal, hear) = (seal.clone(), hear.clone());
+        let (identity, received) = (identity.clone(), received.clone());
         open.push(smol::spawn(async move {
-            if let Err(e) = hearing(&seal, &mut stream, &hear).await {
+            if let Err(e) = receive_from(&identity, &mut stream, &received).await {
                 tracing::debug!("a link ended: {e}");
             }
         }));
     }
 }
 
-async fn hearing(
-    seal: &Seal,
+async fn receive_from(
+    identity: &LinkIdentity,
     stream: &mut TcpStream,
-    hear: &Sender<(Member, Message)>,
-) -> Result<(), Broken> {
-    let (who, mut noise) = accepted(seal, stream).or(late(PATIENCE)).await?;
-    let (mut plain, mut come) = (vec![0u8; 65_535], Vec::new());
+    received: &Sender<(Member, Message)>,
+) -> Result<(), LinkError> {
+    let (member, mut noise) = respond(identity, stream).or(timeout(CONNECT_TIMEOUT)).await?;
+    let (mut plain, mut buffer) = (vec![0u8; 65_535], Vec::new());
     loop {
-        let sealed = take(stream).await?;
+        let sealed = read_frame(stream).await?;
         let n = noise.read_message(&sealed, &mut plain)?;
-        come.extend_from_slice(&plain[..n]);
-        while let Some((length, rest)) = come.split_first_chunk::<4>() {
+        buffer.extend_from_slice(&plain[..n]);
+        while let Some((length, rest)) = buffer.split_first_chunk::<4>() {
             let length = u32::from_be_bytes(*length) as usize;
-            if length > MOST {
-                return Err(Broken::Long(length));
+            if length > MAX_MESSAGE_BYTES {
+                return Err(LinkError::MessageTooLong(length));
             }
             let Some(bytes) = rest.get(..length) else { break };
             let message = Message::read(bytes);
-            come.drain(..4 + length);
-            // Of a form that is not known: passed over.
+            buffer.drain(..4 + length);
+            // Messages of an unknown format are ignored.
             if let Some(message) = message {
-                if hear.send((who, message)).await.is_err() {
+                if received.send((member, message)).await.is_err() {
                     return Ok(());
                 }
             }
--- a/crates/badgerwind-fleet/src/member.rs
+++ b/crates/badgerwind-fleet/src/member.rs
@@ -1,9 +1,9 @@
-//! A member of the register as part of a process: one thread owns the node and its clock; links, disk and whoever acts meet it in
-//! bounded queues and in what it publishes.
+//! A member of the register in a process: one thread owns the node and its clock. Links, disk and callers
+//! communicate with it by bounded queues and by the state that it publishes.
 
-use crate::cell::LifeCell;
 use crate::disk::{Disk, DiskError};
-use crate::link::{self, Seal};
+use crate::lease_snapshot::LeaseSnapshot;
+use crate::link::{self, LinkIdentity};
 use arc_swap::ArcSwap;
 use async_channel::{Receiver, Sender};
 use badgerwind_register::{
@@ -21,290 +21,302 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Messages that wait for one member's link, or for the node; of more, the new ones are lost.
+/// Capacity of the queues of messages for a link and for the node, and of commands. Messages to a link whose
+/// queue is full are dropped.
 const QUEUE: usize = 1024;
 
-/// What a member is started with.
+/// Options of a member.
 #[derive(Clone)]
-pub struct Options {
-    /// Its number.
+pub struct MemberOptions {
+    /// Number of the member.
     pub me: Member,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: u8,
-    /// On what terms.
-    pub terms: Terms,
-    /// Where it hears the others.
+    /// Settings of the register, the same for all members.
+    pub settings: Terms,
+    /// Address on which it accepts links.
     pub listen: SocketAddr,
-    /// Where the others hear it and each other.
+    /// Addresses of all members.
     pub peers: BTreeMap<Member, SocketAddr>,
-    /// Proves members to each other.
+    /// Key with which members authenticate each other.
     pub key: Key,
-    /// A voter's disk.
+    /// File of a voter's disk; only voters have one.
     pub disk: Option<PathBuf>,
-    /// Millionths by which its clock runs fast; for tests of the bound on drift.
-    pub clock_fast: i64,
+    /// Rate by which its clock runs fast, in parts per million; for tests of the bound on drift.
+    pub clock_skew_ppm: i64,
 }
 
-/// Why a member cannot run, or has ended.
+/// Error that prevents a member from starting, or has stopped it.
 #[derive(Debug, thiserror::Error)]
 pub enum MemberError {
-    /// The terms do not hold together.
+    /// The settings are inconsistent.
     #[error(transparent)]
-    Terms(#[from] BadTerms),
+    Settings(#[from] BadTerms),
     /// The disk cannot be used.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// A voter needs a disk, and only a voter.
-    #[error("member {0} is a voter: give it a file for what it must not forget")]
-    NoDisk(Member),
-    /// The key cannot prove members.
-    #[error("the peers' key must be a shared one (whsec_)")]
-    Key,
-    /// No socket.
-    #[error("cannot hear the others at {0}: {1}")]
-    Listen(SocketAddr, std::io::Error),
-    /// No thread, no chance.
+    /// A voter needs a disk.
+    #[error("member {0} is a voter and needs a file for its vote and log")]
+    VoterWithoutDisk(Member),
+    /// The peers' key is not a shared secret.
+    #[error("the peers' key must be a shared secret (whsec_)")]
+    KeyNotShared,
+    /// The address cannot be listened on.
+    #[error("cannot listen for members on {0}: {1}")]
+    Bind(SocketAddr, std::io::Error),
+    /// No thread or no random numbers are available.
     #[error("cannot start: {0}")]
     Start(String),
-    /// An entry of the log is of a newer form.
-    #[error(
-        "entry {0} of the register's log is of a newer form: this program must be replaced by a newer one"
-    )]
-    TooNew(Index),
+    /// An entry of the log has a newer version than this program supports.
+    #[error("entry {0} of the register's log has a newer version: upgrade this program")]
+    UnknownRecordVersion(Index),
 }
 
-/// What whoever runs a member is told, on the member's own thread.
-pub trait Watch<P>: Send + 'static {
-    /// An entry brought something about; `at` is the member's own time.
-    fn event(&mut self, at: Time, entry: Index, event: &Event);
+/// Receives the events of a member, on the member's own thread.
+pub trait EventListener<P>: Send + 'static {
+    /// An entry of the log caused this event; `at` is the time on the member's own clock.
+    fn on_event(&mut self, at: Time, entry: Index, event: &Event);
 }
 
-/// What the register's thread publishes: exchanged whole, read without a lock.
+/// The state that the register's thread publishes. It is replaced as a whole and read without a lock.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The last entry taken in.
+    /// Index of the last applied entry.
     pub applied: Index,
-    /// It leads.
-    pub leads: bool,
-    /// Whom it takes for leader.
+    /// Whether this member is the leader.
+    pub is_leader: bool,
+    /// The member that it believes to be the leader.
     pub leader: Option<Member>,
-    /// Living members and their lives.
-    pub living: BTreeMap<Member, Incarnation>,
+    /// Live members and their incarnations.
+    pub live_members: BTreeMap<Member, Incarnation>,
 }
 
-enum Ask {
+enum Command {
     Announce(Vec<u8>, Sender<Result<(Incarnation, u64), Refused>>),
     Leave,
 }
 
-/// A running member. Reading from it takes no lock and asks nobody.
+/// A running member. Reading its state takes no lock and does not wait for its thread.
 #[derive(Clone)]
 pub struct RegisterMember {
-    cell: Arc<LifeCell>,
+    lease_snapshot: Arc<LeaseSnapshot>,
     view: Arc<ArcSwap<View>>,
-    asks: Sender<Ask>,
+    commands: Sender<Command>,
     clock: Clock,
 }
 
-/// A member's own clock: it goes on while the process is stopped.
+/// A member's own clock, which continues while the process is stopped.
 #[derive(Clone, Copy, Debug)]
 struct Clock {
     start: Instant,
-    fast: i64,
+    skew_ppm: i64,
 }
 
 impl Clock {
     fn now(&self) -> Time {
         let micros = self.start.elapsed().as_micros() as i128;
-        (micros + micros * i128::from(self.fast) / 1_000_000) as Time
+        (micros + micros * i128::from(self.skew_ppm) / 1_000_000) as Time
     }
 }
 
-/// Makes the disk with which a voter of a new register begins.
-pub fn begin(path: &Path, terms: &Terms) -> Result<(), DiskError> {
-    Disk::create(path, &Node::<Nothing>::begin(terms)).map(drop)
+/// Creates the disk of a voter of a new register.
+pub fn create_disk(path: &Path, settings: &Terms) -> Result<(), DiskError> {
+    Disk::create(path, &Node::<EmptyStateMachine>::begin(settings)).map(drop)
 }
 
-/// A register on which nothing is built.
+/// A state machine without state, for a register that is used for incarnations only.
 #[derive(Clone, Debug, Default)]
-pub struct Nothing;
+pub struct EmptyStateMachine;
 
-impl Part for Nothing {
+impl Part for EmptyStateMachine {
     fn announced(&mut self, _: Index, _: (Member, Incarnation), _: &[u8]) {}
     fn ended(&mut self, _: Index, _: (Member, Incarnation)) {}
     fn save(&self) -> Vec<u8> {
         Vec::new()
     }
     fn load(_: &[u8]) -> Option<Self> {
-        Some(Nothing)
+        Some(EmptyStateMachine)
     }
 }
 
 impl RegisterMember {
-    /// Starts a member on a thread of its own; the second value tells when that has ended, and why.
+    /// Starts a member on its own thread. The returned receiver yields the error if the thread stops because
+    /// of one.
     pub fn start<P: Part + Send + 'static>(
-        options: Options,
-        part: P,
-        watch: impl Watch<P>,
+        options: MemberOptions,
+        state_machine: P,
+        event_listener: impl EventListener<P>,
     ) -> Result<(RegisterMember, Receiver<MemberError>), MemberError> {
-        options.terms.check()?;
-        let clock = Clock { start: Instant::now(), fast: options.clock_fast };
+        options.settings.check()?;
+        let clock = Clock { start: Instant::now(), skew_ppm: options.clock_skew_ppm };
         let mut seed = [0u8; 8];
         getrandom::fill(&mut seed).map_err(|e| MemberError::Start(e.to_string()))?;
-        let Options { me, zone, ref terms, .. } = options;
-        let setup = Setup { me, zone, seed: u64::from_be_bytes(seed), terms: terms.clone() };
+        let MemberOptions { me, zone, ref settings, .. } = options;
+        let setup = Setup { me, zone, seed: u64::from_be_bytes(seed), terms: settings.clone() };
         let (node, disk) = match &options.disk {
             Some(path) => {
                 let (disk, storage) = Disk::open(path)?;
-                (Node::voter(clock.now(), setup, storage, part)?, Some(Arc::new(disk)))
+                (Node::voter(clock.now(), setup, storage, state_machine)?, Some(Arc::new(disk)))
             }
-            None if terms.voters.contains(&me) => return Err(MemberError::NoDisk(me)),
-            None => (Node::follower(setup, part)?, None),
+            None if settings.voters.contains(&me) => return Err(MemberError::VoterWithoutDisk(me)),
+            None => (Node::follower(setup, state_machine)?, None),
         };
-        let seal = Seal::new(me, &options.key).ok_or(MemberError::Key)?;
+        let identity = LinkIdentity::new(me, &options.key).ok_or(MemberError::KeyNotShared)?;
         let listener = smol::block_on(TcpListener::bind(options.listen));
-        let listener = listener.map_err(|e| MemberError::Listen(options.listen, e))?;
-        let (asks, asked) = async_channel::bounded(QUEUE);
-        let (end, ended) = async_channel::bounded(1);
-        let member = RegisterMember { cell: Arc::default(), view: Arc::default(), asks, clock };
-        let run = Run {
+        let listener = listener.map_err(|e| MemberError::Bind(options.listen, e))?;
+        let (commands, received_commands) = async_channel::bounded(QUEUE);
+        let (error_sender, error_receiver) = async_channel::bounded(1);
+        let member = RegisterMember { lease_snapshot: Arc::default(), view: Arc::default(), commands, clock };
+        let member_loop = MemberLoop {
             node,
             disk,
             clock,
-            cell: member.cell.clone(),
+            lease_snapshot: member.lease_snapshot.clone(),
             view: member.view.clone(),
             links: BTreeMap::new(),
-            watch,
-            tick: Duration::from_micros(options.terms.tick / 2).max(Duration::from_millis(1)),
-            shown: (0, false, None),
+            event_listener,
+            tick_interval: Duration::from_micros(options.settings.tick / 2).max(Duration::from_millis(1)),
+            published: (0, false, None),
         };
         let builder = std::thread::Builder::new().name("register".into());
         let spawned = builder.spawn(move || {
             let tasks = Rc::new(LocalExecutor::new());
-            let why = smol::block_on(tasks.run(run.run(tasks.clone(), options, seal, listener, asked)));
-            if let Some(why) = why {
-                tracing::error!("the register's member has ended: {why}");
-                let _ = end.try_send(why); // whoever started it may have gone
+            let error = smol::block_on(tasks.run(member_loop.run(
+                tasks.clone(),
+                options,
+                identity,
+                listener,
+                received_commands,
+            )));
+            if let Some(error) = error {
+                tracing::error!("the register's member has stopped: {error}");
+                let _ = error_sender.try_send(error); // the receiver may be dropped
             }
         });
         spawned.map_err(|e| MemberError::Start(e.to_string()))?;
-        Ok((member, ended))
+        Ok((member, error_receiver))
     }
 
-    /// Its own clock, in microseconds since it started.
+    /// Time on its own clock, in microseconds since it started.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// The incarnation in which an effect may be done at this moment. The number goes with the effect.
-    pub fn alive(&self) -> Option<Incarnation> {
-        self.cell.alive(self.clock.now())
+    /// The incarnation in which an effect may be performed now; the effect carries its number.
+    pub fn live_incarnation(&self) -> Option<Incarnation> {
+        self.lease_snapshot.live_incarnation(self.clock.now())
     }
 
-    /// The same with the moment at which it was looked at.
-    pub fn alive_at(&self) -> (Option<Incarnation>, Time) {
+    /// As [`RegisterMember::live_incarnation`], with the time at which it was read.
+    pub fn live_incarnation_at(&self) -> (Option<Incarnation>, Time) {
         let now = self.clock.now();
-        (self.cell.alive(now), now)
+        (self.lease_snapshot.live_incarnation(now), now)
     }
 
-    /// What the register came to lately.
+    /// The state that the register's thread published last.
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// Announces something to the part: under way from here, if it is taken. Waits for the member's thread alone.
+    /// Announces bytes to the state machine. Waits for the member's thread to accept the announcement, not
+    /// for its commit.
     pub async fn announce(&self, bytes: Vec<u8>) -> Result<(Incarnation, u64), Refused> {
-        let (tell, told) = async_channel::bounded(1);
-        if self.asks.send(Ask::Announce(bytes, tell)).await.is_err() {
+        let (reply, result) = async_channel::bounded(1);
+        if self.commands.send(Command::Announce(bytes, reply)).await.is_err() {
             return Err(Refused::NotLiving);
         }
-        told.recv().await.unwrap_or(Err(Refused::NotLiving))
+        result.recv().await.unwrap_or(Err(Refused::NotLiving))
     }
 
-    /// This process goes: its incarnation has ended by its own record, and from now on it does nothing in it.
+    /// Leaves: the member records the end of its incarnation, and this process no longer acts in it.
     pub fn leave(&self) {
-        self.cell.end();
-        let _ = self.asks.try_send(Ask::Leave); // full: its lease will run out
+        self.lease_snapshot.end();
+        let _ = self.commands.try_send(Command::Leave); // if the queue is full, the lease expires
     }
 }
 
-struct Run<P, W> {
+struct MemberLoop<P, W> {
     node: Node<P>,
     disk: Option<Arc<Disk>>,
     clock: Clock,
-    cell: Arc<LifeCell>,
+    lease_snapshot: Arc<LeaseSnapshot>,
     view: Arc<ArcSwap<View>>,
     links: BTreeMap<Member, Sender<Message>>,
-    watch: W,
-    tick: Duration,
-    shown: (Index, bool, Option<Member>),
+    event_listener: W,
+    tick_interval: Duration,
+    published: (Index, bool, Option<Member>),
 }
 
-enum Next {
-    Heard(Member, Message),
-    Asked(Ask),
+enum LoopEvent {
+    Message(Member, Message),
+    Command(Command),
     Written(Result<(), DiskError>),
-    Due,
+    Tick,
 }
 
-impl<P: Part + Send + 'static, W: Watch<P>> Run<P, W> {
+impl<P: Part + Send + 'static, W: EventListener<P>> MemberLoop<P, W> {
     async fn run(
         mut self,
         tasks: Rc<LocalExecutor<'_>>,
-        options: Options,
-        seal: Seal,
+        options: MemberOptions,
+        identity: LinkIdentity,
         listener: TcpListener,
-        asked: Receiver<Ask>,
+        received_commands: Receiver<Command>,
     ) -> Option<MemberError> {
-        let (hear, heard) = async_channel::bounded(QUEUE);
-        for (to, at) in options.peers.iter().filter(|(to, _)| **to != options.me) {
-            let (put, take) = async_channel::bounded(QUEUE);
-            self.links.insert(*to, put);
-            tasks.spawn(link::lead(seal.clone(), *to, *at, take)).detach();
+        let (message_sender, messages) = async_channel::bounded(QUEUE);
+        for (to, address) in options.peers.iter().filter(|(to, _)| **to != options.me) {
+            let (queue, queued) = async_channel::bounded(QUEUE);
+            self.links.insert(*to, queue);
+            tasks.spawn(link::run_outgoing(identity.clone(), *to, *address, queued)).detach();
         }
-        // Both ways of each pair, and those that are on their way out.
-        let most = 3 * options.peers.len() + 16;
-        let listens = tasks.spawn(link::listen(seal, listener, most, hear));
+        // Twice the number of members, plus room for connections that are about to close.
+        let max_connections = 3 * options.peers.len() + 16;
+        let acceptor =
+            tasks.spawn(link::accept_incoming(identity, listener, max_connections, message_sender));
         let (done, written) = async_channel::bounded(1);
         let mut out = Vec::new();
-        let mut due = Instant::now();
-        let why = loop {
-            let hears = async { heard.recv().await.ok().map(|(m, message)| Next::Heard(m, message)) };
-            let asks = async {
-                match asked.recv().await {
-                    Ok(ask) => Some(Next::Asked(ask)),
+        let mut next_tick_at = Instant::now();
+        let error = loop {
+            let next_message =
+                async { messages.recv().await.ok().map(|(from, message)| LoopEvent::Message(from, message)) };
+            let next_command = async {
+                match received_commands.recv().await {
+                    Ok(command) => Some(LoopEvent::Command(command)),
                     Err(_) => None,
                 }
             };
-            let writes = async { written.recv().await.ok().map(Next::Written) };
-            let ticks = async {
-                Timer::at(due).await;
-                Some(Next::Due)
+            let next_write = async { written.recv().await.ok().map(LoopEvent::Written) };
+            let next_tick = async {
+                Timer::at(next_tick_at).await;
+                Some(LoopEvent::Tick)
+            };
+            // Ticks have priority, so that a flood of messages cannot delay a voter's timers.
+            let Some(event) = next_tick.or(next_write).or(next_command).or(next_message).await else {
+                break None;
             };
-            // Time goes before all else, so that no flood of messages keeps a voter from its own affairs.
-            let Some(next) = ticks.or(writes).or(asks).or(hears).await else { break None };
             let now = self.clock.now();
-            match next {
-                Next::Heard(from, message) => self.node.on(now, Input::Heard(from, message), &mut out),
-                Next::Written(Ok(())) => self.node.on(now, Input::Written, &mut out),
-                // What was not written must not be answered for: the voter ends, and may start again with its disk.
-                Next::Written(Err(e)) => break Some(e.into()),
-                Next::Asked(Ask::Leave) => self.node.leave(now, &mut out),
-                Next::Asked(Ask::Announce(bytes, tell)) => {
-                    let _ = tell.try_send(self.node.announce(now, bytes, &mut out));
-                    // whoever asked may have gone
+            match event {
+                LoopEvent::Message(from, message) => self.node.on(now, Input::Heard(from, message), &mut out),
+                LoopEvent::Written(Ok(())) => self.node.on(now, Input::Written, &mut out),
+                // A voter must not answer for what was not written: it stops, and may be started again with
+                // its disk.
+                LoopEvent::Written(Err(e)) => break Some(e.into()),
+                LoopEvent::Command(Command::Leave) => self.node.leave(now, &mut out),
+                LoopEvent::Command(Command::Announce(bytes, reply)) => {
+                    // The caller may have gone away.
+                    let _ = reply.try_send(self.node.announce(now, bytes, &mut out));
                 }
-                Next::Due => {
-                    due = Instant::now() + self.tick;
+                LoopEvent::Tick => {
+                    next_tick_at = Instant::now() + self.tick_interval;
                     self.node.on(now, Input::Tick, &mut out);
                 }
             }
-            let mut ended = None;
+            let mut error = None;
             for output in out.drain(..) {
                 match output {
                     Output::Send(to, message) => {
                         if let Some(link) = self.links.get(&to) {
-                            let _ = link.try_send(message); // lost, as messages are
+                            let _ = link.try_send(message); // dropped if the queue is full
                         }
                     }
                     Output::Write(write) => {
@@ -313,42 +325,47 @@
                         tasks
                             .spawn(async move {
                                 let result = smol::unblock(move || disk.write(&write)).await;
-                                let _ = done.send(result).await; // the member has ended
+                                let _ = done.send(result).await; // the member may have stopped
                             })
                             .detach();
                     }
-                    Output::Event(entry, event) => self.watch.event(now, entry, &event),
+                    Output::Event(entry, event) => self.event_listener.on_event(now, entry, &event),
                     Output::Lost(0) => {}
-                    Output::Lost(words) => {
+                    Output::Lost(lost) => {
                         tracing::warn!(
-                            words,
-                            "this member's incarnation has ended; announcements did not stand"
+                            words = lost,
+                            "this member's incarnation has ended; its pending announcements are lost"
                         )
                     }
-                    Output::TooNew(at) => ended = Some(MemberError::TooNew(at)),
+                    Output::TooNew(at) => error = Some(MemberError::UnknownRecordVersion(at)),
                 }
             }
-            self.show(now);
-            if ended.is_some() {
-                break ended;
+            self.publish(now);
+            if error.is_some() {
+                break error;
             }
         };
-        self.cell.end();
-        drop(listens);
-        why
+        self.lease_snapshot.end();
+        drop(acceptor);
+        error
     }
 
-    fn show(&mut self, now: Time) {
+    fn publish(&mut self, now: Time) {
         match self.node.alive(now) {
-            Some(incarnation) => self.cell.set(incarnation, self.node.until()),
-            None => self.cell.end(),
+            Some(incarnation) => self.lease_snapshot.set(incarnation, self.node.until()),
+            None => self.lease_snapshot.end(),
         }
-        let (leads, leader, _) = self.node.view();
+        let (is_leader, leader, _) = self.node.view();
         let applied = self.node.ledger().applied();
-        if std::mem::replace(&mut self.shown, (applied, leads, leader)) != (applied, leads, leader) {
+        if std::mem::replace(&mut self.published, (applied, is_leader, leader))
+            != (applied, is_leader, leader)
+        {
             let members = self.node.ledger().members().iter();
-            let living = members.filter(|(_, s)| !s.ended).map(|(m, s)| (*m, s.incarnation)).collect();
-            self.view.store(Arc::new(View { applied, leads, leader, living }));
+            let live_members = members
+                .filter(|(_, state)| !state.ended)
+                .map(|(member, state)| (*member, state.incarnation))
+                .collect();
+            self.view.store(Arc::new(View { applied, is_leader, leader, live_members }));
         }
     }
 }
--- a/crates/badgerwind-fleet/tests/disks.rs
+++ b/crates/badgerwind-fleet/tests/disks.rs
@@ -1,28 +1,29 @@
-//! What a voter finds again on its disk, and what it does where that cannot be.
+//! Recovery of a voter's storage from its disk, and the errors of unusable files.
 
-use badgerwind_fleet::cell::LifeCell;
 use badgerwind_fleet::disk::{Disk, DiskError};
-use badgerwind_fleet::member::{begin, Nothing};
+use badgerwind_fleet::lease_snapshot::LeaseSnapshot;
+use badgerwind_fleet::member::{create_disk, EmptyStateMachine};
 use badgerwind_register::{Input, Node, Output, Setup, Terms, VoterStorage};
 use std::path::Path;
 
-fn terms() -> Terms {
+fn settings() -> Terms {
     Terms::of(vec![0])
 }
 
-/// A voter by itself that begins to lead, and has a life: what it wrote, each write on the disk.
-fn lives(disk: &Disk, storage: VoterStorage) -> u64 {
-    let setup = Setup { me: 0, zone: 0, seed: 3, terms: terms() };
-    let mut node = Node::voter(0, setup, storage, Nothing).unwrap();
+/// Runs a single voter until it leads and has a live incarnation, with each write on the disk. Returns the
+/// last applied index.
+fn run_until_live(disk: &Disk, storage: VoterStorage) -> u64 {
+    let setup = Setup { me: 0, zone: 0, seed: 3, terms: settings() };
+    let mut node = Node::voter(0, setup, storage, EmptyStateMachine).unwrap();
     let mut now = 0;
     let mut out = Vec::new();
     while node.alive(now).is_none() {
         now += 10_000;
-        assert!(now < 60_000_000, "a voter by itself leads");
+        assert!(now < 60_000_000, "a single voter becomes leader");
         node.on(now, Input::Tick, &mut out);
-        while let Some(o) = out.pop() {
-            if let Output::Write(w) = o {
-                disk.write(&w).unwrap();
+        while let Some(output) = out.pop() {
+            if let Output::Write(write) = output {
+                disk.write(&write).unwrap();
                 node.on(now, Input::Written, &mut out);
             }
         }
@@ -31,20 +32,20 @@
 }
 
 #[test]
-fn a_voter_finds_its_log_again_and_a_second_life_follows_the_first() {
+fn a_voter_recovers_its_log_and_begins_a_second_incarnation() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("register");
-    begin(&path, &terms()).unwrap();
+    create_disk(&path, &settings()).unwrap();
     let (disk, storage) = Disk::open(&path).unwrap();
-    let first = lives(&disk, storage);
+    let first = run_until_live(&disk, storage);
     drop(disk);
     let (disk, storage) = Disk::open(&path).unwrap();
-    // It leads anew, ends the life of before and begins another.
-    assert!(lives(&disk, storage) > first);
+    // It becomes leader again, ends the earlier incarnation and begins another.
+    assert!(run_until_live(&disk, storage) > first);
 }
 
 #[test]
-fn a_disk_that_is_missing_there_already_or_something_else_is_told_by_its_place() {
+fn a_missing_existing_or_foreign_file_is_reported_with_its_path() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("register");
     let missing = Disk::open(&path).unwrap_err();
@@ -52,41 +53,42 @@
         matches!(missing, DiskError::Missing(_)) && missing.to_string().contains("add it anew"),
         "{missing}"
     );
-    begin(&path, &terms()).unwrap();
-    assert!(matches!(begin(&path, &terms()).unwrap_err(), DiskError::Present(_)));
+    create_disk(&path, &settings()).unwrap();
+    assert!(matches!(create_disk(&path, &settings()).unwrap_err(), DiskError::AlreadyExists(_)));
     let other = folder.path().join("other");
     std::fs::write(&other, b"something else, and longer than a page of a store".repeat(200)).unwrap();
     let wrong = Disk::open(&other).unwrap_err();
     assert!(wrong.to_string().contains("other"), "{wrong}");
 }
 
-fn copy_cut(from: &Path, to: &Path, bytes: usize) {
+fn copy_truncated(from: &Path, to: &Path, bytes: usize) {
     let whole = std::fs::read(from).unwrap();
     std::fs::write(to, &whole[..bytes]).unwrap();
 }
 
-/// A file that lost its end is refused with its place, or has all that was acknowledged: never less, and never a panic.
+/// A truncated file is refused with its path, or has everything that was acknowledged. Less, or a panic,
+/// would be a fault.
 #[test]
-fn a_file_cut_off_anywhere_has_all_that_was_written_or_is_refused() {
+fn a_truncated_file_has_all_that_was_written_or_is_refused() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("register");
-    begin(&path, &terms()).unwrap();
+    create_disk(&path, &settings()).unwrap();
     let (disk, storage) = Disk::open(&path).unwrap();
-    lives(&disk, storage);
+    run_until_live(&disk, storage);
     drop(disk);
     let (disk, storage) = Disk::open(&path).unwrap();
     let whole = format!("{storage:?}");
     drop(disk);
     let length = std::fs::metadata(&path).unwrap().len() as usize;
     let (mut refused, mut opened) = (0, 0);
-    // Every place in the header, and places all over the rest.
-    let places = (0..640).chain((640..length).step_by((length / 150).max(1))).chain([length - 1]);
-    for bytes in places {
+    // Every offset in the header, and a sample of the others.
+    let offsets = (0..640).chain((640..length).step_by((length / 150).max(1))).chain([length - 1]);
+    for bytes in offsets {
         let cut = folder.path().join("cut");
-        copy_cut(&path, &cut, bytes);
+        copy_truncated(&path, &cut, bytes);
         match Disk::open(&cut) {
             Ok((_, storage)) => {
-                assert_eq!(format!("{storage:?}"), whole, "cut off after {bytes} of {length} bytes");
+                assert_eq!(format!("{storage:?}"), whole, "truncated to {bytes} of {length} bytes");
                 opened += 1;
             }
             Err(e) => {
@@ -99,15 +101,15 @@
 }
 
 #[test]
-fn a_life_counts_until_its_time_and_not_after_its_end() {
-    let cell = LifeCell::default();
-    assert_eq!(cell.alive(0), None);
-    cell.set(3, 10);
-    assert_eq!((cell.alive(9), cell.alive(10)), (Some(3), None));
-    cell.set(3, 20);
-    assert_eq!(cell.alive(10), Some(3));
-    cell.end();
-    assert_eq!(cell.alive(10), None);
-    cell.set(4, 30);
-    assert_eq!(cell.alive(10), Some(4));
+fn an_incarnation_is_live_until_its_lease_ends_or_is_ended() {
+    let snapshot = LeaseSnapshot::default();
+    assert_eq!(snapshot.live_incarnation(0), None);
+    snapshot.set(3, 10);
+    assert_eq!((snapshot.live_incarnation(9), snapshot.live_incarnation(10)), (Some(3), None));
+    snapshot.set(3, 20);
+    assert_eq!(snapshot.live_incarnation(10), Some(3));
+    snapshot.end();
+    assert_eq!(snapshot.live_incarnation(10), None);
+    snapshot.set(4, 30);
+    assert_eq!(snapshot.live_incarnation(10), Some(4));
 }
--- a/crates/badgerwind-fleet/tests/interleavings.rs
+++ b/crates/badgerwind-fleet/tests/interleavings.rs
@@ -1,49 +1,50 @@
-//! The cell that every call reads, under all interleavings of its writer and a reader (loom).
+//! All interleavings of the writer and a reader of the snapshot that every call reads (loom).
 
 mod atomics {
     pub(crate) use loom::sync::atomic::{AtomicU64, Ordering};
 }
-#[path = "../src/cell.rs"]
-mod cell;
+#[path = "../src/lease_snapshot.rs"]
+mod lease_snapshot;
 
-use cell::LifeCell;
+use lease_snapshot::LeaseSnapshot;
 use loom::sync::Arc;
 use loom::thread;
 
-/// Life 1 counts until 10, life 2 until 20. At 15 only life 2 may act, whatever is being written.
+/// The lease of incarnation 1 ends at 10, that of incarnation 2 at 20. At 15 only incarnation 2 may act,
+/// whatever is being written.
 #[test]
-fn no_reader_acts_in_a_life_that_has_run_out() {
+fn no_reader_acts_in_an_incarnation_whose_lease_has_ended() {
     for now in [9, 15] {
         loom::model(move || {
-            let cell = Arc::new(LifeCell::default());
-            cell.set(1, 10);
-            let writer = cell.clone();
+            let snapshot = Arc::new(LeaseSnapshot::default());
+            snapshot.set(1, 10);
+            let writer = snapshot.clone();
             let written = thread::spawn(move || writer.set(2, 20));
-            match cell.alive(now) {
+            match snapshot.live_incarnation(now) {
                 Some(1) => assert!(now < 10),
-                Some(life) => assert_eq!(life, 2),
+                Some(incarnation) => assert_eq!(incarnation, 2),
                 None => {}
             }
             written.join().unwrap();
-            assert_eq!(cell.alive(15), Some(2));
+            assert_eq!(snapshot.live_incarnation(15), Some(2));
         });
     }
 }
 
-/// An end that was written before a reader looks is an end.
+/// A reader that reads after the end was written finds no live incarnation.
 #[test]
-fn after_its_end_a_life_is_over_for_every_reader() {
+fn an_ended_incarnation_is_not_live_for_any_reader() {
     loom::model(|| {
-        let cell = Arc::new(LifeCell::default());
-        cell.set(1, 10);
-        let writer = cell.clone();
+        let snapshot = Arc::new(LeaseSnapshot::default());
+        snapshot.set(1, 10);
+        let writer = snapshot.clone();
         let ended = thread::spawn(move || {
             writer.set(1, 12);
             writer.end();
         });
-        let seen = cell.alive(11);
+        let seen = snapshot.live_incarnation(11);
         assert!(seen.is_none() || seen == Some(1));
         ended.join().unwrap();
-        assert_eq!(cell.alive(9), None);
+        assert_eq!(snapshot.live_incarnation(9), None);
     });
 }
--- a/crates/badgerwind-rig/src/day.rs
+++ b/crates/badgerwind-rig/src/day.rs
@@ -172,7 +172,7 @@
         }
         let voters = trial.voters.len();
         for v in 0..voters {
-            let made = badgerwind_fleet::member::begin(&file(&format!("disk-{v}")), &trial.terms());
+            let made = badgerwind_fleet::member::create_disk(&file(&format!("disk-{v}")), &trial.terms());
             made.map_err(|e| RigError::Member(e.to_string()))?;
         }
         let none = (0..members).map(|_| None).collect();
--- a/crates/badgerwind-rig/src/member.rs
+++ b/crates/badgerwind-rig/src/member.rs
@@ -2,7 +2,7 @@
 
 use crate::RigError;
 use badgerwind_check::register::{Event as Told, Line, What};
-use badgerwind_fleet::member::{Nothing, Options, RegisterMember, Watch};
+use badgerwind_fleet::member::{EmptyStateMachine, EventListener, MemberOptions, RegisterMember};
 use badgerwind_register::{Event, Index, Member, Terms, Time};
 use badgerwind_webhook::Key;
 use serde::{Deserialize, Serialize};
@@ -119,8 +119,8 @@
     events: bool,
 }
 
-impl Watch<Nothing> for Writes {
-    fn event(&mut self, at: Time, entry: Index, event: &Event) {
+impl EventListener<EmptyStateMachine> for Writes {
+    fn on_event(&mut self, at: Time, entry: Index, event: &Event) {
         if !self.events {
             return;
         }
@@ -151,20 +151,20 @@
         fast: args.clock_fast,
     };
     let record = Arc::new(record);
-    let options = Options {
+    let options = MemberOptions {
         me: args.number,
         zone: (args.number % 3) as u8,
-        terms: trial.terms(),
+        settings: trial.terms(),
         listen: args.listen,
         peers,
         key,
         disk: args.disk.clone(),
-        clock_fast: args.clock_fast,
+        clock_skew_ppm: args.clock_fast,
     };
     let writes = Writes { record: record.clone(), events: !args.without_events };
     // Held until the start is known: what the member's thread is told meanwhile waits for it.
     let mut start = record.start.lock().unwrap_or_else(PoisonError::into_inner);
-    let started = RegisterMember::start(options, Nothing, writes);
+    let started = RegisterMember::start(options, EmptyStateMachine, writes);
     let (member, ended) = started.map_err(|e| RigError::Member(e.to_string()))?;
     let own = i128::from(member.now()) * 1_000_000 / (1_000_000 + i128::from(args.clock_fast)).max(1);
     *start = wall() - own as u64;
@@ -174,7 +174,7 @@
             return Err(RigError::Member(why.to_string()));
         }
         // The effect is this line; what it bears was looked at at that moment.
-        if let (Some(life), at) = member.alive_at() {
+        if let (Some(life), at) = member.live_incarnation_at() {
             record.write(at, What::Acted { life });
             if args.record_every > 0 && turn % args.record_every == 0 {
                 // Refused where the lease ran out in between, or too many wait: there is a next time.
