--- a/crates/badgerwind-forecast/src/fit.rs
+++ b/crates/badgerwind-forecast/src/fit.rs
@@ -1,6 +1,6 @@
-//! Arithmetic of the fit. Nothing is decided here.
+//! Least-squares fit of one shape. It contains no decisions.
 
-/// The least-squares coefficient of a shape in a series, and the mean power it accounts for.
+/// The least-squares coefficient of a shape in a series, and the mean power that it explains.
 pub fn fit(series: &[f64], shape: impl Fn(f64) -> f64) -> (f64, f64) {
     let (mut dot, mut norm) = (0.0, 0.0);
     for (i, y) in series.iter().enumerate() {
--- a/crates/badgerwind-forecast/tests/shapes.rs
+++ b/crates/badgerwind-forecast/tests/shapes.rs
@@ -1,4 +1,4 @@
-//! What the forecast makes of ramps, timers, silence and bursts.
+//! Forecasts of ramps, timers, silence and bursts.
 
 use badgerwind_forecast::forecast;
 
@@ -27,7 +27,7 @@
 
 #[test]
 fn one_arrival_or_burst_is_not_taken_for_a_rising_trend() {
-    // Guards against what filled the fleet with needless copies: a lone arrival extrapolated as growth.
+    // A single arrival extrapolated as growth filled the fleet with unnecessary copies.
     assert!(forecast(&[1.0], 8).iter().all(|&y| y < 0.1));
     let mut bins = vec![0.0; 32];
     bins[31] = 1.0;
