--- a/crates/badgerwind-health/src/lib.rs
+++ b/crates/badgerwind-health/src/lib.rs
@@ -1,29 +1,29 @@
-//! Health: one running share of failures, for a worker as a whole and for each kind of traffic there.
-//! Times in microseconds.
+//! Health of a worker, or of a kind of traffic there, by a running failure rate. Times are in microseconds.
 #![forbid(unsafe_code)]
 
 mod record;
 pub use record::Health;
 
-const FAIL_GAIN: f64 = 0.2; // Health: weight of an outcome in the running share of failures.
-const TRIP: f64 = 0.3; // That share takes a worker out: two failures in a row, or a third of all.
-const CLOSE: f64 = 0.12; // That share lets it back.
-const MOST_BACKOFF: u64 = 16; // The longest, in first ones.
+const FAIL_GAIN: f64 = 0.2; // Weight of an outcome in the running failure rate.
+const TRIP_ABOVE: f64 = 0.3; // Failure rate that trips: two failures in a row, or a third of all outcomes.
+const CLOSE_BELOW: f64 = 0.12; // Failure rate that ends a trip.
+const MAX_BACKOFF: u64 = 16; // Longest back-off, as a multiple of the first one.
 
 impl Health {
-    /// A sign of life that counts as a success.
-    pub fn pass(&mut self, now: u64) {
-        (self.heard, self.fails, self.backoff) = (now, self.fails * (1.0 - FAIL_GAIN), self.backoff / 2);
-        self.tripped &= self.fails >= CLOSE;
+    /// Records a success.
+    pub fn succeed(&mut self, now: u64) {
+        (self.last_seen, self.failure_rate, self.backoff) =
+            (now, self.failure_rate * (1.0 - FAIL_GAIN), self.backoff / 2);
+        self.tripped &= self.failure_rate >= CLOSE_BELOW;
     }
 
-    /// A failure of weight 1, or 2 where unreachable or silent (longer pauses each time); true if it trips.
+    /// Records a failure: weight 1, or 2 if unreachable or silent. Each doubles the pause. True if it trips.
     pub fn fail(&mut self, weight: f64, now: u64, pause: u64) -> bool {
         let before = self.tripped;
-        self.fails += FAIL_GAIN * weight * (1.0 - self.fails);
-        if self.fails > TRIP || self.tripped {
+        self.failure_rate += FAIL_GAIN * weight * (1.0 - self.failure_rate);
+        if self.failure_rate > TRIP_ABOVE || self.tripped {
             self.tripped = true;
-            self.backoff = (self.backoff * 2).clamp(pause, pause * MOST_BACKOFF);
+            self.backoff = (self.backoff * 2).clamp(pause, pause * MAX_BACKOFF);
             self.retry_at = now + self.backoff;
         }
         self.tripped && !before
--- a/crates/badgerwind-health/src/record.rs
+++ b/crates/badgerwind-health/src/record.rs
@@ -1,16 +1,16 @@
-//! What is remembered. Nothing is decided here.
+//! The state of a health record.
 
-/// What is known of the health of a worker, or of a kind of traffic there.
+/// The health of a worker, or of a kind of traffic there.
 #[derive(Debug, Default)]
 pub struct Health {
-    /// Running share of failures.
-    pub fails: f64,
-    /// Taken out; tried again from `retry_at` on.
+    /// Running share of failures among the outcomes.
+    pub failure_rate: f64,
+    /// Out of use because of failures; tried again from `retry_at` on.
     pub tripped: bool,
-    /// When the next try is due, and the pause before it.
+    /// Time of the next try.
     pub retry_at: u64,
-    /// Doubled by each failure, halved by each success.
+    /// Pause before the next try: doubled by each failure, halved by each success.
     pub backoff: u64,
-    /// Last sign of life.
-    pub heard: u64,
+    /// Time of the last sign of life.
+    pub last_seen: u64,
 }
--- a/crates/badgerwind-horizon/src/outlook.rs
+++ b/crates/badgerwind-horizon/src/horizon.rs
@@ -1,6 +1,6 @@
-//! What a plan is made from.
+//! The input of a plan.
 
-/// A function's outlook over the horizon, in steps; Greek letters are the paper's.
+/// The state and the forecast of a function over the horizon. Times are in steps; Greek letters are those of the paper.
 #[derive(Clone, Debug, Default)]
 pub struct Horizon {
     /// λ: expected own arrivals in each step.
@@ -9,26 +9,26 @@
     pub queue: f64,
     /// w: warm copies now.
     pub warm: f64,
-    /// Copies that become ready, in each step, from orders in hand.
+    /// Copies that become ready in each step by pending orders.
     pub change: Vec<f64>,
-    /// Lanes taken by other front ends' requests.
+    /// Lanes in use by other front ends' requests.
     pub foreign: f64,
     /// Lanes of a copy.
     pub lanes: f64,
-    /// L_warm in steps.
+    /// L_warm: the service time.
     pub service: f64,
     /// D: steps from an order to a warm copy.
     pub delay: usize,
-    /// α(L_cold + L_warm): worth lost by a request that meets no warm lane.
-    pub cold_pain: f64,
-    /// βL_warm: worth lost by a request that queues for a step.
-    pub wait_pain: f64,
+    /// α(L_cold + L_warm): worth lost by a request that finds no warm lane.
+    pub cold_penalty: f64,
+    /// βL_warm: worth lost by a request that is queued for a step.
+    pub wait_penalty: f64,
     /// δ: cost of a load.
     pub load_cost: f64,
     /// η: reward of a drop.
     pub drop_reward: f64,
     /// wmax: most copies.
-    pub most: f64,
-    /// x of the step before.
+    pub max_copies: f64,
+    /// x of the previous step: loads ordered then.
     pub last_loads: f64,
 }
--- a/crates/badgerwind-horizon/tests/search.rs
+++ b/crates/badgerwind-horizon/tests/search.rs
@@ -1,4 +1,4 @@
-//! The greedy search beside brute force, and what it loads and drops for.
+//! The greedy search compared with an exhaustive one, and the conditions of loads and drops.
 
 use badgerwind_horizon::{cost, plan, Horizon};
 
@@ -9,16 +9,16 @@
         lanes: 1.0,
         service: 1.0,
         delay,
-        cold_pain: 0.9,
-        wait_pain: 0.2,
+        cold_penalty: 0.9,
+        wait_penalty: 0.2,
         load_cost: 0.3,
-        most: 16.0,
+        max_copies: 16.0,
         ..Horizon::default()
     }
 }
 
 #[test]
-fn the_greedy_search_is_close_to_brute_force_on_small_cases() {
+fn the_greedy_search_is_close_to_an_exhaustive_one_on_small_cases() {
     for rate in [0.0, 0.2, 0.5, 1.0, 2.0] {
         for warm in [0.0, 1.0, 3.0] {
             let h = horizon(rate, warm, 2);
@@ -28,8 +28,8 @@
                 best = best.min(cost(&h, &x, 0));
             }
             let (loads, drops) = plan(&h);
-            assert!(loads == 0 || drops == 0, "never both");
-            // The first step of the plan, completed in the best way, costs little more than the best plan.
+            assert!(loads == 0 || drops == 0, "loads and drops in one plan");
+            // The first step of the plan, followed by the best other steps, costs little more than the best plan.
             let mut ours = f64::INFINITY;
             for code in 0..4u32.pow(3) {
                 let x: Vec<u32> = (0..6)
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_search_loads_for_need_and_drops_only_for_a_reward() {
+fn the_search_loads_on_demand_and_drops_only_for_a_reward() {
     assert!(plan(&horizon(1.5, 0.0, 2)).0 > 0);
     assert_eq!(plan(&horizon(0.0, 2.0, 2)).0, 0);
     let mut h = horizon(0.0, 2.0, 2);
--- a/crates/badgerwind-placement/src/hash.rs
+++ b/crates/badgerwind-placement/src/hash.rs
@@ -1,4 +1,4 @@
-//! Chance that all who share nothing draw alike.
+//! Hashes that are equal on all machines and in all versions.
 
 use badgerwind_cells::Cell;
 use std::hash::Hasher;
@@ -9,7 +9,7 @@
     hasher.finish()
 }
 
-/// A number in 0..1 that depends on the name and the worker alone, on every machine and in every version.
+/// A number in 0..1 that depends only on the name and the worker, on every machine and in every version.
 pub fn unit_hash(name: &str, worker: u32) -> f64 {
     let mut h = name_hash(name) ^ u64::from(worker).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     h = (h ^ (h >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -17,13 +17,13 @@
     ((h ^ (h >> 32)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The key by which the cell at a place of a name's own order is drawn.
+/// The key that draws the cell at a place in a name's own order.
 pub(crate) fn key(name: &str, place: u64) -> u64 {
     name_hash(name).wrapping_add(place.wrapping_mul(0xd1b5_4a32_d192_ed03))
 }
 
-/// A number that tells these cells, as they stand now, from others of the same index; never 0.
-pub fn mark(cells: &[Cell]) -> u64 {
+/// A number that identifies these cells in their current state among those of the same index; never 0.
+pub fn fingerprint(cells: &[Cell]) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     for cell in cells {
         hasher.write_u64(cell.path);
--- a/crates/badgerwind/src/events.rs
+++ b/crates/badgerwind/src/events.rs
@@ -1,89 +1,95 @@
-//! Events in, actions out: which part of the decisions takes which event. Nothing is decided here; the decisions are in
-//! the files that `deploy/balancer.toml` names under `policy`, the types in `interface.rs`, the plain records in `state.rs`.
-//! A [`Router`] forecasts each function's arrivals, plans loads and drops by a short horizon cost search, holds requests for
-//! warm lanes that free soon, and keeps the five rules. See docs/design/module.md.
+//! Dispatch of events to the parts of the router. The decisions themselves are in the files that
+//! `deploy/balancer.toml` names under `policy`, the public types in `interface.rs`, and the records in
+//! `records.rs`. A [`Router`] forecasts each function's arrivals, plans loads and drops by a short horizon
+//! cost search, holds requests for warm lanes that free soon, and observes the five rules. See
+//! docs/design/module.md.
 
+use crate::feedback::MAX_ATTEMPTS;
 use crate::interface::*;
-use crate::learn::FREE_LIMIT;
 use crate::message;
+use crate::records::*;
 use crate::router::Router;
-use crate::shares::{LOAD_SPAN, MOST_TOLD};
-use crate::state::*;
+use crate::shares::{LOAD_SPAN, MAX_TENANTS};
 
 impl Router {
-    /// Takes in an event and adds what is to be done.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Handles an event and appends the resulting actions to `actions`. A `now` before that of an earlier
+    /// event counts as that earlier time.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.begin(out);
+        self.begin(actions);
         match event {
             Event::List { kind, entries } => self.on_list(kind, entries),
-            Event::Request(request) => self.on_request(request, out),
-            Event::StreamBegan { id, .. } => _ = self.m.open.entry(id).and_modify(|o| o.stream = true),
+            Event::Request(request) => self.on_request(request, actions),
+            Event::StreamBegan { id, .. } => {
+                self.state.open.entry(id).and_modify(|open| open.stream = true);
+            }
             Event::Answer { id, attempt, outcome, last, lag, mark, crowd, .. } => {
-                self.on_answer(&id, attempt, Told { outcome, last, lag, mark, crowd, own: 0, waited: 0 }, out)
+                let answer = Answer { outcome, last, lag, mark, crowd, own: 0, waited: 0 };
+                self.on_answer(&id, attempt, answer, actions)
             }
-            Event::ClientGone { id } => self.end(&id, out),
-            Event::Stopping => self.on_stop(out),
-            Event::Alarm { name } if &*name == "sweep" => self.on_sweep(out),
+            Event::ClientGone { id } => self.end(&id, actions),
+            Event::Stopping => self.on_stop(actions),
+            Event::Alarm { name } if &*name == "sweep" => self.on_maintenance(actions),
             Event::Loaded { worker, function, outcome, copies, lag } => {
-                self.on_loaded(worker, &function, Loaded { outcome, copies, lag }, out)
+                self.on_loaded(worker, &function, LoadResult { outcome, copies, lag }, actions)
             }
             Event::Message { from, bytes } => self.on_message(from, &bytes),
-            Event::PresumedRestart { worker } => self.m.presume_restart(self.now, worker, FREE_LIMIT),
-            Event::Parts(parts) => self.m.parts = parts,
+            Event::PresumedRestart { worker } => self.state.presume_restart(self.now, worker, MAX_ATTEMPTS),
+            Event::Parts(quotas) => self.state.quotas = quotas,
             Event::Alarm { .. } | Event::Probed { .. } => {}
         }
     }
 
-    /// How much is remembered now.
+    /// The current size of the router's state.
     pub fn figures(&self) -> Figures {
         Figures {
-            workers: self.m.workers.len(),
-            ready: self.m.totals.ready,
-            cells: self.m.index.cells(),
-            functions: self.m.names.len(),
-            planned: self.m.planned.len(),
-            waiting: self.m.waiting.len(),
+            workers: self.state.workers.len(),
+            ready: self.state.totals.ready,
+            cells: self.state.index.cells(),
+            functions: self.state.slots.len(),
+            planned: self.state.planned.len(),
+            waiting: self.state.waiting.len(),
         }
     }
 
-    /// Rule 3 follows from here: nothing new goes to a worker that is not `ready`, from this moment on. A new start,
-    /// however it was announced, leaves it empty and cold, and trusted anew.
+    /// Applies a list. Rule 3 follows from it: a worker that is not `ready` gets nothing new from now on. A
+    /// restart, however it was announced, leaves a worker without copies, cold, and with new health.
     fn on_list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) {
-        self.m.listed(self.now, kind, entries, FREE_LIMIT);
+        self.state.apply_list(self.now, kind, entries, MAX_ATTEMPTS);
     }
 
-    /// The first sweep is set at a time of its own, so that front ends do not sweep in step.
-    pub(crate) fn begin(&mut self, out: &mut Vec<Action>) {
-        if self.began.is_none() {
-            self.began = Some(self.now);
-            let after = 1 + self.rng.u64(0..self.sweep);
-            out.push(Action::SetAlarm { after, name: "sweep".into() });
+    /// Sets the first alarm at a random time, so that front ends do not run their maintenance in step.
+    pub(crate) fn begin(&mut self, actions: &mut Actions) {
+        if self.started_at.is_none() {
+            self.started_at = Some(self.now);
+            let after = 1 + self.rng.u64(0..self.interval);
+            actions.push(Action::SetAlarm { after, name: "sweep".into() });
         }
     }
 
-    /// No more time is left here: whoever may try again does so elsewhere, while some of its own is.
-    pub(crate) fn on_stop(&mut self, out: &mut Vec<Action>) {
-        let all: Vec<RequestId> = self.m.open.keys().cloned().collect();
-        all.iter().for_each(|id| self.finish(id, out));
+    /// Gives all open requests their final answer, so that their clients can still try another front end in
+    /// time.
+    pub(crate) fn on_stop(&mut self, actions: &mut Actions) {
+        let all: Vec<RequestId> = self.state.open.keys().cloned().collect();
+        all.iter().for_each(|id| self.finish(id, actions));
     }
 
-    /// A request is over: attempts still out are called off, and it is forgotten once they have ended.
-    pub(crate) fn end(&mut self, id: &RequestId, out: &mut Vec<Action>) {
-        let off = self.m.end(id).into_iter().filter(|_| self.set.may_cancel);
-        out.extend(off.map(|attempt| Action::Cancel { id: id.clone(), attempt }));
+    /// Ends a request: attempts in flight are called off, and it is forgotten once they have ended.
+    pub(crate) fn end(&mut self, id: &RequestId, actions: &mut Actions) {
+        let off = self.state.end(id).into_iter().filter(|_| self.settings.may_cancel);
+        actions.extend(off.map(|attempt| Action::Cancel { id: id.clone(), attempt }));
     }
 
-    /// Takes in what another front end tells.
+    /// Applies a message from another front end.
     pub(crate) fn on_message(&mut self, from: u32, bytes: &[u8]) {
-        let ours = from < self.set.front_ends && from != self.set.my_number;
-        let Some(told) = message::read(bytes, MOST_TOLD).filter(|_| ours) else { return };
-        self.m.told.insert(from, (self.now, told.rates));
-        let span = self.keep() * LOAD_SPAN;
-        for (name, word) in told.loads {
-            let Some((id, worker)) = self.m.by_short_name(name) else { continue };
-            worker.load.take(self.now, span, word);
-            self.m.loaded.insert(id);
+        let from_peer = from < self.settings.front_ends && from != self.settings.my_number;
+        let Some(message) = message::read(bytes, MAX_TENANTS).filter(|_| from_peer) else { return };
+        self.state.peer_rates.insert(from, (self.now, message.rates));
+        let span = self.keep_alive() * LOAD_SPAN;
+        for (name, load) in message.loads {
+            let Some((id, worker)) = self.state.by_short_name(name) else { continue };
+            worker.load.merge(self.now, span, load);
+            self.state.workers_with_load.insert(id);
         }
     }
 }
--- a/crates/badgerwind/src/interface.rs
+++ b/crates/badgerwind/src/interface.rs
@@ -1,5 +1,5 @@
-//! The types between a front end and the decision module [`crate::choice`]: settings, events, actions.
-//! All times are microseconds of the front end's own clock. There is no behaviour here.
+//! The types between a front end and its [`crate::Router`]: settings, events and actions. They have no
+//! behaviour. All times are microseconds of the front end's own clock.
 
 use std::sync::Arc;
 
@@ -7,32 +7,32 @@
 pub type Time = u64;
 /// A length of time, in microseconds.
 pub type Span = u64;
-/// A request's id, unique over the life of the fleet.
+/// A request's id, unique over the lifetime of the fleet.
 pub type RequestId = Arc<str>;
 /// A function's name.
 pub type FunctionId = Arc<str>;
-/// A worker's id; it survives a restart of the worker's process.
+/// A worker's id, which stays the same when the worker's process restarts.
 pub type WorkerId = u32;
 
-/// How harmful it is to run a request twice.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// May run any number of times.
     Repeatable,
-    /// Repeats are dropped by a group of workers, for a while.
+    /// A group of workers drops repeats with the same key for some time.
     ByKey,
     /// Must not run twice.
     Once,
 }
 
-/// Which workers drop the repeats of a [`Effect::ByKey`] request.
+/// The workers that drop repeats of an [`Effect::ByKey`] request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// All of them.
+    /// All workers.
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The workers of one cell.
     Cell,
 }
 
@@ -41,41 +41,42 @@
 pub struct Class {
     /// An answer within this time earns the full worth.
     pub aim: Span,
-    /// How long a client waits over all its tries.
+    /// How long a client waits, over all its attempts.
     pub deadline: Span,
     /// The aim grows by this many times the request's own work, up to the deadline.
     pub aim_stretch: f64,
     /// Whether a request may be repeated.
     pub effect: Effect,
-    /// For by-key classes: who drops repeats.
+    /// For by-key classes: the workers that drop repeats.
     pub group: Group,
-    /// For by-key classes: for how long.
+    /// For by-key classes: how long they drop them.
     pub window: Span,
     /// Worth of an answer within the aim.
     pub worth: f64,
-    /// Share of the worth of a later answer.
+    /// Worth of a later answer, as a share of `worth`.
     pub late_worth: f64,
-    /// The answer is a stream.
+    /// Whether answers are streams.
     pub streaming: bool,
 }
 
-/// A tenant and the rate that counts as inside its share, over all front ends.
+/// A tenant's share over all front ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second inside the share; `None` where not told.
+    /// Requests a second within the share; `None` when there is no quota.
     pub quota_per_s: Option<f64>,
 }
 
-/// What of the fleet's wholes is this front end's own for now. Each goes before what the settings say of all.
+/// This front end's current part of the fleet's limits. Each value takes precedence over the limit for all
+/// front ends in the settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Parts {
-    /// Load orders in the window of their limit; `None` where no whole is divided.
+    /// Load orders in the window of their limit; `None` when the fleet has no common limit.
     pub orders: Option<f64>,
-    /// Requests a second inside each tenant's share, by place.
+    /// Requests a second within each tenant's share, by tenant index.
     pub tenants: Vec<Option<f64>>,
 }
 
-/// What a worker does with a request for a function that it does not hold.
+/// What a worker does with a request for a function that it has not loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenAbsent {
     /// It loads the function while the request waits.
@@ -87,13 +88,13 @@
 /// How the list of workers reaches the front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// Changes arrive without being asked for.
     Push,
-    /// Only after [`Action::Subscribe`] or [`Action::FetchList`].
+    /// Changes arrive only after [`Action::Subscribe`] or [`Action::FetchList`].
     Ask,
 }
 
-/// How load reports travel.
+/// Where load reports are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportMode {
     /// In answers and probe results.
@@ -107,7 +108,7 @@
 /// A value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests in hand.
+    /// Requests being executed.
     Active,
     /// Requests waiting.
     Waiting,
@@ -115,13 +116,13 @@
     Cpu,
     /// Share of memory that cannot be freed.
     Memory,
-    /// Loads under way or waiting.
+    /// Loads in progress or waiting.
     Loads,
     /// Anything else.
     Other,
 }
 
-/// What a front end is told at its start. A figure of 0 means that there is no such limit or price.
+/// Settings of a router, fixed at its start. A value of 0 means that there is no such limit or price.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Front ends in this tier.
@@ -130,191 +131,191 @@
     pub my_number: u32,
     /// This front end's zone.
     pub my_zone: u32,
-    /// Request classes, by place.
+    /// Request classes; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// Tenants, by place.
+    /// Tenants; requests refer to them by index.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a share of its class's worth.
+    /// Worth of a request over its tenant's share, as a share of its class's worth.
     pub over_share_worth: f64,
-    /// How the list of workers comes.
+    /// How the list of workers reaches this front end.
     pub discovery: Discovery,
-    /// Where discovery is asked: after this long without asking, old news counts as told.
+    /// For [`Discovery::Ask`]: a front end that has not asked for this long counts as informed of all changes.
     pub ask_within: Span,
-    /// What a worker does with a request for a function that it lacks.
+    /// What a worker does with a request for a function that it has not loaded.
     pub when_absent: WhenAbsent,
-    /// An idle copy stays at least this long.
+    /// Minimum time for which an idle copy stays loaded.
     pub keep_alive: Span,
-    /// Memory of each kind of worker, in MB.
+    /// Memory of each kind of worker, in MB, by [`WorkerEntry::kind`].
     pub memory_mb: Vec<f64>,
-    /// A load order not answered by then ends as a time-out.
+    /// Time after which a load order without an answer ends as [`Outcome::Timeout`].
     pub order_timeout: Span,
-    /// Load orders and drops are allowed.
+    /// Whether load orders and drops are allowed.
     pub may_order: bool,
-    /// Answers tell whether a copy stood loaded.
+    /// Whether answers carry a [`CopyMark`].
     pub marks_warm: bool,
-    /// Answers tell how many requests for the function the worker held.
+    /// Whether answers carry a crowd mark: the number of requests for the function at the worker.
     pub marks_crowd: bool,
-    /// Window of the limit on load orders; 0 where there is none.
+    /// Sliding window of the limit on load orders; 0 for no limit.
     pub load_window: Span,
-    /// Load orders allowed in that window whatever the traffic.
+    /// Load orders allowed in that window regardless of the traffic.
     pub load_free: f64,
-    /// Further load orders for each request taken in that window.
+    /// Further load orders allowed for each request accepted in that window.
     pub load_share: f64,
-    /// Price of memory held by copies on which nothing runs.
+    /// Price of the memory of idle copies.
     pub idle_price: f64,
-    /// Price of a fetch from the store, by request.
+    /// Price of a fetch from the store, in requests' worth.
     pub fetch_price: f64,
-    /// Price of an attempt that crosses zones, by request.
+    /// Price of an attempt that crosses zones, in requests' worth.
     pub zone_price: f64,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Cancelling an attempt is allowed.
+    /// Whether an attempt may be cancelled.
     pub may_cancel: bool,
-    /// Two attempts may be out at once.
+    /// Whether a request may have two attempts in flight at once.
     pub may_duplicate: bool,
-    /// Probes are allowed.
+    /// Whether probes are allowed.
     pub may_probe: bool,
-    /// Messages to other front ends are allowed.
+    /// Whether messages to other front ends are allowed.
     pub may_message: bool,
-    /// The longest time that clients told to stay away heed; 0 where advice is not given.
+    /// Longest `retry_after` that clients respect; 0 when none is given.
     pub max_retry_after: Span,
-    /// Time past the client's deadline in which a final answer still counts.
+    /// Time after the client's deadline in which a final answer still counts.
     pub answer_slack: Span,
-    /// Time in which sends to a draining worker must end.
+    /// Time within which sends to a draining worker must stop.
     pub drain_grace: Span,
-    /// Share of its capacity with which a worker starts, at the least.
+    /// Share of its full capacity that a worker has at its start, at least.
     pub cold_from: f64,
-    /// A worker is warm after this at the latest.
+    /// Time after which a worker has its full capacity.
     pub warm_after: Span,
-    /// A cold worker falls over when sent more than this many times its present capacity...
+    /// A cold worker fails when it is sent more than this multiple of its current capacity...
     pub fall_multiple: f64,
-    /// ...for this long.
+    /// ...for this time.
     pub fall_window: Span,
-    /// Batches of events come at most this often.
+    /// Shortest time between two batches of events.
     pub round: Span,
-    /// How load reports travel.
+    /// Where load reports are sent.
     pub report_mode: ReportMode,
-    /// Values in a load report, in order.
+    /// The values of a load report, in order.
     pub report_fields: Vec<ReportField>,
 }
 
-/// What a list says of a worker.
+/// The state of a worker in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It finishes its work; nothing new may be sent.
+    /// It finishes its requests; nothing new may be sent to it.
     Draining,
-    /// It is no longer there.
+    /// It no longer exists.
     Gone,
 }
 
 /// An entry in the list of workers.
 #[derive(Clone, Debug)]
 pub struct WorkerEntry {
-    /// The worker.
+    /// Its id.
     pub worker: WorkerId,
     /// Its zone.
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
-    /// Its kind of machine.
+    /// Its kind of machine, an index into [`Settings::memory_mb`].
     pub kind: u32,
-    /// A size to compare with other workers' sizes.
+    /// Its size relative to other workers.
     pub size: f64,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub availability: Availability,
-    /// When its process last started; `None`: long ago.
+    /// When its process last started; `None`: so long ago that it is warm.
     pub born: Option<Time>,
 }
 
-/// What a list event holds.
+/// The content of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Changes,
-    /// The whole list.
+    /// The complete list.
     Whole,
-    /// The whole list as last had, maybe old.
+    /// The complete list as last received, possibly out of date.
     Cached,
-    /// A call failed; no entries.
+    /// Fetching the list failed; there are no entries.
     Failed,
 }
 
 /// How an attempt, a probe or a load order ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served, or done.
+    /// It succeeded.
     Ok,
-    /// An error; it may have run.
+    /// It failed; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// The worker refused it without running it.
     Full,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the request may have run.
     Timeout,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Called off; it may have run.
+    /// It was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     Moot,
-    /// The function is not loaded there.
+    /// The function was not loaded at the worker.
     Miss,
 }
 
-/// What an answer says of the copy that served it.
+/// What an answer says about the copy that served it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyMark {
-    /// Nothing was said.
+    /// Nothing.
     Untold,
-    /// A copy stood loaded.
+    /// A copy was already loaded.
     Warm,
-    /// The request began a load.
+    /// The request started a load.
     BeganLoad,
-    /// It waited for a load begun before.
+    /// The request waited for a load that was already in progress.
     WaitedForLoad,
     /// The load failed.
     LoadFailed,
 }
 
-/// A request as it arrives.
+/// A request on its arrival.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// A client's repeat, where clients mark them.
+    /// Whether it is a client's retry, where clients mark them.
     pub retry: bool,
-    /// Its tenant.
+    /// Its tenant, an index into [`Settings::tenants`].
     pub tenant: usize,
-    /// Expected work on a standard core, where told.
+    /// Expected processing time on a standard core, if given.
     pub hint: Option<Span>,
     /// The function it calls.
     pub function: FunctionId,
     /// Memory of one copy, in MB.
     pub memory_mb: f64,
-    /// Requests that one copy runs at a time.
+    /// Requests that one copy executes at a time.
     pub lanes: u32,
-    /// Its class.
+    /// Its class, an index into [`Settings::classes`].
     pub class: usize,
     /// When the client gives up.
     pub due: Time,
-    /// Usual time of a load, where told.
+    /// Usual load time of the function, if given.
     pub load_time: Option<Span>,
 }
 
-/// Something that has happened.
+/// An input to the router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the workers.
+    /// The list of workers, or changes of it.
     List {
-        /// What it holds.
+        /// Its content.
         kind: ListKind,
         /// Its entries.
         entries: Vec<WorkerEntry>,
     },
-    /// A request has come.
+    /// A request has arrived.
     Request(Request),
     /// A streamed answer has begun.
     StreamBegan {
@@ -331,51 +332,51 @@
         attempt: u32,
         /// The worker.
         worker: WorkerId,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
-        /// The request is over.
+        /// Whether the request has its final answer.
         last: bool,
         /// Time since it was sent.
         lag: Span,
-        /// What is said of the copy.
+        /// What the answer says about the copy.
         mark: CopyMark,
-        /// Requests for the function that the worker held when this one came, where told.
+        /// Requests for the function at the worker when this one arrived, if given.
         crowd: Option<u32>,
         /// The worker's load report.
         report: Option<Vec<f64>>,
     },
-    /// The front end ends: what is owed an answer gets its last one now.
+    /// The front end is stopping: all open requests get their final answer now.
     Stopping,
-    /// The client has left.
+    /// The client has disconnected.
     ClientGone {
         /// The request.
         id: RequestId,
     },
-    /// A timer is due.
+    /// An alarm set by [`Action::SetAlarm`] is due.
     Alarm {
-        /// The name given to it.
+        /// The alarm's name.
         name: Arc<str>,
     },
     /// A probe has ended.
     Probed {
         /// The worker.
         worker: WorkerId,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
         /// The worker's load report.
         report: Option<Vec<f64>>,
     },
-    /// A worker's process counts as started just now, until the list says otherwise: nothing shows that it is the one of
-    /// before.
+    /// A worker's process may have restarted without notice. It counts as just started until its next entry
+    /// in the list.
     PresumedRestart {
         /// The worker.
         worker: WorkerId,
     },
-    /// What of the fleet's wholes is this front end's own from now on.
+    /// This front end's part of the fleet's limits from now on.
     Parts(Parts),
     /// A message from another front end.
     Message {
-        /// The sender's number.
+        /// The number of the sending front end.
         from: u32,
         /// Its bytes.
         bytes: Vec<u8>,
@@ -386,33 +387,33 @@
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
-        /// Copies that stand loaded there.
+        /// Copies now loaded at the worker.
         copies: u32,
         /// Time since the order.
         lag: Span,
     },
 }
 
-/// How much a router remembers, for those who watch it.
+/// The size of a router's state, for monitoring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Workers listed, or gone with something still out there.
+    /// Workers that are listed, or removed with attempts or loads still pending.
     pub workers: usize,
-    /// Workers that take work.
+    /// Workers that accept requests.
     pub ready: usize,
-    /// Cells that the listed workers are in.
+    /// Cells of the listed workers.
     pub cells: usize,
-    /// Functions remembered.
+    /// Known functions.
     pub functions: usize,
-    /// Functions whose next step is planned; the others rest until they are called.
+    /// Functions with a next planning step; the others rest until they are called.
     pub planned: usize,
-    /// Functions with requests held.
+    /// Functions with held requests.
     pub waiting: usize,
 }
 
-/// Something to be done.
+/// An output of the router, to be carried out by the front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -421,29 +422,29 @@
         id: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Time-out; `None`: until the client gives up.
+        /// Timeout; `None`: until the client gives up.
         timeout: Option<Span>,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
         /// The attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: turned away, trying again is harmless.
+    /// Give the final answer: the request was refused, and a retry is safe.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before a retry.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Give the final answer: the request failed, and may have had an effect.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// See that a worker holds at least so many copies; 0 only asks.
+    /// Order a worker to hold at least this many copies; 0 only asks how many it holds.
     Load {
         /// The worker.
         worker: WorkerId,
@@ -459,9 +460,9 @@
         /// The function.
         function: FunctionId,
     },
-    /// Ask for an alarm.
+    /// Set an alarm.
     SetAlarm {
-        /// Time from now.
+        /// Time until it is due.
         after: Span,
         /// Its name.
         name: Arc<str>,
@@ -478,19 +479,19 @@
     },
     /// Send a message to one front end, or to all.
     Tell {
-        /// The front end; `None`: all of them.
+        /// The number of the front end; `None`: all of them.
         to: Option<u32>,
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Ask for changes of the list from now on, or no longer.
+    /// Start or stop receiving changes of the list.
     Subscribe {
-        /// On or off.
+        /// Whether to receive them.
         on: bool,
     },
-    /// Ask for the whole list once.
+    /// Fetch the complete list once.
     FetchList,
-    /// A line for the staff.
+    /// Write a line to the operators' log.
     Log {
         /// The text.
         text: String,
--- a/crates/badgerwind/src/lib.rs
+++ b/crates/badgerwind/src/lib.rs
@@ -2,18 +2,18 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod choose;
 mod dispatch;
+mod eligibility;
 mod events;
-mod homes;
+mod feedback;
 pub mod interface;
-mod learn;
-mod memory;
+mod load_orders;
+mod maintenance;
 mod message;
-mod orders;
+mod records;
 mod router;
+mod router_state;
+mod selection;
 mod shares;
-mod state;
-mod sweep;
 
 pub use router::Router;
--- /dev/null
+++ b/crates/badgerwind/src/records.rs
@@ -0,0 +1,435 @@
+//! The records of the router's state and their bookkeeping. They contain no decisions and no tuned values.
+
+use crate::interface::*;
+pub(crate) use badgerwind_health::Health;
+use badgerwind_placement::WEIGHT_OF_SIZE;
+use std::collections::{BTreeMap, VecDeque};
+
+/// The list to which event handlers append what the front end must do.
+pub(crate) type Actions = Vec<Action>;
+
+/// A sum with exponential decay.
+#[derive(Debug, Default, Clone, Copy)]
+pub(crate) struct DecayingSum {
+    value: f64,
+    at: Time,
+}
+
+impl DecayingSum {
+    pub(crate) fn add(&mut self, now: Time, span: f64, amount: f64) {
+        (self.value, self.at) = (self.get(now, span) + amount, now);
+    }
+    /// The sum now; `span` is the time constant of the decay.
+    pub(crate) fn get(&self, now: Time, span: f64) -> f64 {
+        self.value * (-(now.saturating_sub(self.at) as f64) / span).exp()
+    }
+}
+
+/// A mean that front ends estimate together (push-sum; Kempe, Dobra and Gehrke 2003). Each sample adds mass,
+/// and each message carries half of the mass to another front end. No sample counts twice however far it
+/// travels, and a lost message only loses its part of the mass. Old samples decay.
+#[derive(Debug, Default, Clone, Copy)]
+pub(crate) struct SharedMean {
+    sum: DecayingSum,
+    mass: DecayingSum,
+}
+
+impl SharedMean {
+    pub(crate) fn add(&mut self, now: Time, span: f64, value: f64, mass: f64) {
+        self.sum.add(now, span, value * mass);
+        self.mass.add(now, span, mass);
+    }
+    /// The mean, including a prior sample of value `prior` and mass `prior_mass`.
+    pub(crate) fn mean(&self, now: Time, span: f64, prior: f64, prior_mass: f64) -> f64 {
+        (self.sum.get(now, span) + prior * prior_mass) / (self.mass.get(now, span) + prior_mass)
+    }
+    pub(crate) fn mass(&self, now: Time, span: f64) -> f64 {
+        self.mass.get(now, span)
+    }
+    /// Removes half of the mass and returns it for a message in two bytes: the mean and the mass, each as a
+    /// logarithm.
+    pub(crate) fn split_half(&mut self, now: Time, span: f64) -> [u8; 2] {
+        let (mean, mass) = (self.mean(now, span, 1.0, 1e-9), self.mass(now, span) / 2.0);
+        self.add(now, span, mean, -mass);
+        let byte = |x: f64, steps: f64| (x.max(1e-9).log2() * steps + 128.0).round().clamp(0.0, 255.0) as u8;
+        [byte(mean, 32.0), byte(mass, 16.0)]
+    }
+    /// Adds the mean and mass that another front end split off.
+    pub(crate) fn merge(&mut self, now: Time, span: f64, [mean, mass]: [u8; 2]) {
+        let value = |b: u8, steps: f64| ((f64::from(b) - 128.0) / steps).exp2();
+        if mass > 0 {
+            self.add(now, span, value(mean, 32.0), value(mass, 16.0));
+        }
+    }
+}
+
+/// Times of recent occurrences, in order.
+#[derive(Debug, Default)]
+pub(crate) struct SlidingWindow(VecDeque<Time>);
+
+impl SlidingWindow {
+    pub(crate) fn push(&mut self, now: Time) {
+        self.0.push_back(now);
+    }
+    /// The number of occurrences at or after this time.
+    pub(crate) fn count_since(&self, from: Time) -> f64 {
+        (self.0.len() - self.0.partition_point(|&t| t < from)) as f64
+    }
+    pub(crate) fn forget_before(&mut self, from: Time) {
+        while self.0.front().is_some_and(|&t| t < from) {
+            self.0.pop_front();
+        }
+    }
+}
+
+/// A kind of traffic whose health at a worker is tracked by itself.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum TrafficKind {
+    Tenant(usize),
+    Class(usize),
+}
+
+/// A worker: its entry in the list, and what this front end has observed of it.
+#[derive(Debug, Default)]
+pub(crate) struct Worker {
+    pub zone: u32,
+    pub cell: u32,
+    pub kind: usize,
+    pub size: f64,
+    pub ready: bool,
+    /// It is no longer listed.
+    pub removed: bool,
+    pub born: Option<Time>,
+    /// Start of its warm-up, as listed or as presumed.
+    pub warming_since: Option<Time>,
+    /// Its restart was presumed, not listed; the next entry in the list replaces the presumed time.
+    pub presumed_restart: bool,
+    /// Own attempts in flight, and own load orders pending.
+    pub in_flight: u32,
+    pub pending_loads: u32,
+    /// Observed service times as a multiple of the mean of the same functions at all workers.
+    pub slowness: f64,
+    /// Service times as a multiple of the mean of their class, as all front ends observe them.
+    pub load: SharedMean,
+    /// Health as a whole, and by kind of traffic.
+    pub health: Health,
+    /// Boxed: most workers have two entries, while a node of the map reserves space for eleven.
+    pub kind_health: BTreeMap<TrafficKind, Box<Health>>,
+    pub full_until: Time,
+    pub no_load_until: Time,
+    /// Most own attempts in flight, and when this limit was last cut.
+    pub attempt_limit: f64,
+    pub limit_cut_at: Time,
+    /// Own sends since it started, for the cold budget.
+    pub cold_sends: u32,
+    /// Rate of attempts that succeeded here.
+    pub served: DecayingSum,
+    /// The highest such rate, per unit of its size.
+    pub peak_rate: f64,
+    /// Recent own sends, for the cold budget.
+    pub sends: SlidingWindow,
+    /// Changes whenever all copies are lost at once, which voids the beliefs on copies of an earlier epoch.
+    pub epoch: u64,
+    pub emptied_at: Time,
+    /// Time of its last periodic maintenance.
+    pub maintained_at: Time,
+}
+
+impl Worker {
+    pub(crate) fn new(entry: &WorkerEntry, last_seen: Time, attempt_limit: f64, epoch: u64) -> Self {
+        let health = Health { last_seen, ..Health::default() };
+        let (born, warming_since, maintained_at) = (entry.born, entry.born, last_seen);
+        Worker {
+            born,
+            warming_since,
+            slowness: 1.0,
+            health,
+            attempt_limit,
+            epoch,
+            maintained_at,
+            ..Worker::default()
+        }
+    }
+    /// Its weight in the index of cells, in thousandths of a size; 0 when it takes no work.
+    pub(crate) fn weight(&self) -> u64 {
+        if self.ready {
+            (self.size * WEIGHT_OF_SIZE).round().max(1.0) as u64
+        } else {
+            0
+        }
+    }
+    /// Applies an entry of the list. Returns true when the process has restarted.
+    pub(crate) fn apply_entry(&mut self, entry: &WorkerEntry) -> bool {
+        (self.zone, self.cell) = (entry.zone, entry.cell);
+        (self.kind, self.size) = (entry.kind as usize, entry.size.max(0.01));
+        self.ready = entry.availability == Availability::Ready;
+        self.removed = entry.availability == Availability::Gone;
+        let restarted = entry.born != self.born && entry.born.is_some();
+        self.born = entry.born.or(self.born);
+        if std::mem::take(&mut self.presumed_restart) {
+            self.warming_since = self.born;
+        }
+        restarted
+    }
+    /// Counts an attempt that succeeded, and updates the peak rate.
+    pub(crate) fn record_served(&mut self, now: Time, span: f64) {
+        self.served.add(now, span, 1e6 / span);
+        self.peak_rate = self.peak_rate.max(self.served.get(now, span) / self.size.max(0.01));
+    }
+    /// Whether this worker and another drop repeats of each other's requests in such a group.
+    pub(crate) fn drops_repeats(&self, other: &Worker, group: Group) -> bool {
+        match group {
+            Group::All => true,
+            Group::Zone => self.zone == other.zone,
+            Group::Cell => self.cell == other.cell,
+        }
+    }
+}
+
+/// Sums over the listed workers, updated as workers change, so that no decision iterates over the list.
+#[derive(Debug, Default)]
+pub(crate) struct Totals {
+    /// Ready workers, the tripped ones among them, and the sums of their sizes and slowness.
+    pub ready: usize,
+    pub tripped: usize,
+    pub size: f64,
+    pub slowness: f64,
+    /// Workers, ready or not, that served at least one call, and the sum of their peak rates.
+    pub served: usize,
+    pub peak_rate: f64,
+}
+
+impl Totals {
+    pub(crate) fn include(&mut self, worker: &Worker) {
+        if worker.ready {
+            self.ready += 1;
+            self.tripped += usize::from(worker.health.tripped);
+            self.size += worker.size;
+            self.slowness += worker.slowness;
+        }
+        self.served += usize::from(worker.peak_rate > 0.0);
+        self.peak_rate += worker.peak_rate;
+    }
+    pub(crate) fn exclude(&mut self, worker: &Worker) {
+        if worker.ready {
+            self.ready -= 1;
+            self.tripped -= usize::from(worker.health.tripped);
+            self.size -= worker.size;
+            self.slowness -= worker.slowness;
+        }
+        self.served -= usize::from(worker.peak_rate > 0.0);
+        self.peak_rate -= worker.peak_rate;
+    }
+}
+
+/// What this front end believes of a function's copies at a worker.
+#[derive(Debug, Default)]
+pub(crate) struct Copies {
+    /// The worker's epoch to which the beliefs apply.
+    pub epoch: u64,
+    /// The worker is one of the preferred ones that share the function.
+    pub shared: bool,
+    /// Copies last known to be loaded.
+    pub count: u32,
+    /// Last confirmation, use or renewal.
+    pub used_at: Time,
+    /// Last information of any kind, including that no copy is loaded.
+    pub known_at: Time,
+    /// Own attempts in flight for the function there.
+    pub in_flight: u32,
+    /// Other front ends' requests there, estimated from crowd marks.
+    pub foreign: f64,
+    /// Pending orders: when sent, and the copies wanted (0: only asked).
+    pub orders: Vec<(Time, u32)>,
+}
+
+impl Copies {
+    /// Copies that the pending orders lead to.
+    pub(crate) fn pending_count(&self) -> u32 {
+        self.orders.iter().map(|o| o.1).max().unwrap_or(0)
+    }
+    /// Removes the order that was sent nearest to this time.
+    pub(crate) fn remove_order(&mut self, sent: Time) -> Option<u32> {
+        let at = (0..self.orders.len()).min_by_key(|&i| self.orders[i].0.abs_diff(sent))?;
+        Some(self.orders.remove(at).1)
+    }
+}
+
+/// A function: what its requests say of it, and what this front end has observed.
+#[derive(Debug, Default)]
+pub(crate) struct Function {
+    pub name: FunctionId,
+    pub class: usize,
+    /// Memory of one copy, in MB.
+    pub memory: f64,
+    pub lanes: u32,
+    /// Load time: initially from the request or a guess, then a mean of observed ones.
+    pub load_time: f64,
+    /// Mean service time, and a low quantile of it; 0: unknown.
+    pub mean_service: f64,
+    pub quick_service: f64,
+    /// Length of a bin of arrivals, the bins (the last one is still open), and the last one's number.
+    pub step: Span,
+    pub bins: VecDeque<f64>,
+    pub bin_number: u64,
+    /// Uses with slow decay, and the time of the last one.
+    pub uses: DecayingSum,
+    pub used_at: Time,
+    /// Errors before anything was served, and the time of the last one.
+    pub errors: u32,
+    pub failed_at: Time,
+    pub last_loads: f64,
+    pub held: Vec<RequestId>,
+    /// Boxed: most functions have one entry, while a node of the map reserves space for eleven.
+    pub copies: BTreeMap<WorkerId, Box<Copies>>,
+    /// The first workers in its own rendezvous order, and the fingerprint of their cells; 0 where none are
+    /// stored.
+    pub preferred: Vec<WorkerId>,
+    pub cells_fingerprint: u64,
+    /// Version of the index at which the cells were last looked up, and epoch at which its copies were last
+    /// checked.
+    pub index_version: u64,
+    pub epoch: u64,
+    /// How many of the preferred workers share the function's calls among front ends; the same when last
+    /// marked.
+    pub spread: usize,
+    pub marked_spread: usize,
+    /// How many workers crowd marks ask for.
+    pub reach: f64,
+    /// When its next step is planned; 0 while it rests.
+    pub plan_at: Time,
+    /// How many of its held requests are included in the router's count.
+    pub counted: usize,
+}
+
+impl Function {
+    /// Adds an observed load time to the mean. Returns the change of the mean.
+    pub(crate) fn observe_load(&mut self, sample: f64, gain: f64) -> f64 {
+        let before = self.load_time;
+        update_mean(&mut self.load_time, sample, gain);
+        self.load_time - before
+    }
+    /// Advances the bins to now. A new function gets empty bins back to `start`, when the router started.
+    /// Returns whether a new bin began. At most `most` closed bins are kept.
+    pub(crate) fn roll(&mut self, now: Time, start: Time, most: u64) -> bool {
+        let bin = now / self.step;
+        let first = self.bins.is_empty();
+        let new = if first { (now - start) / self.step + 1 } else { bin - self.bin_number };
+        self.bins.extend((0..new.min(most + 1)).map(|_| 0.0));
+        while self.bins.len() as u64 > most + 1 {
+            self.bins.pop_front();
+        }
+        self.bin_number = bin;
+        new > 0
+    }
+    /// Counts an arrival in the open bin.
+    pub(crate) fn count_arrival(&mut self, now: Time, start: Time, most: u64) {
+        self.roll(now, start, most);
+        if let Some(open) = self.bins.back_mut() {
+            *open += 1.0;
+        }
+    }
+}
+
+/// An attempt of a request.
+#[derive(Debug)]
+pub(crate) struct Attempt {
+    pub worker: WorkerId,
+    pub sent: Time,
+    /// Own attempts for the function that were in flight there when it was sent.
+    pub own: u32,
+    /// Time after which it is overdue.
+    pub expected: Span,
+    pub in_flight: bool,
+    pub never_ran: bool,
+    /// Its end is no sign of overload, so the next attempt does not use the retry budget.
+    pub exempt: bool,
+    /// It was overdue, and this has been counted as a failure.
+    pub overdue: bool,
+    pub called_off: bool,
+}
+
+/// What the end of an attempt tells.
+#[derive(Clone, Copy)]
+pub(crate) struct Answer {
+    pub outcome: Outcome,
+    pub last: bool,
+    pub lag: Span,
+    pub mark: CopyMark,
+    pub crowd: Option<u32>,
+    /// Own attempts for the function there when it was sent, and the time since then by this clock.
+    pub own: u32,
+    pub waited: Span,
+}
+
+/// What the end of a load order tells.
+#[derive(Clone, Copy)]
+pub(crate) struct LoadResult {
+    pub outcome: Outcome,
+    pub copies: u32,
+    pub lag: Span,
+}
+
+/// What to do with a request now.
+pub(crate) enum Choice {
+    Send(WorkerId),
+    Load(WorkerId),
+    Wait,
+}
+
+/// A request that has not been answered, or that still has attempts in flight.
+#[derive(Debug)]
+pub(crate) struct OpenRequest {
+    pub id: RequestId,
+    /// Its function's index in `RouterState::functions`.
+    pub slot: usize,
+    pub class: usize,
+    pub tenant: usize,
+    pub due: Time,
+    pub since: Time,
+    /// It has its final answer.
+    pub ended: bool,
+    /// A streamed answer has begun.
+    pub stream: bool,
+    /// It is a client's retry.
+    pub retry: bool,
+    pub attempts: Vec<Attempt>,
+}
+
+impl OpenRequest {
+    pub(crate) fn new(slot: usize, request: &Request, since: Time) -> Self {
+        OpenRequest {
+            id: request.id.clone(),
+            slot,
+            class: request.class,
+            tenant: request.tenant,
+            due: request.due,
+            since,
+            ended: false,
+            stream: false,
+            retry: request.retry,
+            attempts: Vec::new(),
+        }
+    }
+    pub(crate) fn kinds(&self) -> [TrafficKind; 2] {
+        [TrafficKind::Tenant(self.tenant), TrafficKind::Class(self.class)]
+    }
+}
+
+/// Time until a lane serves a request that has `ahead` others before it, from the times in which the lanes
+/// free. Each request occupies its lane for `service`.
+pub(crate) fn wait_for_turn(mut lanes_free_in: Vec<f64>, ahead: usize, service: f64) -> f64 {
+    let mut wait = f64::INFINITY;
+    for _ in 0..=ahead {
+        let next = (0..lanes_free_in.len()).min_by(|&a, &b| lanes_free_in[a].total_cmp(&lanes_free_in[b]));
+        let Some(next) = next else { break };
+        wait = lanes_free_in[next];
+        lanes_free_in[next] += service;
+    }
+    wait
+}
+
+/// Moves a running mean towards a sample by `gain`. The first sample becomes the mean.
+pub(crate) fn update_mean(mean: &mut f64, sample: f64, gain: f64) {
+    *mean += if *mean == 0.0 { sample } else { gain * (sample - *mean) };
+}
--- a/crates/badgerwind/src/router.rs
+++ b/crates/badgerwind/src/router.rs
@@ -1,56 +1,56 @@
-//! The decisions of one front end: what it is and knows, and the expectations that all of them share.
+//! The [`Router`] of one front end, its construction, and the estimates that all decisions share.
 
-use crate::homes::CELL;
-use crate::interface::*;
-use crate::memory::Memory;
-use crate::state::*;
+use crate::{eligibility::CELL_SIZE, interface::*, records::*, router_state::RouterState};
 use badgerwind_cells::CellIndex;
 
-pub(crate) const HOPE: f64 = 2.0; // Longest hold on hopes, in load times; then any load or queue is better.
-pub(crate) const OVERDUE: f64 = 6.0; // First guess of the service time that OVERDUE_SHARE exceeds, in means.
-const SWEEPS_PER_AIM: u64 = 16; // Sweeps in the shortest aim: how fast silence is seen and plans are made.
-pub(crate) const MOST_RETRIES: f64 = 10.0; // Most further tries that may be saved up.
-const DOUBT: u32 = 2; // Errors of a function that nothing ever served, from which it is doubtful.
+pub(crate) const MAX_HOLD: f64 = 2.0; // Longest wait for a warm lane, in load times; then a load or queue.
+pub(crate) const OVERDUE: f64 = 6.0; // Initial overdue factor, in mean service times; see OVERDUE_SHARE.
+const RUNS_PER_AIM: u64 = 16; // Maintenance runs in the shortest aim: how fast silence is seen, plans made.
+pub(crate) const MAX_RETRIES: f64 = 10.0; // Upper bound of the accumulated retry budget, in attempts.
+const MIN_ERRORS: u32 = 2; // Errors of a never served function from which it is doubtful.
 
-/// The decisions of one front end.
+/// Makes the decisions of one front end.
 #[derive(Debug)]
 pub struct Router {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) m: Memory,
+    pub(crate) state: RouterState,
     pub(crate) now: Time,
-    pub(crate) began: Option<Time>,
-    /// Pace of the regular sweep: a small part of the shortest aim.
-    pub(crate) sweep: Span,
+    pub(crate) started_at: Option<Time>, // time of the first event
+    pub(crate) interval: Span,           // of the periodic maintenance: a small part of the shortest aim
 }
 
 impl Router {
-    /// A router that knows nothing but its settings.
+    /// Creates a router that has no workers or functions yet. Equal seeds and events give equal actions.
     pub fn new(seed: u64, settings: Settings) -> Self {
-        let aim = settings.classes.iter().map(|c| c.aim).filter(|&a| a > 0).min();
-        let sweep = (aim.unwrap_or(settings.keep_alive) / SWEEPS_PER_AIM).max(2 * settings.round).max(1000);
-        let mut m = Memory::default();
-        m.tenant_rate.resize(settings.tenants.len(), Decay::default());
-        m.class_mean.resize(settings.classes.len(), 0.0);
-        (m.tail, m.retries, m.mean_load, m.index) = (OVERDUE, MOST_RETRIES, 1.0, CellIndex::new(CELL));
-        Router { set: settings, rng: fastrand::Rng::with_seed(seed), m, now: 0, began: None, sweep }
+        let aim = settings.classes.iter().map(|class| class.aim).filter(|&aim| aim > 0).min();
+        let interval = (aim.unwrap_or(settings.keep_alive) / RUNS_PER_AIM).max(2 * settings.round).max(1000);
+        let mut state = RouterState::default();
+        (state.overdue_factor, state.retry_budget) = (OVERDUE, MAX_RETRIES);
+        (state.mean_load, state.index) = (1.0, CellIndex::new(CELL_SIZE));
+        state.tenant_rate.resize(settings.tenants.len(), DecayingSum::default());
+        state.class_service.resize(settings.classes.len(), 0.0);
+        Router { settings, rng: fastrand::Rng::with_seed(seed), state, now: 0, started_at: None, interval }
     }
 
-    pub(crate) fn keep(&self) -> f64 {
-        self.set.keep_alive.max(self.sweep) as f64
+    /// The keep-alive, at least one interval, as the time constant of decaying estimates.
+    pub(crate) fn keep_alive(&self) -> f64 {
+        self.settings.keep_alive.max(self.interval) as f64
     }
 
-    /// Expected service time: the function's, else its class's, else a part of the aim.
-    pub(crate) fn service(&self, f: usize) -> f64 {
-        let f = &self.m.functions[f];
-        let aim = self.set.classes[f.class].aim as f64;
-        [f.mean, self.m.class_mean[f.class], aim / 5.0].into_iter().find(|&m| m > 0.0).unwrap_or(1.0)
+    /// Expected service time: the function's own mean, else its class's, else a fifth of the aim.
+    pub(crate) fn service(&self, slot: usize) -> f64 {
+        let function = &self.state.functions[slot];
+        let aim = self.settings.classes[function.class].aim as f64;
+        let estimates = [function.mean_service, self.state.class_service[function.class], aim / 5.0];
+        estimates.into_iter().find(|&mean| mean > 0.0).unwrap_or(1.0)
     }
 
-    /// Nothing ever served it, and errors are all it gave lately: it may be what no worker can serve. Guards
-    /// against senders of names that nobody knows: one call at a time tries, and nothing is loaded for it.
-    pub(crate) fn doubtful(&self, f: usize) -> bool {
-        let fun = &self.m.functions[f];
-        fun.mean == 0.0 && fun.errors >= DOUBT && fun.erred + (HOPE * fun.load) as Span > self.now
+    /// True for a function that was never served and has only given errors lately: it may not exist. Guards
+    /// against senders of unknown names: such a function gets one call at a time and no load orders.
+    pub(crate) fn is_doubtful(&self, slot: usize) -> bool {
+        let function = &self.state.functions[slot];
+        let failed_lately = || function.failed_at + (MAX_HOLD * function.load_time) as Span > self.now;
+        function.mean_service == 0.0 && function.errors >= MIN_ERRORS && failed_lately()
     }
 }
--- a/crates/badgerwind/src/shares.rs
+++ b/crates/badgerwind/src/shares.rs
@@ -1,59 +1,56 @@
-//! Tenants' shares, and what front ends tell each other.
+//! Tenants' shares, and the messages between front ends that estimate rates and loads over all of them.
 
-use crate::interface::*;
-use crate::message;
-use crate::router::Router;
-use crate::state::*;
+use crate::{interface::*, message, records::*, router::Router};
 
-pub(crate) const FLOOD_SPAN: f64 = 0.25; // A tenant's rate is judged over this share of the keep-alive.
-const TOLD: f64 = 0.75; // Front ends' word of their rates counts for this share of the keep-alive.
-const TELLS: f64 = 16.0; // Words to another front end in a keep-alive.
-pub(crate) const MOST_TOLD: usize = 60; // Tenants in one.
-pub(crate) const LOAD_SPAN: f64 = 0.3; // How loaded a worker was fades over this share of the keep-alive.
+pub(crate) const RATE_SPAN: f64 = 0.25; // Time constant of a tenant's rate, as a share of the keep-alive.
+const PEER_RATES_VALID: f64 = 0.75; // Validity of other front ends' rates, as a share of the keep-alive.
+const MESSAGES: f64 = 16.0; // Messages to another front end in a keep-alive.
+pub(crate) const MAX_TENANTS: usize = 60; // Tenants in one message.
+pub(crate) const LOAD_SPAN: f64 = 0.3; // Time constant of a worker's load, as a share of the keep-alive.
 
 impl Router {
-    pub(crate) fn over_share(&self, open: &Open) -> bool {
-        let quota = self.set.tenants.get(open.tenant).and_then(|t| t.quota_per_s);
-        let (own, part) =
-            (self.own_rate(open.tenant), self.m.parts.tenants.get(open.tenant).copied().flatten());
-        let beyond =
-            |own| part.map_or(quota.is_some_and(|q| self.all_rate(open.tenant, own) > q), |p| own > p);
-        own.is_some_and(beyond)
+    /// Whether a request's tenant exceeds its share: this front end's part of it if known, else the quota.
+    pub(crate) fn over_share(&self, open: &OpenRequest) -> bool {
+        let quota = self.settings.tenants.get(open.tenant).and_then(|tenant| tenant.quota_per_s);
+        let local_quota = self.state.quotas.tenants.get(open.tenant).copied().flatten();
+        let over_quota = |rate| quota.is_some_and(|quota| self.fleet_rate(open.tenant, rate) > quota);
+        let over = |rate| local_quota.map_or(over_quota(rate), |quota| rate > quota);
+        self.local_rate(open.tenant).is_some_and(over)
     }
 
-    /// Requests a second of a tenant here.
-    pub(crate) fn own_rate(&self, tenant: usize) -> Option<f64> {
-        self.m.tenant_rate.get(tenant).map(|r| r.get(self.now, self.keep() * FLOOD_SPAN))
+    /// Requests a second of a tenant at this front end.
+    pub(crate) fn local_rate(&self, tenant: usize) -> Option<f64> {
+        self.state.tenant_rate.get(tenant).map(|rate| rate.get(self.now, self.keep_alive() * RATE_SPAN))
     }
 
-    /// The same at all front ends: as told lately, and where not, as here. Guards against unequal front ends:
-    /// the busy ones took their own part times the number of all for the sum.
-    pub(crate) fn all_rate(&self, tenant: usize, own: f64) -> f64 {
-        let from = self.now.saturating_sub((self.keep() * TOLD) as Span);
-        let (sum, n) = self.m.told_rates(tenant, from);
-        (own + sum) * f64::from(self.set.front_ends.max(1)) / (1.0 + n)
+    /// Requests a second of a tenant at all front ends, from recent messages, scaled up for silent ones.
+    /// Guards against unequal front ends: busy ones would overestimate the sum by scaling up their own rate.
+    pub(crate) fn fleet_rate(&self, tenant: usize, local: f64) -> f64 {
+        let from = self.now.saturating_sub((self.keep_alive() * PEER_RATES_VALID) as Span);
+        let (sum, count) = self.state.sum_peer_rates(tenant, from);
+        (local + sum) * f64::from(self.settings.front_ends.max(1)) / (1.0 + count)
     }
 
-    /// A front end tells one other this often.
-    pub(crate) fn tell_span(&self) -> Span {
-        (self.keep() / TELLS) as Span
+    /// Time between two messages of a front end.
+    pub(crate) fn message_interval(&self) -> Span {
+        (self.keep_alive() / MESSAGES) as Span
     }
 
-    /// Tells another front end, drawn anew, its tenants' rates and half of what it knows of workers' loads.
-    /// Guards against many front ends with few calls each: what one learns alone comes late.
-    pub(crate) fn tell(&mut self, out: &mut Vec<Action>) {
-        let others = self.set.front_ends.saturating_sub(1);
-        if !self.set.may_message || others == 0 || self.now < self.m.tell_at {
+    /// Sends a randomly drawn front end the tenants' rates and half of what is known of workers' loads. With
+    /// many front ends each sees few calls, and would learn too late from its own alone.
+    pub(crate) fn send_message(&mut self, actions: &mut Actions) {
+        let others = self.settings.front_ends.saturating_sub(1);
+        if !self.settings.may_message || others == 0 || self.now < self.state.next_message_at {
             return;
         }
-        let (now, span) = (self.now, self.keep() * LOAD_SPAN);
-        self.m.tell_at = now + self.tell_span();
-        let rates: Vec<f64> =
-            (0..self.set.tenants.len().min(MOST_TOLD)).map(|t| self.own_rate(t).unwrap_or(0.0)).collect();
-        self.m.forget_told(now.saturating_sub((self.keep() * TOLD) as Span));
-        let known = self.m.heaviest_known(now, span).into_iter();
-        let bytes = message::write(&rates, known, |id| self.m.give_load(id, now, span));
-        let to = (self.set.my_number + 1 + self.rng.u32(0..others)) % self.set.front_ends;
-        out.push(Action::Tell { to: Some(to), bytes });
+        let (now, span) = (self.now, self.keep_alive() * LOAD_SPAN);
+        self.state.next_message_at = now + self.message_interval();
+        let tenants = 0..self.settings.tenants.len().min(MAX_TENANTS);
+        let rates: Vec<f64> = tenants.map(|tenant| self.local_rate(tenant).unwrap_or(0.0)).collect();
+        self.state.forget_peer_rates(now.saturating_sub((self.keep_alive() * PEER_RATES_VALID) as Span));
+        let loads = self.state.best_known_loads(now, span).into_iter();
+        let bytes = message::write(&rates, loads, |id| self.state.split_load(id, now, span));
+        let to = (self.settings.my_number + 1 + self.rng.u32(0..others)) % self.settings.front_ends;
+        actions.push(Action::Tell { to: Some(to), bytes });
     }
 }
--- a/crates/badgerwind/tests/common/mod.rs
+++ b/crates/badgerwind/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings for tests, and a checker of the rules that watches events and actions.
+//! Settings for tests, and a router whose events and actions are checked against the rules.
 #![allow(dead_code)]
 
 use badgerwind::interface::*;
@@ -78,8 +78,8 @@
     }
 }
 
-/// An attempt as the checker sees it.
-pub struct Tried {
+/// An attempt as the check sees it.
+pub struct AttemptRecord {
     pub worker: WorkerId,
     pub at: Time,
     pub ended: Option<Outcome>,
@@ -87,44 +87,44 @@
 }
 
 /// A router whose every event and action is checked against the rules.
-pub struct Bench {
+pub struct CheckedRouter {
     pub router: Router,
     pub set: Settings,
     pub now: Time,
     pub alarms: Vec<Time>,
     pub due: BTreeMap<RequestId, Time>,
-    pub over: BTreeMap<RequestId, Time>,
-    pub tried: BTreeMap<RequestId, Vec<Tried>>,
+    pub answered: BTreeMap<RequestId, Time>,
+    pub attempts: BTreeMap<RequestId, Vec<AttemptRecord>>,
     pub loads: Vec<(Time, WorkerId, FunctionId, u32)>,
     pub orders: Vec<Time>,
-    pub taken: Vec<Time>,
+    pub arrivals: Vec<Time>,
     pub ready: BTreeMap<WorkerId, bool>,
-    pub acts: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
-impl Bench {
+impl CheckedRouter {
     pub fn new(set: Settings, workers: u32) -> Self {
         let router = Router::new(7, set.clone());
-        let mut b = Bench {
+        let mut checked = CheckedRouter {
             router,
             set,
             now: 1_000_000,
             alarms: vec![],
             due: BTreeMap::new(),
-            over: BTreeMap::new(),
-            tried: BTreeMap::new(),
+            answered: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             loads: vec![],
             orders: vec![],
-            taken: vec![],
+            arrivals: vec![],
             ready: BTreeMap::new(),
-            acts: vec![],
+            actions: vec![],
         };
         let entries = (1..=workers).map(|w| entry(w, Availability::Ready, None)).collect();
-        b.event(Event::List { kind: ListKind::Cached, entries });
-        b
+        checked.event(Event::List { kind: ListKind::Cached, entries });
+        checked
     }
 
-    /// Hands in an event and checks what comes back.
+    /// Passes an event to the router, checks the resulting actions and returns them.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         match &event {
             Event::List { kind, entries } => {
@@ -136,19 +136,19 @@
                 }
             }
             Event::Request(r) => {
-                self.taken.push(self.now);
+                self.arrivals.push(self.now);
                 self.due.insert(r.id.clone(), r.due);
             }
             Event::Answer { id, attempt, outcome, last, .. } => {
-                if let Some(t) = self.tried.get_mut(id).and_then(|t| t.get_mut(*attempt as usize)) {
+                if let Some(t) = self.attempts.get_mut(id).and_then(|t| t.get_mut(*attempt as usize)) {
                     t.ended = Some(*outcome);
                 }
                 if *last {
-                    self.over.insert(id.clone(), self.now);
+                    self.answered.insert(id.clone(), self.now);
                 }
             }
             Event::ClientGone { id } => {
-                self.over.insert(id.clone(), self.now);
+                self.answered.insert(id.clone(), self.now);
             }
             _ => {}
         }
@@ -157,7 +157,7 @@
         for action in &out {
             self.check(action);
         }
-        self.acts.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
 
@@ -165,13 +165,13 @@
         let now = self.now;
         match action {
             Action::Send { id, worker, .. } => {
-                assert!(!self.over.contains_key(id), "sent after its end");
-                assert!(self.ready[worker], "sent to a worker that drains or is gone");
+                assert!(!self.answered.contains_key(id), "sent after its final answer");
+                assert!(self.ready[worker], "sent to a worker that is draining or removed");
                 let class = &self.set.classes[0];
-                let tried = self.tried.entry(id.clone()).or_default();
+                let tried = self.attempts.entry(id.clone()).or_default();
                 assert!((tried.len() as u32) < self.set.max_attempts, "more attempts than allowed");
                 let out = tried.iter().filter(|t| t.ended.is_none()).count();
-                assert!(out <= usize::from(self.set.may_duplicate), "two attempts out at once");
+                assert!(out <= usize::from(self.set.may_duplicate), "two attempts in flight at once");
                 if let Some(first) = tried.iter().find(|t| !proves_never_ran(t.ended)) {
                     match class.effect {
                         Effect::Repeatable => {}
@@ -182,16 +182,16 @@
                         }
                     }
                 }
-                tried.push(Tried { worker: *worker, at: now, ended: None, called_off: false });
+                tried.push(AttemptRecord { worker: *worker, at: now, ended: None, called_off: false });
             }
             Action::Cancel { id, attempt } => {
-                let t = self.tried.get_mut(id).and_then(|t| t.get_mut(*attempt as usize));
+                let t = self.attempts.get_mut(id).and_then(|t| t.get_mut(*attempt as usize));
                 t.expect("cancels an attempt that was never made").called_off = true;
             }
             Action::Refuse { id, .. } | Action::Fail { id } => {
-                assert!(self.over.insert(id.clone(), now).is_none(), "two final answers");
+                assert!(self.answered.insert(id.clone(), now).is_none(), "two final answers");
                 assert!(now <= self.due[id] + self.set.answer_slack, "answered too late");
-                let clean = self.tried.get(id).is_none_or(|t| t.iter().all(|t| proves_never_ran(t.ended)));
+                let clean = self.attempts.get(id).is_none_or(|t| t.iter().all(|t| proves_never_ran(t.ended)));
                 if matches!(action, Action::Refuse { .. }) {
                     assert!(
                         clean || self.set.classes[0].effect == Effect::Repeatable,
@@ -202,11 +202,11 @@
             Action::Load { worker, function, copies } => {
                 self.loads.push((now, *worker, function.clone(), *copies));
                 if *copies > 0 {
-                    assert!(self.ready[worker], "load ordered at a worker that drains or is gone");
+                    assert!(self.ready[worker], "load ordered at a worker that is draining or removed");
                     self.orders.push(now);
                     let window = self.set.load_window;
                     let orders = self.orders.iter().filter(|&&t| t + window >= now).count() as f64;
-                    let taken = self.taken.iter().filter(|&&t| t + window > now).count() as f64;
+                    let taken = self.arrivals.iter().filter(|&&t| t + window > now).count() as f64;
                     let most = self.set.load_free + self.set.load_share * taken;
                     assert!(window == 0 || orders <= most, "{orders} orders where {most} are allowed");
                 }
@@ -216,7 +216,7 @@
         }
     }
 
-    pub fn ask(&mut self, id: &str, function: &str, within: u64) -> Vec<Action> {
+    pub fn request(&mut self, id: &str, function: &str, within: u64) -> Vec<Action> {
         let due = self.now + within;
         self.event(Event::Request(request(id, function, due)))
     }
@@ -224,7 +224,7 @@
     pub fn answer(&mut self, id: &str, attempt: u32, outcome: Outcome, mark: CopyMark) -> Vec<Action> {
         let id: RequestId = id.into();
         let (worker, lag) =
-            self.tried[&id].get(attempt as usize).map_or((1, 0), |t| (t.worker, self.now - t.at));
+            self.attempts[&id].get(attempt as usize).map_or((1, 0), |t| (t.worker, self.now - t.at));
         let (last, crowd, report) = (outcome == Outcome::Ok, Some(0), None);
         self.event(Event::Answer { id, attempt, worker, outcome, last, lag, mark, crowd, report })
     }
@@ -234,21 +234,21 @@
         self.event(Event::Loaded { worker, function, outcome, copies, lag: self.now - at })
     }
 
-    /// Lets time pass, with the alarms that fall due.
-    pub fn pass(&mut self, span: u64) -> Vec<Action> {
+    /// Advances the time, and passes the alarms that fall due to the router.
+    pub fn advance(&mut self, span: u64) -> Vec<Action> {
         let end = self.now + span;
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         while let Some(at) = self.alarms.iter().copied().min().filter(|&t| t <= end) {
             self.alarms.retain(|&t| t != at);
             self.now = self.now.max(at);
-            acts.extend(self.event(Event::Alarm { name: "sweep".into() }));
+            actions.extend(self.event(Event::Alarm { name: "sweep".into() }));
         }
         self.now = end;
-        acts
+        actions
     }
 
     pub fn sends(&self, id: &str) -> Vec<WorkerId> {
-        self.tried.get(id).map_or(vec![], |t| t.iter().map(|t| t.worker).collect())
+        self.attempts.get(id).map_or(vec![], |t| t.iter().map(|t| t.worker).collect())
     }
 }
 
--- a/crates/badgerwind/tests/limits.rs
+++ b/crates/badgerwind/tests/limits.rs
@@ -1,10 +1,10 @@
-//! The limits that the operators set on the module.
+//! The limits that the operators set on the size and the dependencies of the decision module.
 
 use std::fs;
 
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../");
 
-/// The files that deploy/balancer.toml names as those of the decisions, and their texts.
+/// The paths and texts of the files that deploy/balancer.toml names as those with decisions.
 fn policy() -> Vec<(String, String)> {
     let deploy = fs::read_to_string(format!("{ROOT}deploy/balancer.toml")).unwrap();
     let list = deploy.split_once("policy = [").and_then(|(_, rest)| rest.split_once(']')).unwrap().0;
@@ -30,7 +30,7 @@
 #[test]
 fn no_other_source_reads_the_environment_or_the_clock() {
     let mut files = policy();
-    let records = ["state.rs", "memory.rs", "interface.rs", "message.rs", "lib.rs"];
+    let records = ["records.rs", "router_state.rs", "interface.rs", "message.rs", "lib.rs"];
     let records = records.map(|f| format!("badgerwind/src/{f}"));
     let others = [
         "badgerwind-adapter/src/wire.rs",
@@ -45,7 +45,7 @@
     }
     for (file, text) in files {
         for word in ["std::env", "SystemTime", "Instant::", "HashMap", "HashSet", "unsafe {", "static mut"] {
-            assert!(!text.contains(word), "{file}: '{word}' has no place there");
+            assert!(!text.contains(word), "{file}: '{word}' is not allowed there");
         }
     }
 }
