--- a/crates/badgerwind-config/src/shadow.rs
+++ b/crates/badgerwind-config/src/shadow.rs
@@ -4,7 +4,7 @@
 
 use badgerwind::interface::*;
 use badgerwind::Router;
-use badgerwind_driver::{AttemptEnd, Call, Driver, Final, Input, Limits, OrderId, Output};
+use badgerwind_driver::{AttemptEnd, Call, Driver, FinalAnswer, Input, Limits, OrderId, Output};
 use badgerwind_settings::Settings;
 use std::collections::BTreeMap;
 
@@ -51,11 +51,11 @@
 /// The bounds of a driver, from the settings: the daemon's and the shadow's alike.
 pub fn limits(settings: &Settings) -> Limits {
     Limits {
-        most_held: settings.most_held,
+        max_calls: settings.most_held,
         max_attempts: settings.router.max_attempts,
         order_timeout: settings.router.order_timeout,
         probe_timeout: settings.runners.probe_time,
-        call_off_within: settings.runners.call_off_time,
+        cancel_timeout: settings.runners.call_off_time,
         answer_slack: settings.router.answer_slack,
     }
 }
@@ -68,7 +68,7 @@
     let start = calls.first().map_or(1, |c| c.at.max(1));
     let (mut out, mut shown) = (Vec::new(), Shown::default());
     let list = Input::List { kind: ListKind::Whole, entries: entries.to_vec() };
-    driver.on(start, [list], &mut out);
+    driver.on_batch(start, [list], &mut out);
     let mut due: BTreeMap<(Time, u64), Due> = BTreeMap::new();
     let mut seq = 0;
     let mut set = |due: &mut BTreeMap<_, _>, at: Time, what: Due| {
@@ -123,22 +123,22 @@
                     let end = AttemptEnd {
                         reply: Some(()),
                         mark: CopyMark::Warm,
-                        ..AttemptEnd::plain(Outcome::Ok)
+                        ..AttemptEnd::from_outcome(Outcome::Ok)
                     };
                     Input::AttemptEnded { id, attempt, end }
                 }
                 Due::Order(order, copies) => Input::OrderEnded { order, outcome: Outcome::Ok, copies },
             });
         }
-        driver.on(at, inputs, &mut out);
+        driver.on_batch(at, inputs, &mut out);
         for o in out.drain(..) {
             match o {
                 Output::Attempt { id, attempt, content, .. } => {
                     set(&mut due, at + content.max(1), Due::Attempt(id, attempt));
                 }
                 Output::Order { order, copies, .. } => set(&mut due, at + mean, Due::Order(order, copies)),
-                Output::Final { answer: Final::Served(()), .. } => shown.served += 1,
-                Output::Broken { text } => {
+                Output::Answer { answer: FinalAnswer::Served(()), .. } => shown.served += 1,
+                Output::ModuleFailed { text } => {
                     return Err(format!("the decision module failed in the shadow: {text}"))
                 }
                 _ => {}
--- a/crates/badgerwind-driver/src/driver.rs
+++ b/crates/badgerwind-driver/src/driver.rs
@@ -1,376 +1,404 @@
-//! The driver: events to the decider, actions to outputs.
+//! The driver: translates inputs into events for the decision module, and its actions into outputs.
 
-use crate::books::{Attempt, Held, Order, Timer, Timers};
+use crate::ledger::{Attempt, PendingCall, PendingOrder, Timer, Timers};
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Owns a decider; see the crate's page. `O`: whom to answer. `C`: what a runner needs. `R`: a runner's answer.
+/// Longest message between front ends, in bytes; longer ones are truncated.
+const MAX_MESSAGE_BYTES: usize = 256;
+
+/// Owns a decision module and does its bookkeeping; see the crate documentation.
+///
+/// `O` is the origin of a call, to which its answer goes; `C` is the content sent to a runner; `R` is a
+/// runner's reply.
 #[derive(Debug)]
 pub struct Driver<D, O, C, R> {
     decider: D,
     limits: Limits,
     now: Time,
-    held: BTreeMap<RequestId, Held<O, C>>,
-    /// Calls among them that are owed an answer.
-    owed: usize,
+    calls: BTreeMap<RequestId, PendingCall<O, C>>,
+    /// Number of `calls` without a final answer.
+    unanswered: usize,
     workers: BTreeSet<WorkerId>,
-    orders: BTreeMap<OrderId, Order>,
+    pending_orders: BTreeMap<OrderId, PendingOrder>,
     next_order: u64,
-    /// Probes with no answer yet, by runner, oldest first: when each was sent, and its number.
-    probes: BTreeMap<WorkerId, VecDeque<u64>>,
+    /// Numbers of the unanswered probes by runner, oldest first.
+    pending_probes: BTreeMap<WorkerId, VecDeque<u64>>,
     next_probe: u64,
     timers: Timers,
-    broken: bool,
+    /// The module has panicked and is not called any more.
+    module_failed: bool,
+    /// Reused buffer for the actions of one event.
     actions: Vec<Action>,
     _reply: std::marker::PhantomData<R>,
 }
 
-type Out<O, C, R> = Vec<Output<O, C, R>>;
+type Outputs<O, C, R> = Vec<Output<O, C, R>>;
 
 impl<D: Decider, O, C: Clone, R> Driver<D, O, C, R> {
-    /// A driver that holds nothing.
+    /// Creates a driver without calls.
     pub fn new(decider: D, limits: Limits) -> Self {
         Driver {
             decider,
             limits,
             now: 0,
-            held: BTreeMap::new(),
-            owed: 0,
+            calls: BTreeMap::new(),
+            unanswered: 0,
             workers: BTreeSet::new(),
-            orders: BTreeMap::new(),
+            pending_orders: BTreeMap::new(),
             next_order: 0,
-            probes: BTreeMap::new(),
+            pending_probes: BTreeMap::new(),
             next_probe: 0,
             timers: Timers::default(),
-            broken: false,
+            module_failed: false,
             actions: Vec::new(),
             _reply: std::marker::PhantomData,
         }
     }
 
-    /// The same driver with its load orders numbered from there, so that several drivers of one daemon never give
-    /// two orders one number.
-    pub fn numbered_from(mut self, first: u64) -> Self {
+    /// Numbers the load orders from `first` on, so that several drivers in one process never use the same
+    /// number twice.
+    pub fn with_first_order(mut self, first: u64) -> Self {
         self.next_order = first;
         self
     }
 
-    /// Whether it remembers a call.
-    pub fn holds(&self, id: &RequestId) -> bool {
-        self.held.contains_key(id)
+    /// Whether the call is tracked: unanswered, or with open attempts.
+    pub fn contains(&self, id: &RequestId) -> bool {
+        self.calls.contains_key(id)
     }
 
-    /// Takes a batch: all that is ready at this time, in the order in which it came. What arrived counts before
-    /// what became due, so an answer read beside its own time-out is the answer.
-    pub fn on(
+    /// Processes a batch: all inputs that are ready at `now`, in order of arrival. Inputs are processed
+    /// before expired timers, so that an answer which is read in the same batch as its own timeout still
+    /// counts.
+    pub fn on_batch(
         &mut self,
         now: Time,
         inputs: impl IntoIterator<Item = Input<O, C, R>>,
         out: &mut Vec<Output<O, C, R>>,
     ) {
         self.now = self.now.max(now);
-        let mark = self.timers.mark();
+        let max_sequence = self.timers.last_sequence();
         for input in inputs {
-            self.input(input, out);
+            self.on_input(input, out);
         }
-        while let Some(timer) = self.timers.pop(self.now, mark) {
-            self.timer(timer, out);
+        while let Some(timer) = self.timers.pop(self.now, max_sequence) {
+            self.on_timer(timer, out);
         }
     }
 
-    /// When the next timer is due; the shell hands in an empty batch then, if nothing else came.
+    /// When the next timer is due. The runtime passes an empty batch then, if there are no inputs.
     pub fn next_wake(&self) -> Option<Time> {
         self.timers.next()
     }
 
-    /// Calls that are owed an answer.
-    pub fn owed(&self) -> usize {
-        self.owed
+    /// Number of calls without a final answer.
+    pub fn unanswered(&self) -> usize {
+        self.unanswered
     }
 
-    /// How much the decider remembers; nothing once it has failed.
+    /// Sizes of the decision module's state; all zero after it has failed.
     pub fn figures(&self) -> Figures {
-        if self.broken {
+        if self.module_failed {
             return Figures::default();
         }
         self.decider.figures()
     }
 
-    /// Calls remembered: those owed an answer, and those with an attempt still out.
-    pub fn remembered(&self) -> usize {
-        self.held.len()
+    /// Number of calls tracked: those without a final answer, and those with an open attempt.
+    pub fn tracked_calls(&self) -> usize {
+        self.calls.len()
     }
 
-    /// Timers set; each is bounded by a call, an order or an alarm of the module.
-    pub fn timers(&self) -> usize {
+    /// Number of timers set. Each belongs to a call, an order, a probe or an alarm of the module, so that
+    /// their number is bounded.
+    pub fn timer_count(&self) -> usize {
         self.timers.len()
     }
 
-    /// The daemon ends: the decider gives each call its last answer, and what it leaves without one is failed.
+    /// Shuts down: the decision module may still answer each call, and those that it leaves unanswered fail.
     pub fn stop(&mut self, now: Time, out: &mut Vec<Output<O, C, R>>) {
         self.now = self.now.max(now);
-        self.tell(Event::Stopping, out);
+        self.handle_event(Event::Stopping, out);
         self.fail_all(now, Failure::Stopped, out);
     }
 
-    /// Fails every call that is owed an answer, and calls off what is out.
-    pub fn fail_all(&mut self, now: Time, why: Failure, out: &mut Vec<Output<O, C, R>>) {
+    /// Fails every unanswered call, and cancels all open attempts.
+    pub fn fail_all(&mut self, now: Time, failure: Failure, out: &mut Vec<Output<O, C, R>>) {
         self.now = self.now.max(now);
-        let ids: Vec<RequestId> = self.held.keys().cloned().collect();
+        let ids: Vec<RequestId> = self.calls.keys().cloned().collect();
         for id in ids {
-            self.settle(&id, Final::Failed(why), None, out);
-            let Some(held) = self.held.get_mut(&id) else { continue };
-            for (n, a) in held.attempts.iter_mut().enumerate() {
-                if let Some((worker, _)) = a.end() {
+            self.complete(&id, FinalAnswer::Failed(failure), None, out);
+            let Some(call) = self.calls.get_mut(&id) else { continue };
+            for (n, attempt) in call.attempts.iter_mut().enumerate() {
+                if let Some((worker, _)) = attempt.end() {
                     let (id, attempt) = (id.clone(), n as u32);
-                    out.push(Output::CallOff { id, attempt, worker, why: CallOff::Cancelled });
+                    out.push(Output::Cancel { id, attempt, worker, reason: CancelReason::Cancelled });
                 }
             }
-            self.held.remove(&id);
+            self.calls.remove(&id);
         }
     }
 
-    // ---- What comes in. ----
+    // ---- Inputs ----
 
-    fn input(&mut self, input: Input<O, C, R>, out: &mut Out<O, C, R>) {
+    fn on_input(&mut self, input: Input<O, C, R>, out: &mut Outputs<O, C, R>) {
         match input {
             Input::List { kind, entries } => {
-                // Nothing new goes to one that is gone, so it need not be remembered; what is out there ends by itself.
+                // Removed workers get no new work, so they need not be tracked. Attempts in flight there end
+                // by themselves.
                 if matches!(kind, ListKind::Whole | ListKind::Cached) {
                     self.workers.clear();
                 }
-                for e in &entries {
-                    match e.availability {
-                        Availability::Gone => _ = self.workers.remove(&e.worker),
-                        _ => _ = self.workers.insert(e.worker),
+                for entry in &entries {
+                    match entry.availability {
+                        Availability::Gone => _ = self.workers.remove(&entry.worker),
+                        _ => _ = self.workers.insert(entry.worker),
                     }
                 }
-                self.tell(Event::List { kind, entries }, out);
+                self.handle_event(Event::List { kind, entries }, out);
             }
-            Input::Call(call) => self.call(call, out),
-            Input::CallerLeft { id, keeps } => {
-                let Some(held) = self.held.get_mut(&id) else { return };
-                // Also between two attempts: an earlier one may have run, and that is not to be forgotten.
-                if keeps && !held.attempts.is_empty() {
-                    held.content = None; // a further attempt is moot
+            Input::Call(call) => self.on_call(call, out),
+            Input::CallerDisconnected { id, finish_started } => {
+                let Some(call) = self.calls.get_mut(&id) else { return };
+                // Applies between two attempts as well: an earlier one may have run, which must not be
+                // forgotten.
+                if finish_started && !call.attempts.is_empty() {
+                    call.content = None; // no further attempt can be sent
                     return self.withhold(&id, out);
                 }
-                let waited = held.owed.take().is_some();
-                if waited {
-                    self.owed -= 1;
+                let was_waiting = call.origin.take().is_some();
+                if was_waiting {
+                    self.unanswered -= 1;
                 }
-                if waited || held.stream.is_some() {
-                    held.content = None;
+                if was_waiting || call.streaming_attempt.is_some() {
+                    call.content = None;
                     self.withhold(&id, out);
-                    self.forget_if_done(&id);
-                    self.tell(Event::ClientGone { id }, out);
+                    self.forget_if_finished(&id);
+                    self.handle_event(Event::ClientGone { id }, out);
                 }
             }
-            Input::StreamBegan { id, attempt, reply } => self.stream_began(id, attempt, reply, out),
-            Input::AttemptEnded { id, attempt, end } => self.attempt_ended(&id, attempt, end, out),
-            Input::OrderEnded { order, outcome, copies } => self.order_ended(order, outcome, copies, out),
+            Input::StreamBegan { id, attempt, reply } => self.on_stream_began(id, attempt, reply, out),
+            Input::AttemptEnded { id, attempt, end } => self.on_attempt_ended(&id, attempt, end, out),
+            Input::OrderEnded { order, outcome, copies } => self.on_order_ended(order, outcome, copies, out),
             Input::ProbeEnded { worker, outcome, report } => {
-                let asked = self.probes.get_mut(&worker).and_then(VecDeque::pop_front).is_some();
-                self.probes.retain(|_, q| !q.is_empty());
-                if asked {
-                    self.tell(Event::Probed { worker, outcome, report }, out);
+                let pending = self.pending_probes.get_mut(&worker).and_then(VecDeque::pop_front).is_some();
+                self.pending_probes.retain(|_, q| !q.is_empty());
+                if pending {
+                    self.handle_event(Event::Probed { worker, outcome, report }, out);
                 }
             }
-            Input::PresumedRestart { worker } => self.tell(Event::PresumedRestart { worker }, out),
-            Input::Parts(parts) => self.tell(Event::Parts(parts), out),
-            Input::Heard { from, bytes } => self.tell(Event::Message { from, bytes }, out),
+            Input::PresumedRestart { worker } => self.handle_event(Event::PresumedRestart { worker }, out),
+            Input::Parts(parts) => self.handle_event(Event::Parts(parts), out),
+            Input::Message { from, bytes } => self.handle_event(Event::Message { from, bytes }, out),
         }
     }
 
-    fn call(&mut self, call: Call<O, C>, out: &mut Out<O, C, R>) {
+    fn on_call(&mut self, call: Call<O, C>, out: &mut Outputs<O, C, R>) {
         let Call { request, origin, content } = call;
-        let refused = if self.broken {
-            Some(Final::Failed(Failure::ModuleFailed))
-        } else if self.held.contains_key(&request.id) {
-            Some(Final::Failed(Failure::DuplicateId))
-        } else if self.owed >= self.limits.most_held {
-            Some(Final::Refused { by: Refusal::MostHeld, retry_after: None })
+        let refused = if self.module_failed {
+            Some(FinalAnswer::Failed(Failure::ModuleFailed))
+        } else if self.calls.contains_key(&request.id) {
+            Some(FinalAnswer::Failed(Failure::DuplicateId))
+        } else if self.unanswered >= self.limits.max_calls {
+            Some(FinalAnswer::Refused { by: Refusal::TooManyCalls, retry_after: None })
         } else {
             None
         };
         if let Some(answer) = refused {
             let id = request.id;
-            return out.push(Output::Final { id, origin, answer, attempts: 0, worker: None, lag: 0 });
+            return out.push(Output::Answer { id, origin, answer, attempts: 0, worker: None, lag: 0 });
         }
         let (id, due) = (request.id.clone(), request.due);
-        let held = Held {
-            owed: Some(origin),
+        let call = PendingCall {
+            origin: Some(origin),
             content: Some(content),
             due,
-            since: self.now,
-            stream: None,
+            received: self.now,
+            streaming_attempt: None,
             attempts: Vec::new(),
         };
-        self.held.insert(id.clone(), held);
-        self.owed += 1;
-        self.timers.set(due, Timer::Due(id.clone()));
-        self.timers.set(due.saturating_add(self.limits.answer_slack), Timer::Overdue(id));
-        self.tell(Event::Request(request), out);
+        self.calls.insert(id.clone(), call);
+        self.unanswered += 1;
+        self.timers.set(due, Timer::CallDue(id.clone()));
+        self.timers.set(due.saturating_add(self.limits.answer_slack), Timer::AnswerOverdue(id));
+        self.handle_event(Event::Request(request), out);
     }
 
-    fn stream_began(&mut self, id: RequestId, attempt: u32, reply: R, out: &mut Out<O, C, R>) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let live = matches!(held.attempts.get(attempt as usize), Some(Attempt::Out { .. }));
-        let Some(origin) = held.owed.take_if(|_| live) else { return };
-        (held.stream, held.content) = (Some(attempt), None);
-        self.owed -= 1;
+    fn on_stream_began(&mut self, id: RequestId, attempt: u32, reply: R, out: &mut Outputs<O, C, R>) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        let in_flight = matches!(call.attempts.get(attempt as usize), Some(Attempt::InFlight { .. }));
+        let Some(origin) = call.origin.take_if(|_| in_flight) else { return };
+        (call.streaming_attempt, call.content) = (Some(attempt), None);
+        self.unanswered -= 1;
         out.push(Output::Stream { id: id.clone(), attempt, origin, reply });
-        self.tell(Event::StreamBegan { id, attempt }, out);
+        self.handle_event(Event::StreamBegan { id, attempt }, out);
     }
 
-    fn attempt_ended(&mut self, id: &RequestId, attempt: u32, end: AttemptEnd<R>, out: &mut Out<O, C, R>) {
-        let Some(held) = self.held.get_mut(id) else { return };
-        let Some((worker, sent)) = held.attempts.get_mut(attempt as usize).and_then(Attempt::end) else {
-            return; // reported before, or timed out meanwhile
+    fn on_attempt_ended(
+        &mut self,
+        id: &RequestId,
+        attempt: u32,
+        end: AttemptEnd<R>,
+        out: &mut Outputs<O, C, R>,
+    ) {
+        let Some(call) = self.calls.get_mut(id) else { return };
+        let Some((worker, sent)) = call.attempts.get_mut(attempt as usize).and_then(Attempt::end) else {
+            return; // already reported, or timed out in the meantime
         };
         let AttemptEnd { mut outcome, mark, crowd, report, reply } = end;
-        if outcome == Outcome::Ok && held.owed.is_some() {
+        if outcome == Outcome::Ok && call.origin.is_some() {
             match reply {
-                Some(reply) => self.settle(id, Final::Served(reply), Some(worker), out),
-                // An answer without one is no answer; it may have run.
+                Some(reply) => self.complete(id, FinalAnswer::Served(reply), Some(worker), out),
+                // A success without a reply cannot be passed on; the call may have run.
                 None => outcome = Outcome::Error,
             }
         }
         let lag = self.now.saturating_sub(sent);
-        // Over by this outcome, or before it: nobody waits for more.
-        let last = self.held.get(id).is_none_or(|h| h.owed.is_none());
-        self.forget_if_done(id);
+        // True if this outcome or an earlier one completed the call.
+        let last = self.calls.get(id).is_none_or(|call| call.origin.is_none());
+        self.forget_if_finished(id);
         let id = id.clone();
-        self.tell(Event::Answer { id, attempt, worker, outcome, last, lag, mark, crowd, report }, out);
+        self.handle_event(
+            Event::Answer { id, attempt, worker, outcome, last, lag, mark, crowd, report },
+            out,
+        );
     }
 
-    fn order_ended(&mut self, order: OrderId, outcome: Outcome, copies: u32, out: &mut Out<O, C, R>) {
-        let Some(Order { worker, function, sent }) = self.orders.remove(&order) else { return };
+    fn on_order_ended(&mut self, order: OrderId, outcome: Outcome, copies: u32, out: &mut Outputs<O, C, R>) {
+        let Some(PendingOrder { worker, function, sent }) = self.pending_orders.remove(&order) else {
+            return;
+        };
         let lag = self.now.saturating_sub(sent);
-        self.tell(Event::Loaded { worker, function, outcome, copies, lag }, out);
+        self.handle_event(Event::Loaded { worker, function, outcome, copies, lag }, out);
     }
 
-    // ---- What becomes due. ----
+    // ---- Timers ----
 
-    fn timer(&mut self, timer: Timer, out: &mut Out<O, C, R>) {
+    fn on_timer(&mut self, timer: Timer, out: &mut Outputs<O, C, R>) {
         match timer {
-            Timer::Alarm(name) => self.tell(Event::Alarm { name }, out),
-            Timer::Attempt(id, attempt) => self.call_off(&id, attempt, CallOff::TimedOut, out),
-            Timer::Leaving(id, attempt) => {
-                let leaving = self.held.get(&id).and_then(|h| h.attempts.get(attempt as usize));
-                if let Some(Attempt::Leaving { why, .. }) = leaving {
-                    let outcome = match why {
-                        CallOff::Cancelled => Outcome::Cancelled,
-                        CallOff::TimedOut => Outcome::Timeout,
+            Timer::Alarm(name) => self.handle_event(Event::Alarm { name }, out),
+            Timer::AttemptTimeout(id, attempt) => self.cancel(&id, attempt, CancelReason::TimedOut, out),
+            Timer::CancelTimeout(id, attempt) => {
+                let attempt_state = self.calls.get(&id).and_then(|call| call.attempts.get(attempt as usize));
+                if let Some(Attempt::Cancelling { reason, .. }) = attempt_state {
+                    let outcome = match reason {
+                        CancelReason::Cancelled => Outcome::Cancelled,
+                        CancelReason::TimedOut => Outcome::Timeout,
                     };
-                    self.attempt_ended(&id, attempt, AttemptEnd::plain(outcome), out);
+                    self.on_attempt_ended(&id, attempt, AttemptEnd::from_outcome(outcome), out);
                 }
             }
-            Timer::Due(id) => self.due(&id, out),
-            Timer::Overdue(id) => {
-                if self.held.get(&id).is_some_and(|h| h.owed.is_some()) {
-                    let text = format!("call {id} was overdue: nothing had answered it");
+            Timer::CallDue(id) => self.on_call_due(&id, out),
+            Timer::AnswerOverdue(id) => {
+                if self.calls.get(&id).is_some_and(|call| call.origin.is_some()) {
+                    let text = format!(
+                        "call {id} was not answered within its due time and the answer slack; it fails"
+                    );
                     out.push(Output::Log { text });
-                    self.settle(&id, Final::Failed(Failure::Overdue), None, out);
-                    self.forget_if_done(&id);
-                    self.tell(Event::ClientGone { id }, out);
+                    self.complete(&id, FinalAnswer::Failed(Failure::Overdue), None, out);
+                    self.forget_if_finished(&id);
+                    self.handle_event(Event::ClientGone { id }, out);
                 }
             }
-            Timer::Order(order) => self.order_ended(order, Outcome::Timeout, 0, out),
-            Timer::Probe(number) => {
-                let late = self.probes.iter_mut().find(|(_, q)| q.front() == Some(&number));
-                if let Some((&worker, queue)) = late {
+            Timer::OrderTimeout(order) => self.on_order_ended(order, Outcome::Timeout, 0, out),
+            Timer::ProbeTimeout(number) => {
+                let expired = self.pending_probes.iter_mut().find(|(_, q)| q.front() == Some(&number));
+                if let Some((&worker, queue)) = expired {
                     queue.pop_front();
-                    self.probes.retain(|_, q| !q.is_empty());
-                    self.tell(Event::Probed { worker, outcome: Outcome::Timeout, report: None }, out);
+                    self.pending_probes.retain(|_, q| !q.is_empty());
+                    self.handle_event(Event::Probed { worker, outcome: Outcome::Timeout, report: None }, out);
                 }
             }
-            Timer::Moot(id, attempt, worker) => {
-                if let Some(a) = self.held.get_mut(&id).and_then(|h| h.attempts.get_mut(attempt as usize)) {
-                    a.end();
+            Timer::AttemptNotSent(id, attempt, worker) => {
+                let call = self.calls.get_mut(&id);
+                if let Some(state) = call.and_then(|call| call.attempts.get_mut(attempt as usize)) {
+                    state.end();
                 }
-                let last = self.held.get(&id).is_none_or(|h| h.owed.is_none());
-                self.forget_if_done(&id);
+                let last = self.calls.get(&id).is_none_or(|call| call.origin.is_none());
+                self.forget_if_finished(&id);
                 let (mark, outcome) = (CopyMark::Untold, Outcome::Moot);
                 let (lag, crowd, report) = (0, None, None);
-                self.tell(
+                self.handle_event(
                     Event::Answer { id, attempt, worker, outcome, last, lag, mark, crowd, report },
                     out,
                 );
             }
-            Timer::OrderMoot(worker, function) => {
+            Timer::OrderNotSent(worker, function) => {
                 let outcome = Outcome::ConnectFailed;
-                self.tell(Event::Loaded { worker, function, outcome, copies: 0, lag: 0 }, out);
+                self.handle_event(Event::Loaded { worker, function, outcome, copies: 0, lag: 0 }, out);
             }
         }
     }
 
-    /// The caller's time is up: attempts still out end as timed out, at once, so that the module can answer
-    /// inside the slack. A stream that has begun has no deadline; attempts beside it have.
-    fn due(&mut self, id: &RequestId, out: &mut Out<O, C, R>) {
-        let Some(held) = self.held.get_mut(id) else { return };
-        let stream = held.stream;
-        let waits = |a: &Attempt| matches!(a, Attempt::Out { .. } | Attempt::Leaving { .. });
-        let ends = |(n, a): &(u32, &Attempt)| waits(a) && stream != Some(*n);
-        let out_now: Vec<u32> = (0..).zip(&held.attempts).filter(ends).map(|(n, _)| n).collect();
-        held.content = None;
-        for attempt in out_now {
-            if let Some(Attempt::Out { worker, .. }) =
-                self.held.get(id).and_then(|h| h.attempts.get(attempt as usize))
+    /// Ends the open attempts of a call as timed out when its due time has come. They end at once, without
+    /// waiting for a confirmation, so that the module can answer within the slack. An attempt whose answer is
+    /// already being streamed has no deadline; other attempts of the same call have.
+    fn on_call_due(&mut self, id: &RequestId, out: &mut Outputs<O, C, R>) {
+        let Some(call) = self.calls.get_mut(id) else { return };
+        let streaming_attempt = call.streaming_attempt;
+        let open =
+            |attempt: &Attempt| matches!(attempt, Attempt::InFlight { .. } | Attempt::Cancelling { .. });
+        let expires = |(n, attempt): &(u32, &Attempt)| open(attempt) && streaming_attempt != Some(*n);
+        let expired: Vec<u32> = (0..).zip(&call.attempts).filter(expires).map(|(n, _)| n).collect();
+        call.content = None;
+        for attempt in expired {
+            if let Some(Attempt::InFlight { worker, .. }) =
+                self.calls.get(id).and_then(|call| call.attempts.get(attempt as usize))
             {
                 let worker = *worker;
-                out.push(Output::CallOff { id: id.clone(), attempt, worker, why: CallOff::TimedOut });
+                out.push(Output::Cancel { id: id.clone(), attempt, worker, reason: CancelReason::TimedOut });
             }
-            self.attempt_ended(id, attempt, AttemptEnd::plain(Outcome::Timeout), out);
+            self.on_attempt_ended(id, attempt, AttemptEnd::from_outcome(Outcome::Timeout), out);
         }
     }
 
-    // ---- The decider, and what it asks for. ----
+    // ---- The decision module and its actions ----
 
-    fn tell(&mut self, event: Event, out: &mut Out<O, C, R>) {
-        if self.broken {
+    fn handle_event(&mut self, event: Event, out: &mut Outputs<O, C, R>) {
+        if self.module_failed {
             return;
         }
         let mut actions = std::mem::take(&mut self.actions);
         let (decider, now) = (&mut self.decider, self.now);
-        // The decider may be in any state after a panic; it is never called again.
-        let done = catch_unwind(AssertUnwindSafe(|| decider.handle(now, event, &mut actions)));
-        if let Err(panic) = done {
-            self.broken = true;
+        // After a panic the state of the module is unknown, so it is never called again.
+        let result = catch_unwind(AssertUnwindSafe(|| decider.handle(now, event, &mut actions)));
+        if let Err(panic) = result {
+            self.module_failed = true;
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no text").to_owned();
             self.fail_all(now, Failure::ModuleFailed, out);
-            return out.push(Output::Broken { text });
+            return out.push(Output::ModuleFailed { text });
         }
         for action in actions.drain(..) {
-            self.act(action, out);
+            self.apply_action(action, out);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action, out: &mut Out<O, C, R>) {
+    fn apply_action(&mut self, action: Action, out: &mut Outputs<O, C, R>) {
         match action {
             Action::Send { id, worker, timeout } => self.send(id, worker, timeout, out),
-            Action::Cancel { id, attempt } => self.call_off(&id, attempt, CallOff::Cancelled, out),
+            Action::Cancel { id, attempt } => self.cancel(&id, attempt, CancelReason::Cancelled, out),
             Action::Refuse { id, retry_after } => {
-                self.settle(&id, Final::Refused { by: Refusal::Decided, retry_after }, None, out);
-                self.forget_if_done(&id);
+                self.complete(&id, FinalAnswer::Refused { by: Refusal::ByModule, retry_after }, None, out);
+                self.forget_if_finished(&id);
             }
             Action::Fail { id } => {
-                self.settle(&id, Final::Failed(Failure::GivenUp), None, out);
-                self.forget_if_done(&id);
+                self.complete(&id, FinalAnswer::Failed(Failure::GivenUp), None, out);
+                self.forget_if_finished(&id);
             }
             Action::Load { worker, function, copies } => {
                 if !self.workers.contains(&worker) {
-                    return self.timers.set(self.now, Timer::OrderMoot(worker, function));
+                    return self.timers.set(self.now, Timer::OrderNotSent(worker, function));
                 }
                 let order = OrderId(self.next_order);
                 self.next_order += 1;
                 let limit = self.now.saturating_add(self.limits.order_timeout);
                 let (sent, name) = (self.now, function.clone());
-                self.orders.insert(order, Order { worker, function, sent });
-                self.timers.set(limit, Timer::Order(order));
+                self.pending_orders.insert(order, PendingOrder { worker, function, sent });
+                self.timers.set(limit, Timer::OrderTimeout(order));
                 out.push(Output::Order { order, worker, function: name, copies, limit });
             }
             Action::Drop { worker, function } if self.workers.contains(&worker) => {
@@ -382,17 +410,17 @@
             }
             Action::Probe { worker } => {
                 self.next_probe += 1;
-                self.probes.entry(worker).or_default().push_back(self.next_probe);
+                self.pending_probes.entry(worker).or_default().push_back(self.next_probe);
                 let limit = self.now.saturating_add(self.limits.probe_timeout);
-                self.timers.set(limit, Timer::Probe(self.next_probe));
+                self.timers.set(limit, Timer::ProbeTimeout(self.next_probe));
                 if self.workers.contains(&worker) {
                     out.push(Output::Probe { worker });
                 }
             }
             Action::CloseIdle { worker } => out.push(Output::CloseIdle { worker }),
             Action::Tell { to, mut bytes } => {
-                bytes.truncate(256);
-                out.push(Output::Tell { to, bytes });
+                bytes.truncate(MAX_MESSAGE_BYTES);
+                out.push(Output::SendMessage { to, bytes });
             }
             Action::Subscribe { on } => out.push(Output::Subscribe { on }),
             Action::FetchList => out.push(Output::FetchList),
@@ -400,65 +428,76 @@
         }
     }
 
-    fn send(&mut self, id: RequestId, worker: WorkerId, timeout: Option<Span>, out: &mut Out<O, C, R>) {
+    fn send(&mut self, id: RequestId, worker: WorkerId, timeout: Option<Span>, out: &mut Outputs<O, C, R>) {
         let now = self.now;
-        let Some(held) = self.held.get_mut(&id) else {
-            return; // Unknown or forgotten: an attempt of nothing has no number to end.
+        let Some(call) = self.calls.get_mut(&id) else {
+            return; // The call is unknown or forgotten, so there is no attempt whose end could be reported.
         };
-        let attempt = held.attempts.len() as u32;
-        let over = held.owed.is_none() || held.due <= now || attempt >= self.limits.max_attempts;
-        let content = held.content.clone().filter(|_| !over && self.workers.contains(&worker));
+        let attempt = call.attempts.len() as u32;
+        let must_not_send = call.origin.is_none() || call.due <= now || attempt >= self.limits.max_attempts;
+        let content = call.content.clone().filter(|_| !must_not_send && self.workers.contains(&worker));
         let Some(content) = content else {
-            held.attempts.push(Attempt::Moot);
-            return self.timers.set(now, Timer::Moot(id, attempt, worker));
+            call.attempts.push(Attempt::NotSent);
+            return self.timers.set(now, Timer::AttemptNotSent(id, attempt, worker));
         };
-        held.attempts.push(Attempt::Out { worker, sent: now });
-        let limit = timeout.map_or(held.due, |t| now.saturating_add(t).min(held.due));
-        if limit < held.due {
-            self.timers.set(limit, Timer::Attempt(id.clone(), attempt));
+        call.attempts.push(Attempt::InFlight { worker, sent: now });
+        let limit = timeout.map_or(call.due, |t| now.saturating_add(t).min(call.due));
+        if limit < call.due {
+            self.timers.set(limit, Timer::AttemptTimeout(id.clone(), attempt));
         }
         out.push(Output::Attempt { id, attempt, worker, content, limit });
     }
 
-    /// Asks the shell to stop an attempt. It ends when that is confirmed, so that no next one overlaps it on the
-    /// wire, or after a bound, so that a silent runner holds up nobody.
-    fn call_off(&mut self, id: &RequestId, attempt: u32, why: CallOff, out: &mut Out<O, C, R>) {
-        let Some(held) = self.held.get_mut(id) else { return };
-        if held.stream == Some(attempt) {
-            return; // A stream that has begun is not called off.
+    /// Asks the runtime to cancel an attempt. The attempt ends when that is confirmed, so that the next one
+    /// does not overlap with it, or after `cancel_timeout`, so that an unresponsive runner does not delay the
+    /// call.
+    fn cancel(&mut self, id: &RequestId, attempt: u32, reason: CancelReason, out: &mut Outputs<O, C, R>) {
+        let Some(call) = self.calls.get_mut(id) else { return };
+        if call.streaming_attempt == Some(attempt) {
+            return; // An answer that is already being streamed is not cancelled.
         }
-        let Some(a) = held.attempts.get_mut(attempt as usize) else { return };
-        let Attempt::Out { worker, sent } = *a else { return };
-        *a = Attempt::Leaving { worker, sent, why };
-        let limit = self.now.saturating_add(self.limits.call_off_within);
-        self.timers.set(limit, Timer::Leaving(id.clone(), attempt));
-        out.push(Output::CallOff { id: id.clone(), attempt, worker, why });
+        let Some(state) = call.attempts.get_mut(attempt as usize) else { return };
+        let Attempt::InFlight { worker, sent } = *state else { return };
+        *state = Attempt::Cancelling { worker, sent, reason };
+        let limit = self.now.saturating_add(self.limits.cancel_timeout);
+        self.timers.set(limit, Timer::CancelTimeout(id.clone(), attempt));
+        out.push(Output::Cancel { id: id.clone(), attempt, worker, reason });
     }
 
-    /// The one final answer: the origin moves out with it, or nobody is owed one any more.
-    fn settle(&mut self, id: &RequestId, answer: Final<R>, worker: Option<WorkerId>, out: &mut Out<O, C, R>) {
-        let Some(held) = self.held.get_mut(id) else { return };
-        let Some(origin) = held.owed.take() else { return };
-        held.content = None;
-        self.owed -= 1;
-        let (attempts, lag) = (held.attempts.len() as u32, self.now.saturating_sub(held.since));
-        out.push(Output::Final { id: id.clone(), origin, answer, attempts, worker, lag });
+    /// Gives the call its final answer. Has no effect if the origin was already taken: the call is answered,
+    /// or its caller has disconnected.
+    fn complete(
+        &mut self,
+        id: &RequestId,
+        answer: FinalAnswer<R>,
+        worker: Option<WorkerId>,
+        out: &mut Outputs<O, C, R>,
+    ) {
+        let Some(call) = self.calls.get_mut(id) else { return };
+        let Some(origin) = call.origin.take() else { return };
+        call.content = None;
+        self.unanswered -= 1;
+        let (attempts, lag) = (call.attempts.len() as u32, self.now.saturating_sub(call.received));
+        out.push(Output::Answer { id: id.clone(), origin, answer, attempts, worker, lag });
         self.withhold(id, out);
     }
 
-    /// Nobody waits any more: what has not begun to go out stays back.
-    fn withhold(&mut self, id: &RequestId, out: &mut Out<O, C, R>) {
-        let Some(held) = self.held.get(id) else { return };
-        for (attempt, a) in (0..).zip(&held.attempts) {
-            if let (&Attempt::Out { worker, .. }, true) = (a, held.stream != Some(attempt)) {
+    /// Asks the runtime to keep back attempts of which nothing was written yet, since nobody waits for the
+    /// call any more.
+    fn withhold(&mut self, id: &RequestId, out: &mut Outputs<O, C, R>) {
+        let Some(call) = self.calls.get(id) else { return };
+        for (attempt, state) in (0..).zip(&call.attempts) {
+            if let (&Attempt::InFlight { worker, .. }, true) =
+                (state, call.streaming_attempt != Some(attempt))
+            {
                 out.push(Output::Withhold { id: id.clone(), attempt, worker });
             }
         }
     }
 
-    fn forget_if_done(&mut self, id: &RequestId) {
-        if self.held.get(id).is_some_and(Held::done) {
-            self.held.remove(id);
+    fn forget_if_finished(&mut self, id: &RequestId) {
+        if self.calls.get(id).is_some_and(PendingCall::is_finished) {
+            self.calls.remove(id);
         }
     }
 }
--- a/crates/badgerwind-driver/src/lag.rs
+++ b/crates/badgerwind-driver/src/lag.rs
@@ -1,41 +1,43 @@
-//! How far a front end runs behind its own clock, so that it can promise senders less of their time. No I/O.
+//! Estimates how far a front end runs behind its own clock, so that it reserves that much of each sender's
+//! waiting time. No I/O.
 //!
-//! On a machine out of CPU timers fire late, batches take long and answers wait to be written. What was late by so
-//! much is likely late by about as much again soon: the largest lateness counts, and fades by half each
-//! [`Lag::HALF`].
+//! On a machine short of CPU time, timers fire late, batches take long and answers wait to be written. Recent
+//! lateness predicts the lateness to come: the estimate is the largest lateness observed, halved each
+//! [`Lag::HALF_LIFE`].
 
 use badgerwind::interface::{Span, Time};
 
-/// Lateness of late.
+/// A decaying maximum of observed lateness.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lag {
-    at: Time,
+    observed_at: Time,
     late: f64,
 }
 
 impl Lag {
-    /// The time in which what was seen fades to a half, in microseconds.
-    pub const HALF: Span = 1_000_000;
+    /// The time in which an observation decays to a half, in microseconds.
+    pub const HALF_LIFE: Span = 1_000_000;
 
-    /// Something was late by so much, in microseconds.
-    pub fn see(&mut self, now: Time, late: Span) {
-        self.late = self.faded(now).max(late as f64);
-        self.at = now.max(self.at);
+    /// Records that something was late by `late` microseconds.
+    pub fn observe(&mut self, now: Time, late: Span) {
+        self.late = self.decayed(now).max(late as f64);
+        self.observed_at = now.max(self.observed_at);
     }
 
-    fn faded(&self, now: Time) -> f64 {
-        let halves = now.saturating_sub(self.at) as f64 / Self::HALF as f64;
-        self.late * (-halves).exp2()
+    fn decayed(&self, now: Time) -> f64 {
+        let half_lives = now.saturating_sub(self.observed_at) as f64 / Self::HALF_LIFE as f64;
+        self.late * (-half_lives).exp2()
     }
 
-    /// The lateness to count on, in microseconds.
+    /// The lateness to expect at `now`, in microseconds.
     pub fn get(&self, now: Time) -> Span {
-        self.faded(now) as Span
+        self.decayed(now) as Span
     }
 
-    /// What of a sender's time can be promised: the lateness is kept back, up to half of it. A call that was given
-    /// nothing would be refused, and the lag might be over by then.
-    pub fn promise(&self, now: Time, waits: Span) -> Span {
-        waits - self.get(now).min(waits / 2)
+    /// The part of a sender's waiting time that may be spent on its call: the expected lateness is
+    /// subtracted, but never more than half of the waiting time. A call left without any time would be
+    /// refused, although the lag may be over by the time it is answered.
+    pub fn usable_wait(&self, now: Time, wait: Span) -> Span {
+        wait - self.get(now).min(wait / 2)
     }
 }
--- a/crates/badgerwind-driver/src/lib.rs
+++ b/crates/badgerwind-driver/src/lib.rs
@@ -1,32 +1,35 @@
-//! The one owner of a decision module: what crosses the sockets comes in as [`Input`]s, what is to be done goes
-//! out as [`Output`]s. It decides nothing, reads no clock and does no I/O, so that the same driver runs under
-//! the daemon, under a simulated clock and under a model checker.
+//! Sans-I/O driver of a decision module. The runtime passes what arrives on its sockets as [`Input`]s, and
+//! carries out the [`Output`]s. The driver takes no decisions, reads no clock and does no I/O, so that the
+//! same code runs in the gateway, under a simulated clock and under a model checker.
 //!
-//! It keeps the books that every shell would otherwise keep by itself: attempt numbers, time-outs, alarms, who is
-//! still owed an answer. Three promises follow from how it is built, and its property tests hold it to them:
+//! It does the bookkeeping that each runtime would otherwise need: attempt numbers, timeouts, alarms, and
+//! which calls are unanswered. It guarantees three properties, which its property tests check:
 //!
-//! - each [`Call`] taken gets exactly one [`Output::Final`] or [`Output::Stream`], or its caller left: the origin
-//!   is a value that moves out with the answer and cannot be answered again;
-//! - each attempt that went out ends exactly once for the module, whatever the shell reports, twice or never;
-//! - nothing is told to the module of a call that is over and has no attempt out.
+//! - Each accepted [`Call`] gets exactly one [`Output::Answer`] or [`Output::Stream`], unless its caller
+//!   disconnects: the origin is a value that is moved out with the answer, so that a second answer is
+//!   impossible.
+//! - Each attempt that was sent ends exactly once for the module, no matter whether the runtime reports its
+//!   end once, twice or never.
+//! - The module receives no events for a call that is completed and has no open attempt.
 //!
 //! Times are microseconds of one monotonic clock, see [`badgerwind::interface::Time`].
 
-mod books;
 mod driver;
 mod lag;
+mod ledger;
 
 pub use driver::Driver;
 pub use lag::Lag;
 
 use badgerwind::interface::*;
 
-/// What takes events and answers with actions. [`badgerwind::Router`] is the one in service; tests bring others.
+/// A decision module: handles events and requests actions. Production uses [`badgerwind::Router`]; tests
+/// provide others.
 pub trait Decider {
-    /// Takes in an event and adds what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
 
-    /// How much it remembers, for those who watch it.
+    /// Sizes of the module's state, for monitoring.
     fn figures(&self) -> Figures {
         Figures::default()
     }
@@ -52,86 +55,89 @@
     }
 }
 
-/// Names a load order on the wire and in logs; never used twice by one driver.
+/// Identifies a load order on the wire and in logs. A driver never uses an id twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderId(pub u64);
 
-/// Bounds of the driver itself. They come from the settings.
+/// Limits of the driver itself, taken from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Calls that may be owed an answer at once; one more is turned away unseen by the module.
-    pub most_held: usize,
-    /// Attempts for one call; a further one ends as [`Outcome::Moot`].
+    /// Maximum number of unanswered calls. Further ones are refused without involving the module.
+    pub max_calls: usize,
+    /// Maximum number of attempts for one call; a further one ends as [`Outcome::Moot`].
     pub max_attempts: u32,
-    /// A load order with no answer by then ends as [`Outcome::Timeout`].
+    /// Time after which an unanswered load order ends as [`Outcome::Timeout`].
     pub order_timeout: Span,
-    /// The same for a probe.
+    /// Time after which an unanswered probe ends as [`Outcome::Timeout`].
     pub probe_timeout: Span,
-    /// How long an attempt called off may take to be confirmed before it counts as ended all the same.
-    pub call_off_within: Span,
-    /// Time past a call's due time in which the module may still answer; then the driver fails the call.
+    /// How long the confirmation of a cancelled attempt may take before the attempt counts as ended without
+    /// it.
+    pub cancel_timeout: Span,
+    /// Time after a call's due time in which the module may still answer it; after that the driver fails the
+    /// call.
     pub answer_slack: Span,
 }
 
-/// A call as a front hands it in. `O` is whom to answer, `C` what a runner needs (cheap to clone).
+/// A call as the runtime passes it in. `O` is where its answer goes; `C` is what a runner needs and is cheap
+/// to clone.
 #[derive(Debug)]
 pub struct Call<O, C> {
-    /// What the module is told of it. The id must be new.
+    /// The request as the module sees it. Its id must be new.
     pub request: Request,
-    /// Whom to answer.
+    /// Where the answer goes.
     pub origin: O,
-    /// What goes out with each attempt.
+    /// What is sent with each attempt.
     pub content: C,
 }
 
 /// How an attempt ended, as seen on its connection.
 #[derive(Debug)]
 pub struct AttemptEnd<R> {
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// What was said of the copy.
+    /// What the runner reported about the copy.
     pub mark: CopyMark,
-    /// Calls for the function that the runner held when this one came, where told.
+    /// Number of calls for the function that the runner had when this one arrived, if reported.
     pub crowd: Option<u32>,
     /// The runner's load report.
     pub report: Option<Vec<f64>>,
-    /// The answer for the caller; it counts only beside [`Outcome::Ok`].
+    /// The answer for the caller; used only with [`Outcome::Ok`].
     pub reply: Option<R>,
 }
 
 impl<R> AttemptEnd<R> {
-    /// An end that tells nothing but itself.
-    pub fn plain(outcome: Outcome) -> Self {
+    /// An end of which nothing but the outcome is known.
+    pub fn from_outcome(outcome: Outcome) -> Self {
         AttemptEnd { outcome, mark: CopyMark::Untold, crowd: None, report: None, reply: None }
     }
 }
 
-/// What has crossed the sockets.
+/// What the runtime reports to the driver.
 #[derive(Debug)]
 pub enum Input<O, C, R> {
-    /// News of the runners.
+    /// A list of workers, or changes of it.
     List {
-        /// What it holds.
+        /// Whether it is a whole list or changes.
         kind: ListKind,
         /// Its entries.
         entries: Vec<WorkerEntry>,
     },
-    /// A call has come.
+    /// A call has arrived.
     Call(Call<O, C>),
-    /// A caller has left; it is owed nothing any more, and nothing further begins for it.
-    CallerLeft {
+    /// A caller has disconnected; no further attempt is started for its call.
+    CallerDisconnected {
         /// The call.
         id: RequestId,
-        /// What has begun goes on to its one final answer, since that is remembered.
-        keeps: bool,
+        /// If an attempt was started, the call still gets its final answer, since that answer is remembered.
+        finish_started: bool,
     },
-    /// A runner has begun a streamed answer.
+    /// A runner has started to stream its answer.
     StreamBegan {
         /// The call.
         id: RequestId,
         /// The attempt.
         attempt: u32,
-        /// The part of the answer that has come.
+        /// The part of the answer that has arrived.
         reply: R,
     },
     /// An attempt has ended.
@@ -140,7 +146,7 @@
         id: RequestId,
         /// The attempt.
         attempt: u32,
-        /// How.
+        /// How it ended.
         end: AttemptEnd<R>,
     },
     /// A load order has ended.
@@ -149,7 +155,7 @@
         order: OrderId,
         /// How it ended.
         outcome: Outcome,
-        /// Copies that stand loaded there.
+        /// Number of copies loaded there.
         copies: u32,
     },
     /// A probe has ended.
@@ -161,18 +167,18 @@
         /// The runner's load report.
         report: Option<Vec<f64>>,
     },
-    /// A runner's process counts as started just now, until the list says otherwise.
+    /// A runner's process is presumed to have just restarted, until the list says otherwise.
     PresumedRestart {
         /// The runner.
         worker: WorkerId,
     },
-    /// What of the fleet's wholes is this front end's own from now on.
+    /// This front end's parts of the fleet-wide limits, from now on.
     Parts(Parts),
     /// A message from another front end.
-    Heard {
+    Message {
         /// The sender's number.
         from: u32,
-        /// Its bytes.
+        /// Its content.
         bytes: Vec<u8>,
     },
 }
@@ -180,68 +186,68 @@
 /// Why a call failed, for the log and the answer's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The module gave it up; an attempt may have run.
+    /// The module failed it; an attempt may have run.
     GivenUp,
-    /// No answer was decided by its due time.
+    /// The module did not answer it within its due time and the answer slack.
     Overdue,
-    /// The module has failed.
+    /// The module has panicked.
     ModuleFailed,
-    /// Its id was in use.
+    /// Another tracked call has the same id.
     DuplicateId,
-    /// The daemon stopped before it was over.
+    /// The process stopped before the call was answered.
     Stopped,
 }
 
 /// Why a call was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The module turned it away.
-    Decided,
-    /// As many calls are held as may be.
-    MostHeld,
+    /// The module refused it.
+    ByModule,
+    /// The maximum number of unanswered calls was reached, see [`Limits::max_calls`].
+    TooManyCalls,
 }
 
-/// The one final answer.
+/// The final answer to a call.
 #[derive(Debug, PartialEq)]
-pub enum Final<R> {
+pub enum FinalAnswer<R> {
     /// Served, with the runner's answer.
     Served(R),
-    /// Turned away: trying again is harmless.
+    /// Refused; a retry is harmless.
     Refused {
-        /// Who turned it away.
+        /// Why it was refused.
         by: Refusal,
-        /// How long the caller should stay away.
+        /// How long the caller should wait before a retry.
         retry_after: Option<Span>,
     },
-    /// Failed, with no promise about its effect.
+    /// Failed; whether it has run is unknown.
     Failed(Failure),
 }
 
-/// Why an attempt is called off.
+/// Why an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallOff {
+pub enum CancelReason {
     /// The module asked for it.
     Cancelled,
-    /// Its time was up.
+    /// Its timeout has expired.
     TimedOut,
 }
 
-/// What the shell is to do.
+/// What the runtime is to do.
 #[derive(Debug)]
 pub enum Output<O, C, R> {
     /// Answer the caller.
-    Final {
+    Answer {
         /// The call.
         id: RequestId,
-        /// Whom.
+        /// Where the answer goes.
         origin: O,
-        /// What.
-        answer: Final<R>,
-        /// Attempts made.
+        /// The answer.
+        answer: FinalAnswer<R>,
+        /// Number of attempts made.
         attempts: u32,
         /// The runner that served it.
         worker: Option<WorkerId>,
-        /// Time since it came.
+        /// Time since the call arrived.
         lag: Span,
     },
     /// Pass a streamed answer on to the caller; the call ends with its attempt.
@@ -250,37 +256,38 @@
         id: RequestId,
         /// The attempt.
         attempt: u32,
-        /// To whom.
+        /// Where the answer goes.
         origin: O,
-        /// The part that has come.
+        /// The part that has arrived.
         reply: R,
     },
     /// Send an attempt; its end must be reported once.
     Attempt {
         /// The call.
         id: RequestId,
-        /// Its number, from 0.
+        /// Its number within the call, from 0.
         attempt: u32,
-        /// To which runner.
+        /// The runner to send it to.
         worker: WorkerId,
-        /// What goes out.
+        /// What to send.
         content: C,
-        /// It is called off at this time.
+        /// The driver cancels it at this time.
         limit: Time,
     },
-    /// Stop an attempt and report its end; `Cancelled` or `Timeout` unless another end came first.
-    CallOff {
+    /// Cancel an attempt and report its end: `Cancelled` or `Timeout`, unless it ended otherwise before.
+    Cancel {
         /// The call.
         id: RequestId,
         /// The attempt.
         attempt: u32,
         /// The runner.
         worker: WorkerId,
-        /// Why.
-        why: CallOff,
+        /// Why it is cancelled.
+        reason: CancelReason,
     },
-    /// Nobody waits for the call any more: an attempt of it that has not begun to go out is not to begin, whether or not the
-    /// module may call off what runs. One that has begun goes on; the end of either is reported once.
+    /// Nobody waits for the call any more: do not send the attempt if nothing of it was written yet, whether
+    /// or not the module may cancel running attempts. An attempt that was partly written goes on. Its end
+    /// must be reported once in either case.
     Withhold {
         /// The call.
         id: RequestId,
@@ -289,20 +296,20 @@
         /// The runner.
         worker: WorkerId,
     },
-    /// Order copies held, or ask how many stand (0); its end must be reported once.
+    /// Order a runner to load copies, or ask how many are loaded (0 copies); its end must be reported once.
     Order {
-        /// Its name.
+        /// Its id.
         order: OrderId,
         /// The runner.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// Copies wanted.
+        /// Number of copies wanted.
         copies: u32,
-        /// It counts as timed out from then on.
+        /// It counts as timed out from this time on.
         limit: Time,
     },
-    /// Have a function's idle copies unloaded.
+    /// Order a runner to drop a function's idle copies.
     Drop {
         /// The runner.
         worker: WorkerId,
@@ -320,27 +327,27 @@
         worker: WorkerId,
     },
     /// Send a message to one front end, or to all.
-    Tell {
-        /// The front end's number; `None`: all.
+    SendMessage {
+        /// The front end's number; `None` means all.
         to: Option<u32>,
-        /// 256 at most.
+        /// The content, at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Ask for changes of the list, or no longer.
+    /// Subscribe to changes of the list of workers, or unsubscribe.
     Subscribe {
-        /// On or off.
+        /// Whether to subscribe.
         on: bool,
     },
-    /// Ask for the whole list once.
+    /// Fetch the whole list once.
     FetchList,
-    /// A line for the staff.
+    /// Write a message of the module to the log.
     Log {
         /// The text.
         text: String,
     },
-    /// The module has failed; every call is answered, and the process should end.
-    Broken {
-        /// The panic's text.
+    /// The module has panicked. Every call has been failed, and the process should end.
+    ModuleFailed {
+        /// The panic message.
         text: String,
     },
 }
--- a/crates/badgerwind-driver/tests/lag.rs
+++ b/crates/badgerwind-driver/tests/lag.rs
@@ -1,23 +1,23 @@
-//! What a front end that runs behind keeps back of its senders' time.
+//! The lag estimate and the part of a sender's waiting time that it reserves.
 
 use badgerwind_driver::Lag;
 
 const MS: u64 = 1_000;
 
 #[test]
-fn the_largest_lateness_counts_and_fades_by_half_each_second() {
+fn the_estimate_is_the_largest_lateness_halved_each_second() {
     let mut lag = Lag::default();
-    assert_eq!((lag.get(0), lag.promise(0, 900 * MS)), (0, 900 * MS));
-    lag.see(0, 200 * MS);
-    lag.see(10, 20 * MS);
-    assert!(lag.get(10).abs_diff(200 * MS) < 10, "a smaller one does not hide it");
+    assert_eq!((lag.get(0), lag.usable_wait(0, 900 * MS)), (0, 900 * MS));
+    lag.observe(0, 200 * MS);
+    lag.observe(10, 20 * MS);
+    assert!(lag.get(10).abs_diff(200 * MS) < 10, "a smaller lateness does not replace a larger one");
     assert!(lag.get(1_000 * MS).abs_diff(100 * MS) < 10);
     assert!(lag.get(3_000 * MS).abs_diff(25 * MS) < 10);
-    lag.see(3_000 * MS, 400 * MS);
-    assert_eq!(lag.promise(3_000 * MS, 900 * MS), 500 * MS);
-    assert_eq!(lag.promise(3_000 * MS, 600 * MS), 300 * MS, "half of its time is promised at the least");
+    lag.observe(3_000 * MS, 400 * MS);
+    assert_eq!(lag.usable_wait(3_000 * MS, 900 * MS), 500 * MS);
+    assert_eq!(lag.usable_wait(3_000 * MS, 600 * MS), 300 * MS, "at least half of the wait stays usable");
     assert_eq!(lag.get(60_000 * MS), 0);
-    // Times that come in another order make nothing larger.
-    lag.see(1_000 * MS, 10 * MS);
+    // Observations out of order do not raise the estimate.
+    lag.observe(1_000 * MS, 10 * MS);
     assert!(lag.get(3_000 * MS) <= 400 * MS);
 }
--- a/crates/badgerwind-gateway/src/dispatch.rs
+++ b/crates/badgerwind-gateway/src/dispatch.rs
@@ -12,7 +12,7 @@
 use crate::zones::Zones;
 use async_channel::Sender;
 use badgerwind::interface::*;
-use badgerwind_driver::{Final, Output};
+use badgerwind_driver::{FinalAnswer, Output};
 use badgerwind_settings::Settings;
 use futures_lite::FutureExt;
 use smol::Timer;
@@ -47,7 +47,7 @@
 /// How a call ended, for the front that took it.
 #[derive(Debug)]
 pub(crate) struct Ended {
-    pub answer: Final<Reply>,
+    pub answer: FinalAnswer<Reply>,
     pub attempts: u32,
     pub worker: Option<WorkerId>,
     pub lag: Span,
@@ -138,12 +138,12 @@
     fn carry(&mut self, now: Time, output: OutputOf<Self>) {
         let (runners, report) = (self.runners.clone(), self.report.clone());
         match output {
-            Output::Final { id, origin, answer, attempts, worker, lag } => {
+            Output::Answer { id, origin, answer, attempts, worker, lag } => {
                 origin.answer(&id, Ended { answer, attempts, worker, lag });
             }
             Output::Stream { id, attempt, origin, reply } => {
                 let ended =
-                    Ended { answer: Final::Served(reply), attempts: attempt + 1, worker: None, lag: 0 };
+                    Ended { answer: FinalAnswer::Served(reply), attempts: attempt + 1, worker: None, lag: 0 };
                 origin.answer(&id, ended);
             }
             Output::Attempt { id, attempt, worker, content, limit: _ } => {
@@ -161,7 +161,7 @@
                 })
                 .detach();
             }
-            Output::CallOff { id, attempt, why, .. } => {
+            Output::Cancel { id, attempt, reason: why, .. } => {
                 // A full channel: called off before. A closed one: it has ended, and its report is on its way.
                 if let Some((off, ..)) = self.attempts.out.get(&(id, attempt)) {
                     let _ = off.try_send(Stop::Off(why));
@@ -199,7 +199,7 @@
                 .detach();
             }
             Output::CloseIdle { worker } => runners.close_idle(worker),
-            Output::Tell { to, bytes } => {
+            Output::SendMessage { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(to, &bytes);
                 }
@@ -207,7 +207,7 @@
             Output::Subscribe { on } => _ = self.ask_list.try_send(ListCall::Watch(on)),
             Output::FetchList => _ = self.ask_list.try_send(ListCall::Fetch),
             // The engine's own.
-            Output::Log { .. } | Output::Broken { .. } => {}
+            Output::Log { .. } | Output::ModuleFailed { .. } => {}
         }
     }
 
--- a/crates/badgerwind-gateway/src/engine.rs
+++ b/crates/badgerwind-gateway/src/engine.rs
@@ -6,7 +6,7 @@
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::*;
 use badgerwind_config::order_limit::OrderLimit;
-use badgerwind_driver::{Call, Decider, Driver, Failure, Final, Input, Lag, Limits, Output, Refusal};
+use badgerwind_driver::{Call, Decider, Driver, Failure, FinalAnswer, Input, Lag, Limits, Output, Refusal};
 use futures_lite::FutureExt;
 use smol::Timer;
 use std::collections::{BTreeMap, VecDeque};
@@ -121,7 +121,7 @@
 
 impl<B: Backend> Leaving<B> {
     fn stays(&self, now: Time) -> bool {
-        self.driver.remembered() > 0 || now < self.until
+        self.driver.tracked_calls() > 0 || now < self.until
     }
 }
 
@@ -158,7 +158,7 @@
         let (mut own, mut late) = (Vec::new(), Vec::new());
         let mut others: Vec<Vec<InputOf<B>>> = self.leaving.iter().map(|_| Vec::new()).collect();
         for input in inputs {
-            let holder = |id: &RequestId| self.leaving.iter().position(|l| l.driver.holds(id));
+            let holder = |id: &RequestId| self.leaving.iter().position(|l| l.driver.contains(id));
             let place = match &input {
                 Input::Call(call) => {
                     self.order_limit.record_call(now);
@@ -190,7 +190,7 @@
                     others.iter_mut().for_each(|other| other.push(Input::PresumedRestart { worker }));
                     None
                 }
-                Input::CallerLeft { id, .. }
+                Input::CallerDisconnected { id, .. }
                 | Input::StreamBegan { id, .. }
                 | Input::AttemptEnded { id, .. } => holder(id),
                 Input::OrderEnded { order, .. } => {
@@ -198,7 +198,7 @@
                     self.leaving.iter().position(|l| l.number == number)
                 }
                 // Only the newest still asks and listens.
-                Input::ProbeEnded { .. } | Input::Heard { .. } => None,
+                Input::ProbeEnded { .. } | Input::Message { .. } => None,
             };
             match place {
                 Some(n) => others[n].push(input),
@@ -206,15 +206,15 @@
             }
         }
         for (leaving, inputs) in self.leaving.iter_mut().zip(others) {
-            leaving.driver.on(now, inputs, out);
+            leaving.driver.on_batch(now, inputs, out);
         }
         // A call of a module that has ended: nobody knows its places, and it never ran.
         for input in late {
             let Input::Call(Call { request, origin, .. }) = input else { continue };
-            let answer = Final::Refused { by: Refusal::MostHeld, retry_after: None };
-            out.push(Output::Final { id: request.id, origin, answer, attempts: 0, worker: None, lag: 0 });
+            let answer = FinalAnswer::Refused { by: Refusal::TooManyCalls, retry_after: None };
+            out.push(Output::Answer { id: request.id, origin, answer, attempts: 0, worker: None, lag: 0 });
         }
-        self.newest.on(now, own, out);
+        self.newest.on_batch(now, own, out);
         self.leaving.retain(|l| l.stays(now));
         while self.leaving.len() < MOST_LEAVING {
             let Some((decider, terms, done)) = self.waiting.pop_front() else { break };
@@ -233,17 +233,17 @@
         out: &mut Vec<OutputOf<B>>,
     ) {
         self.number += 1;
-        let fresh = Driver::new(decider, terms.limits).numbered_from(self.number << NUMBERS);
+        let fresh = Driver::new(decider, terms.limits).with_first_order(self.number << NUMBERS);
         let old = std::mem::replace(&mut self.newest, fresh);
         self.leaving.push(Leaving { number: self.number - 1, driver: old, until: now + ON_THE_WAY });
         self.order_limit.change(terms.load_window, terms.load_free, terms.load_share);
         let entries = self.workers.values().cloned().collect();
         let list = Input::List { kind: ListKind::Whole, entries };
-        self.newest.on(now, self.parts.clone().map(Input::Parts).into_iter().chain([list]), out);
+        self.newest.on_batch(now, self.parts.clone().map(Input::Parts).into_iter().chain([list]), out);
     }
 
     fn owed(&self) -> usize {
-        self.newest.owed() + self.leaving.iter().map(|l| l.driver.owed()).sum::<usize>()
+        self.newest.unanswered() + self.leaving.iter().map(|l| l.driver.unanswered()).sum::<usize>()
     }
 
     fn next_wake(&self) -> Option<Time> {
@@ -320,7 +320,7 @@
             self.lag
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .see(began, late.max(took.as_micros() as Span));
+                .observe(began, late.max(took.as_micros() as Span));
             self.backend.settled(modules.owed(), took);
             self.backend.remembered(modules.newest.figures());
             if let Some(text) = failed {
@@ -368,7 +368,7 @@
                     again.push(Input::OrderEnded { order, outcome: Outcome::Full, copies: 0 });
                 }
                 Output::Log { text } => tracing::warn!("{text}"),
-                Output::Broken { text } => {
+                Output::ModuleFailed { text } => {
                     tracing::error!("the decision module failed: {text}");
                     failed = failed.or(Some(text));
                 }
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -16,7 +16,7 @@
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::*;
 use badgerwind_config::shadow::Recorded;
-use badgerwind_driver::{Call, Final, Lag};
+use badgerwind_driver::{Call, FinalAnswer, Lag};
 use badgerwind_guard::{forwarded, Budget, Guard, Permit, Source, Who};
 use badgerwind_http::{Conn, Limits, RequestHead, Response, ServerTls, Stream};
 use badgerwind_settings::{Settings, Target};
@@ -168,16 +168,16 @@
         let kept = remembers(class.effect, class.group, &answer, attempts);
         let overdue = front.clock.now() >= self.due;
         let (word, response, rest) = match answer {
-            Final::Served(Reply { content_type, body, rest }) => {
+            FinalAnswer::Served(Reply { content_type, body, rest }) => {
                 let kind = content_type.as_deref().unwrap_or("");
                 ("served", Response::new(200, kind, body), rest)
             }
-            Final::Refused { retry_after, .. } => {
+            FinalAnswer::Refused { retry_after, .. } => {
                 let retry_after = retry_after.filter(|&t| t > 0);
                 let text = "turned away before it ran";
                 ("refused", problem(&Away { retry_after, ..away(503, "refused", text) }), None)
             }
-            Final::Failed(why) => {
+            FinalAnswer::Failed(why) => {
                 let text = format!("no answer could be had ({why:?}); it may have run");
                 let status = if overdue { 504 } else { 502 };
                 ("failed", problem(&Away { harmless: false, ..away(status, "failed", text) }), None)
@@ -596,13 +596,13 @@
                     while waited_for() && !answer.is_closed() {
                         Timer::after(WAITED_FOR).await;
                     }
-                    let _ = self.inputs.send(Input::CallerLeft { id, keeps }).await;
+                    let _ = self.inputs.send(Input::CallerDisconnected { id, finish_started: keeps }).await;
                     return Handled::Gone;
                 };
                 if let Ok(Told { given, .. }) = &got {
                     let now = self.clock.now();
                     let waited = now.saturating_sub(*given);
-                    self.lag().see(now, waited);
+                    self.lag().observe(now, waited);
                     tracing::debug!(request = %id, waited_us = waited, "its answer goes out");
                 }
                 match got {
@@ -650,7 +650,7 @@
         let waits = {
             let lag = self.lag();
             self.metrics.lag.set(lag.get(began) as f64 / 1e6);
-            lag.promise(began, waits)
+            lag.usable_wait(began, waits)
         };
         let due = (began + waits).saturating_sub(2 * set.answer_slack);
         if due <= self.clock.now() + set.round {
--- a/crates/badgerwind-gateway/src/peers.rs
+++ b/crates/badgerwind-gateway/src/peers.rs
@@ -103,7 +103,7 @@
                 if zones.as_ref().is_some_and(|z| z.heard(from, bytes)) {
                     continue;
                 }
-                if report.send(Input::Heard { from, bytes: bytes.to_vec() }).await.is_err() {
+                if report.send(Input::Message { from, bytes: bytes.to_vec() }).await.is_err() {
                     return;
                 }
             }
--- a/crates/badgerwind-gateway/src/platform/clients.rs
+++ b/crates/badgerwind-gateway/src/platform/clients.rs
@@ -3,7 +3,7 @@
 use super::shell::{Caller, Content, Input, Shell};
 use super::wire::{is_short, Wire};
 use badgerwind::interface::*;
-use badgerwind_driver::{Call, Failure, Final};
+use badgerwind_driver::{Call, Failure, FinalAnswer};
 use badgerwind_platform::client::{Answer, Client, Heard};
 use badgerwind_platform::fields::{self, Asked};
 use futures_lite::future::yield_now;
@@ -83,7 +83,7 @@
     }
 
     /// Answers a request, unless its client has left or its number now stands for another.
-    pub(super) fn answer(&self, shell: &Shell, to: &Caller, answer: &Final<Vec<u8>>) {
+    pub(super) fn answer(&self, shell: &Shell, to: &Caller, answer: &FinalAnswer<Vec<u8>>) {
         let Some(c) = self.connections.borrow().get(&to.connection).cloned() else { return };
         {
             let mut calls = c.calls.borrow_mut();
@@ -95,14 +95,14 @@
             }
         }
         let answer = match answer {
-            Final::Served(body) => Answer { status: 200, stay_away: None, body },
-            Final::Refused { retry_after, .. } => {
+            FinalAnswer::Served(body) => Answer { status: 200, stay_away: None, body },
+            FinalAnswer::Refused { retry_after, .. } => {
                 let stay_away = retry_after.filter(|&t| t > 0).map(|t| t.div_ceil(1000));
                 Answer { status: 503, stay_away, body: b"" }
             }
-            Final::Failed(Failure::DuplicateId) => Answer { status: 409, stay_away: None, body: b"" },
-            Final::Failed(Failure::Overdue) => Answer { status: 504, stay_away: None, body: b"" },
-            Final::Failed(_) => Answer { status: 502, stay_away: None, body: b"" },
+            FinalAnswer::Failed(Failure::DuplicateId) => Answer { status: 409, stay_away: None, body: b"" },
+            FinalAnswer::Failed(Failure::Overdue) => Answer { status: 504, stay_away: None, body: b"" },
+            FinalAnswer::Failed(_) => Answer { status: 502, stay_away: None, body: b"" },
         };
         c.machine.borrow_mut().answer(to.number, &answer);
         c.last.set(shell.clock.now());
@@ -359,7 +359,7 @@
         c.machine.borrow_mut().leave();
         for open in c.calls.take().into_values() {
             self.clients.forget(&open);
-            self.tell(Input::CallerLeft { id: open.id, keeps: false });
+            self.tell(Input::CallerDisconnected { id: open.id, finish_started: false });
         }
     }
 
@@ -394,7 +394,7 @@
             Heard::Withdrawn { number } => {
                 if let Some(open) = c.calls.borrow_mut().remove(&number) {
                     self.clients.forget(&open);
-                    self.tell(Input::CallerLeft { id: open.id, keeps: false });
+                    self.tell(Input::CallerDisconnected { id: open.id, finish_started: false });
                 }
                 return;
             }
--- a/crates/badgerwind-gateway/src/platform/connection.rs
+++ b/crates/badgerwind-gateway/src/platform/connection.rs
@@ -268,7 +268,7 @@
     pub(super) fn unsent(&self, worker: WorkerId, task: Task<Out>, outcome: Outcome) {
         match task {
             Task::Attempt { id, attempt, .. } => {
-                self.tell(Input::AttemptEnded { id, attempt, end: AttemptEnd::plain(outcome) });
+                self.tell(Input::AttemptEnded { id, attempt, end: AttemptEnd::from_outcome(outcome) });
             }
             Task::Order { order, .. } => self.tell(Input::OrderEnded { order, outcome, copies: 0 }),
             Task::Probe(_) => self.tell(Input::ProbeEnded { worker, outcome, report: None }),
--- a/crates/badgerwind-gateway/src/platform/executors.rs
+++ b/crates/badgerwind-gateway/src/platform/executors.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, Out};
 use super::shell::{Content, Shell};
 use badgerwind::interface::*;
-use badgerwind_driver::{CallOff, OrderId};
+use badgerwind_driver::{CancelReason, OrderId};
 use badgerwind_platform::board::{Listed, News};
 use badgerwind_platform::link::{Off, Task};
 use badgerwind_platform::reach::{Patience, Reach, Sharing};
@@ -345,7 +345,7 @@
         worker: WorkerId,
         id: &RequestId,
         attempt: u32,
-        why: CallOff,
+        why: CancelReason,
     ) {
         let links = self.all.borrow().get(&worker).map(|e| e.links.clone()).unwrap_or_default();
         let mut ends = Vec::new();
@@ -361,8 +361,8 @@
         // Called off before it went out: it never ran, and is not to go out any more. Only a time-out says something of the
         // way there.
         let unsent = match why {
-            CallOff::Cancelled => Outcome::Cancelled,
-            CallOff::TimedOut => Outcome::ConnectFailed,
+            CancelReason::Cancelled => Outcome::Cancelled,
+            CancelReason::TimedOut => Outcome::ConnectFailed,
         };
         ends.into_iter().for_each(|end| shell.end(worker, end, unsent));
     }
--- a/crates/badgerwind-gateway/src/platform/mod.rs
+++ b/crates/badgerwind-gateway/src/platform/mod.rs
@@ -99,11 +99,11 @@
 fn limits(config: &Config, most_held: usize) -> Limits {
     let set = &config.router;
     Limits {
-        most_held,
+        max_calls: most_held,
         max_attempts: set.max_attempts,
         order_timeout: set.order_timeout,
         probe_timeout: config.transport.connect_timeout,
-        call_off_within: config.transport.connect_timeout,
+        cancel_timeout: config.transport.connect_timeout,
         answer_slack: set.answer_slack,
     }
 }
--- a/crates/badgerwind-gateway/src/platform/shell.rs
+++ b/crates/badgerwind-gateway/src/platform/shell.rs
@@ -161,7 +161,7 @@
             if let Some(from) = number.filter(|&f| n <= MESSAGE && f != self.own) {
                 let bytes = buf[..n].to_vec();
                 if shell.inputs.len() < shell.shares.open {
-                    shell.tell(Input::Heard { from, bytes });
+                    shell.tell(Input::Message { from, bytes });
                 }
             }
         }
@@ -207,20 +207,20 @@
     fn carry(&mut self, now: Time, output: OutputOf<Self>) {
         let shell = &self.0;
         match output {
-            Output::Final { id, origin, answer, attempts, lag, .. } => {
-                let served = matches!(answer, badgerwind_driver::Final::Served(_));
+            Output::Answer { id, origin, answer, attempts, lag, .. } => {
+                let served = matches!(answer, badgerwind_driver::FinalAnswer::Served(_));
                 tracing::debug!(request = %id, served, attempts, lag, "answered");
                 shell.clients.answer(shell, &origin, &answer);
             }
             Output::Stream { origin, reply, .. } => {
                 // No class of the platform streams; an answer begun is an answer.
-                shell.clients.answer(shell, &origin, &badgerwind_driver::Final::Served(reply));
+                shell.clients.answer(shell, &origin, &badgerwind_driver::FinalAnswer::Served(reply));
             }
             Output::Attempt { id, attempt, worker, content, limit } => {
                 tracing::debug!(request = %id, attempt, worker, function = %content.key, "attempt");
                 shell.executors.attempt(shell, now, worker, (id, attempt, content, limit));
             }
-            Output::CallOff { id, attempt, worker, why } => {
+            Output::Cancel { id, attempt, worker, reason: why } => {
                 shell.executors.call_off(shell, worker, &id, attempt, why);
             }
             Output::Withhold { id, attempt, worker } => {
@@ -233,13 +233,16 @@
             Output::Drop { worker, function } => shell.executors.unload(shell, now, worker, &function),
             Output::Probe { worker } => shell.executors.probe(shell, now, worker),
             Output::CloseIdle { worker } => shell.executors.close_idle(worker),
-            Output::Tell { to, bytes } => {
+            Output::SendMessage { to, bytes } => {
                 if let Some(peers) = &shell.peers {
                     peers.tell(to, &bytes);
                 }
             }
             // The notice board tells without being asked. Log and Broken are the engine's own.
-            Output::Subscribe { .. } | Output::FetchList | Output::Log { .. } | Output::Broken { .. } => {}
+            Output::Subscribe { .. }
+            | Output::FetchList
+            | Output::Log { .. }
+            | Output::ModuleFailed { .. } => {}
         }
     }
 
--- a/crates/badgerwind-gateway/src/runners.rs
+++ b/crates/badgerwind-gateway/src/runners.rs
@@ -4,7 +4,7 @@
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::*;
 use badgerwind_attempts::Fence;
-use badgerwind_driver::{AttemptEnd, CallOff};
+use badgerwind_driver::{AttemptEnd, CancelReason};
 use badgerwind_http::client::Answer;
 use badgerwind_http::{ClientTls, Exchange, ExchangeError, Pool, PoolBounds, ResponseHead};
 use badgerwind_protocol::list;
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Stop {
     /// It is called off.
-    Off(CallOff),
+    Off(CancelReason),
     /// Nobody waits for it: it is not to begin.
     Withhold,
 }
@@ -174,7 +174,7 @@
         called_off: Receiver<Stop>,
         report: &Sender<Input>,
     ) -> AttemptEnd<Reply> {
-        let Some(pool) = self.pool(worker) else { return AttemptEnd::plain(Outcome::ConnectFailed) };
+        let Some(pool) = self.pool(worker) else { return AttemptEnd::from_outcome(Outcome::ConnectFailed) };
         let told = || async {
             match called_off.recv().await {
                 Ok(stop) => stop,
@@ -185,12 +185,16 @@
         let way = match async { Race::Off(told().await) }.or(async { Race::Ended(pool.way().await) }).await {
             Race::Ended(Ok(way)) => way,
             Race::Ended(Err(e)) => return failed(&e),
-            Race::Off(Stop::Withhold) => return AttemptEnd::plain(Outcome::Moot),
-            Race::Off(Stop::Off(CallOff::Cancelled)) => return AttemptEnd::plain(Outcome::Cancelled),
-            Race::Off(Stop::Off(CallOff::TimedOut)) => return AttemptEnd::plain(Outcome::ConnectFailed),
+            Race::Off(Stop::Withhold) => return AttemptEnd::from_outcome(Outcome::Moot),
+            Race::Off(Stop::Off(CancelReason::Cancelled)) => {
+                return AttemptEnd::from_outcome(Outcome::Cancelled)
+            }
+            Race::Off(Stop::Off(CancelReason::TimedOut)) => {
+                return AttemptEnd::from_outcome(Outcome::ConnectFailed)
+            }
         };
         if !self.may_begin(worker, &pool) {
-            return AttemptEnd::plain(Outcome::Moot);
+            return AttemptEnd::from_outcome(Outcome::Moot);
         }
         let request = self.call(id, attempt, content);
         let streaming = content.settings.router.classes[content.class].streaming;
@@ -220,8 +224,8 @@
             }
         };
         let outcome = match why {
-            CallOff::Cancelled => Outcome::Cancelled,
-            CallOff::TimedOut => Outcome::Timeout,
+            CancelReason::Cancelled => Outcome::Cancelled,
+            CancelReason::TimedOut => Outcome::Timeout,
         };
         let stop = Exchange {
             method: "DELETE",
@@ -240,7 +244,7 @@
         match async { Some((&mut call).await) }.or(stopped).await {
             // A runner that stops work answers the call so.
             Some(end) if end.outcome != Outcome::Error => end,
-            _ => AttemptEnd::plain(outcome),
+            _ => AttemptEnd::from_outcome(outcome),
         }
     }
 
@@ -259,7 +263,7 @@
             let mut piece = Vec::new();
             match answer.piece(&mut piece).await {
                 Ok(true) if pieces.send(piece).await.is_ok() => {}
-                Ok(true) => return AttemptEnd::plain(Outcome::Cancelled), // the sender has left
+                Ok(true) => return AttemptEnd::from_outcome(Outcome::Cancelled), // the sender has left
                 Ok(false) => {
                     let _ = pieces.send(Vec::new()).await;
                     return ended(&answer.finish(), Vec::new());
@@ -357,7 +361,7 @@
 }
 
 fn failed(e: &ExchangeError) -> AttemptEnd<Reply> {
-    AttemptEnd::plain(match e {
+    AttemptEnd::from_outcome(match e {
         ExchangeError::Connect(_) => Outcome::ConnectFailed,
         ExchangeError::Reset(_) => Outcome::Reset,
         ExchangeError::Malformed(_) => Outcome::Error,
--- a/crates/badgerwind-gateway/tests/engine.rs
+++ b/crates/badgerwind-gateway/tests/engine.rs
@@ -3,7 +3,7 @@
 
 use badgerwind::interface::*;
 use badgerwind::Router;
-use badgerwind_driver::{Call, Final, Limits, Output};
+use badgerwind_driver::{Call, FinalAnswer, Limits, Output};
 use badgerwind_gateway::clock::Clock;
 use badgerwind_gateway::engine::{Backend, Control, Engine, EngineEnd, InputOf, OutputOf, Terms};
 use badgerwind_platform::config;
@@ -27,8 +27,8 @@
     }
     fn observe(&mut self, _: Time, _: &InputOf<Self>) {}
     fn carry(&mut self, _: Time, output: OutputOf<Self>) {
-        if let Output::Final { origin, answer, .. } = output {
-            self.0.lock().unwrap().push((origin, matches!(answer, Final::Refused { .. })));
+        if let Output::Answer { origin, answer, .. } = output {
+            self.0.lock().unwrap().push((origin, matches!(answer, FinalAnswer::Refused { .. })));
         }
     }
     fn settled(&mut self, _: usize, _: Duration) {}
@@ -39,11 +39,11 @@
     let address = "127.0.0.1:1".parse().unwrap();
     let config = config::read(configuration(address, address, &[]).to_string().as_bytes()).unwrap();
     let limits = Limits {
-        most_held: 100,
+        max_calls: 100,
         max_attempts: 3,
         order_timeout: 1_000_000,
         probe_timeout: 1_000_000,
-        call_off_within: 1_000_000,
+        cancel_timeout: 1_000_000,
         answer_slack: 8_000,
     };
     let (clock, told) = (Clock::start(), Arc::<Mutex<Vec<(u32, bool)>>>::default());
--- a/crates/badgerwind-gateway/tests/unit/answers.rs
+++ b/crates/badgerwind-gateway/tests/unit/answers.rs
@@ -5,12 +5,12 @@
 
 #[test]
 fn what_may_have_run_is_tried_anew_only_where_that_is_harmless() {
-    let failed = Final::<()>::Failed(Failure::GivenUp);
-    let refused = Final::<()>::Refused { by: Refusal::Decided, retry_after: None };
+    let failed = FinalAnswer::<()>::Failed(Failure::GivenUp);
+    let refused = FinalAnswer::<()>::Refused { by: Refusal::ByModule, retry_after: None };
     use Effect::*;
     for (effect, group, answer, attempts, want) in [
-        (Once, Group::All, &Final::Served(()), 1, Kept::Remember),
-        (Repeatable, Group::All, &Final::Served(()), 1, Kept::Remember),
+        (Once, Group::All, &FinalAnswer::Served(()), 1, Kept::Remember),
+        (Repeatable, Group::All, &FinalAnswer::Served(()), 1, Kept::Remember),
         (Once, Group::All, &refused, 2, Kept::Forget),
         (Once, Group::All, &failed, 1, Kept::Remember),
         (Once, Group::All, &failed, 0, Kept::Forget),
--- a/crates/badgerwind-platform/src/link.rs
+++ b/crates/badgerwind-platform/src/link.rs
@@ -3,7 +3,7 @@
 
 use crate::line::{self, Said, Word};
 use badgerwind::interface::{CopyMark, Outcome, RequestId, Time};
-use badgerwind_driver::{AttemptEnd, CallOff, OrderId};
+use badgerwind_driver::{AttemptEnd, CancelReason, OrderId};
 use badgerwind_freshness::Evidence;
 use std::collections::VecDeque;
 
@@ -145,7 +145,7 @@
 #[derive(Debug)]
 enum Begun<C> {
     Task(Task<C>),
-    Kill(RequestId, u32, CallOff),
+    Kill(RequestId, u32, CancelReason),
 }
 
 /// A line in `out`, from its first byte to behind its last.
@@ -337,7 +337,7 @@
     }
 
     /// Calls an attempt off.
-    pub fn off(&mut self, id: &RequestId, attempt: u32, why: CallOff, ends: &mut Vec<End<C>>) -> Off {
+    pub fn off(&mut self, id: &RequestId, attempt: u32, why: CancelReason, ends: &mut Vec<End<C>>) -> Off {
         if self.withhold(id, attempt, ends) {
             return Off::Done;
         }
@@ -445,7 +445,7 @@
         let outcome = if spoilt && attempts == 1 { Outcome::Error } else { Outcome::Reset };
         for open in self.open.drain(..) {
             ends.push(match open.owed {
-                Owed::Attempt(id, attempt) => End::Attempt(id, attempt, AttemptEnd::plain(outcome)),
+                Owed::Attempt(id, attempt) => End::Attempt(id, attempt, AttemptEnd::from_outcome(outcome)),
                 Owed::Order(order) => End::Order(order, Outcome::Reset, 0),
                 Owed::Probe => End::Probe(Outcome::Reset),
                 Owed::ProbeQuestion | Owed::OrderQuestion => End::Question(Outcome::Reset),
@@ -499,12 +499,12 @@
     }
 }
 
-fn off<C>(id: RequestId, attempt: u32, why: CallOff) -> End<C> {
+fn off<C>(id: RequestId, attempt: u32, why: CancelReason) -> End<C> {
     let outcome = match why {
-        CallOff::Cancelled => Outcome::Cancelled,
-        CallOff::TimedOut => Outcome::Timeout,
+        CancelReason::Cancelled => Outcome::Cancelled,
+        CancelReason::TimedOut => Outcome::Timeout,
     };
-    End::Attempt(id, attempt, AttemptEnd { mark: CopyMark::Untold, ..AttemptEnd::plain(outcome) })
+    End::Attempt(id, attempt, AttemptEnd { mark: CopyMark::Untold, ..AttemptEnd::from_outcome(outcome) })
 }
 
 /// A tag of an order; no id begins so.
--- a/crates/badgerwind-platform/tests/links.rs
+++ b/crates/badgerwind-platform/tests/links.rs
@@ -1,7 +1,7 @@
 //! A connection to an executor: what an attempt's end proves, and what a spoilt answer costs.
 
 use badgerwind::interface::{CopyMark, RequestId};
-use badgerwind_driver::{CallOff, OrderId};
+use badgerwind_driver::{CancelReason, OrderId};
 use badgerwind_freshness::Evidence;
 use badgerwind_platform::line;
 use badgerwind_platform::link::{End, Link, Off, Spoilt, Start, Task};
@@ -136,7 +136,7 @@
 fn a_late_answer_is_nobodys_and_its_connection_is_no_way_for_the_same_id() {
     let mut l = out(&["a"]);
     let mut ends = Vec::new();
-    assert_eq!(l.off(&"a".into(), 0, CallOff::TimedOut, &mut ends), Off::Done);
+    assert_eq!(l.off(&"a".into(), 0, CancelReason::TimedOut, &mut ends), Off::Done);
     assert!(ends.is_empty(), "over only once its KILL is out");
     assert!(l.kills() && l.out() == b"{\"type\":\"KILL\",\"req\":\"a\"}\n");
     l.sent(l.out().len(), &mut ends);
@@ -162,7 +162,7 @@
     }
     // One that was given up, its answer crossing that, and again.
     let (mut l, mut ends) = (out(&["a"]), Vec::new());
-    l.off(&"a".into(), 0, CallOff::TimedOut, &mut ends);
+    l.off(&"a".into(), 0, CancelReason::TimedOut, &mut ends);
     l.sent(l.out().len(), &mut ends);
     assert_eq!(feed(&mut l, &hit("a")), (vec![], true));
     assert!(!l.takes("a") && l.takes("c"));
@@ -193,7 +193,7 @@
     assert!(!l.withhold(&"c".into(), 1, &mut ends), "another attempt");
     assert!(l.withhold(&"c".into(), 0, &mut ends) && l.withhold(&"d".into(), 0, &mut ends));
     assert_eq!(words(std::mem::take(&mut ends)), ["c unsent", "d unsent"]);
-    assert_eq!(l.off(&"b".into(), 0, CallOff::Cancelled, &mut ends), Off::Cut);
+    assert_eq!(l.off(&"b".into(), 0, CancelReason::Cancelled, &mut ends), Off::Cut);
     assert_eq!(l.out().len(), line - 1);
     l.push(0, attempt("e"));
     l.begin(0, write, &mut ends);
@@ -290,8 +290,8 @@
     l.push(0, attempt("a"));
     l.begin(0, write, &mut ends);
     l.sent(5, &mut ends);
-    assert_eq!(l.off(&"a".into(), 0, CallOff::Cancelled, &mut ends), Off::Cut);
-    assert_eq!(l.off(&"x".into(), 0, CallOff::Cancelled, &mut ends), Off::Unknown);
+    assert_eq!(l.off(&"a".into(), 0, CancelReason::Cancelled, &mut ends), Off::Cut);
+    assert_eq!(l.off(&"x".into(), 0, CancelReason::Cancelled, &mut ends), Off::Unknown);
     assert_eq!(broken(l, false), ["a unsent"]);
 }
 
@@ -341,7 +341,7 @@
     let ids: Vec<String> = (0..40).map(|n| format!("{n}")).collect();
     let mut l = out(&ids.iter().map(String::as_str).collect::<Vec<_>>());
     for id in &ids {
-        l.off(&RequestId::from(id.as_str()), 0, CallOff::Cancelled, &mut Vec::new());
+        l.off(&RequestId::from(id.as_str()), 0, CancelReason::Cancelled, &mut Vec::new());
     }
     assert!(l.spent());
 }
--- a/crates/badgerwind-scale/src/rows/config.rs
+++ b/crates/badgerwind-scale/src/rows/config.rs
@@ -212,7 +212,7 @@
     let router = Router::new(1, settings.router.clone());
     let mut driver: Driver<Router, (), u64, ()> = Driver::new(router, limits(settings));
     let list = badgerwind_driver::Input::List { kind: ListKind::Whole, entries: workers(listed) };
-    driver.on(1, [list], &mut Vec::new());
+    driver.on_batch(1, [list], &mut Vec::new());
     let figures = (meter.microseconds(), heap.bytes());
     drop(driver);
     figures
