--- a/crates/badgerwind-freshness/src/confirmation.rs
+++ b/crates/badgerwind-freshness/src/confirmation.rs
@@ -1,205 +1,220 @@
-//! Which executors may be sent new work, and what their answers prove while discovery is out of reach.
+//! Which executors may get new work, and what their own answers prove while service discovery is unreachable.
 //!
-//! - "Well" to a probe shows that the executor took work at some moment after the probe's first byte. A drain that begins later
-//!   counts as told then at the earliest, and sends may go on for the grace: so the answer is worth the grace from that first
-//!   byte on, however late it comes. Nothing else confirms: executors that drain may serve calls, take orders to load and answer
-//!   an order for no copies, which only asks. That order is asked beside the probe all the same, as a veto.
-//! - "Unwell" to a probe, and "full" to an order for no copies, which cannot be for want of room: it takes no work. A call turned
-//!   away may be for a full queue as well, and ends what was confirmed before.
-//! - An address is no identity. Where a connection is refused, nothing is sent until discovery tells who is there. Where the
-//!   last connection ended and a new one comes up only later, or the machine was silent in between, the process may have
-//!   been started anew: it counts as cold.
+//! While the list is stale, a front end sends questions to an executor before it sends work: a probe, and a
+//! load order for zero copies, which only asks how many are loaded.
+//!
+//! - A positive answer to the probe shows that the executor accepted work at some time after the first byte
+//!   of the probe was sent. A drain that begins later counts as announced then at the earliest, and sends may
+//!   go on for the grace period. So the answer is valid for the grace period from that first byte on, however
+//!   late it arrives. Nothing else confirms an executor: a draining one may still serve calls, accept load
+//!   orders and answer an order for zero copies. The order is sent nevertheless, because a rejection of it is
+//!   a veto.
+//! - A negative answer to the probe, or a rejected order for zero copies, which cannot be due to a lack of
+//!   room, shows that the executor accepts no work. A rejected call may be due to a full queue as well; it
+//!   only ends an earlier confirmation.
+//! - An address does not identify a process. If a connection is refused, nothing is sent until discovery
+//!   announces which executor is there. If the last connection ended and a new one is established only later,
+//!   or if the machine was unresponsive in between, the process may have been restarted, and counts as cold
+//!   (without loaded copies).
 
 use crate::counters::Counters;
 use crate::record::{Inquiry, Record, Service};
-use crate::source::{Ending, Heard, SourceWatch, Transition};
+use crate::source::{ConnectionEnd, Received, SourceMonitor, Transition};
 use badgerwind::interface::{FunctionId, Outcome, Span, Time, WorkerId};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// What of the grace is left unused, between the look at the clock and the first byte.
-const MARGIN: Span = 10_000;
-/// The protocol lengthens each limit by 50 ms; half of it, where the grace itself is shorter.
-const LEAST_VALIDITY: Span = 25_000;
-/// A process that died is not replaced within so long after its connections ended.
-const SAME_PROCESS_WITHIN: Span = 500_000;
-/// Longest wait before an executor whose last connection ended is connected to again.
-const RECONNECT_WITHIN: Span = 200_000;
-/// By then discovery has noticed what became of an executor that was not to be reached.
-const NOTICED_WITHIN: Span = 10_000_000;
-/// First and longest pause after calls were turned away in a row.
-const FIRST_PAUSE: Span = 250_000;
-const LONGEST_PAUSE: Span = 4_000_000;
-/// Discovery's first word comes by then after a start, if it can be had at all: a frame comes each second.
-const FIRST_WORD_WITHIN: Span = 1_500_000;
-/// Pause after a question that told nothing.
-const UNCLEAR_PAUSE: Span = 100_000;
-/// Pause before an executor that denied to take work is asked again; it doubles each time.
-const DENIAL_PAUSE: Span = 1_000_000;
-const LONGEST_DOUBLING: u32 = 10;
-/// Questions a second that one executor which drains is asked again by all front ends together.
-const REPEATS_PER_SECOND: u64 = 8;
+/// The last part of the grace period, which stays unused to allow for the time between reading the clock and
+/// sending the first byte.
+const SEND_MARGIN: Span = 10_000;
+/// Minimum validity of a confirmation, for very short grace periods: half of the 50 ms by which the protocol
+/// extends each limit.
+const MIN_VALIDITY: Span = 25_000;
+/// A process that died is not replaced by another one sooner than this after its connections ended.
+const MIN_REPLACEMENT_TIME: Span = 500_000;
+/// Maximum delay before reconnecting to an executor whose last connection ended.
+const MAX_RECONNECT_DELAY: Span = 200_000;
+/// Time after which discovery has noticed that an executor is unreachable.
+const MAX_DETECTION_TIME: Span = 10_000_000;
+/// Minimum pause after consecutive rejected calls; it doubles with each further one.
+const MIN_REJECTION_PAUSE: Span = 250_000;
+/// Maximum pause after consecutive rejected calls.
+const MAX_REJECTION_PAUSE: Span = 4_000_000;
+/// Maximum time from a start to the first frame from discovery, if it is reachable: it sends a frame each
+/// second.
+const MAX_FIRST_LIST_TIME: Span = 1_500_000;
+/// Pause after an inconclusive answer to a question.
+const INCONCLUSIVE_PAUSE: Span = 100_000;
+/// Pause before an executor that denied accepting work is asked again; it doubles with each further denial.
+const MIN_DENIAL_PAUSE: Span = 1_000_000;
+/// Maximum number of doublings of [`MIN_DENIAL_PAUSE`].
+const MAX_DENIAL_DOUBLINGS: u32 = 10;
+/// Maximum rate, in questions per second, at which all front ends together ask a draining executor again.
+const REPEATED_QUESTIONS_PER_SECOND: u64 = 8;
 const SECOND: Span = 1_000_000;
 
-/// What the state machine is bounded by; all of it comes from the settings.
+/// Settings of the state machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// Grace in which sends to an executor that drains must end.
+pub struct FreshnessSettings {
+    /// Grace period in which sends to a draining executor must end.
     pub drain_grace: Span,
-    /// A question not answered by then has no answer.
-    pub answer_within: Span,
+    /// Time after which a question counts as unanswered.
+    pub answer_timeout: Span,
     /// Whether probes may be sent.
     pub may_probe: bool,
-    /// Whether orders may be given.
+    /// Whether load orders may be sent.
     pub may_order: bool,
-    /// Front ends in the tier.
+    /// Number of front ends in the tier.
     pub front_ends: u32,
-    /// From 0 to 1, drawn for this front end: keeps front ends out of step.
-    pub chance: f64,
+    /// A random number from 0 to 1, drawn once for this front end, so that front ends do not act in step.
+    pub jitter: f64,
 }
 
-/// Whether new work may begin to go to an executor.
+/// Whether new work may be sent to an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// Yes.
+    /// It may be sent.
     Granted,
-    /// Not before a question is answered that is to be asked now.
+    /// Not before questions are answered that are to be sent now.
     Ask,
-    /// Not before the question under way is answered.
+    /// Not before the questions under way are answered.
     Wait,
-    /// No; it ends so, never sent, and may go another way.
+    /// No: the work ends unsent with this outcome, and may be sent to another executor.
     Denied(Outcome),
 }
 
 /// What an answer of an executor proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// It served a call: the process is there, and may drain all the same.
+    /// It served a call: the process is alive, but may be draining.
     Served,
-    /// It turned work away.
-    TurnsAway,
-    /// It answered a question well.
-    Confirms {
-        /// When the first byte of the question went out, or earlier.
+    /// It rejected a call.
+    WorkRejected,
+    /// It gave a positive answer to a question.
+    Confirmed {
+        /// When the first byte of the question was sent, or earlier.
         since: Time,
-        /// Copies of the function asked about, where it told.
+        /// Number of copies of the function asked about, if the answer contains it.
         copies: Option<u32>,
     },
-    /// It answered a probe: not well.
-    Denies,
-    /// It turned a question away.
-    RefusesQuestion,
-    /// It answered a question with what tells nothing.
-    Unclear,
+    /// It gave a negative answer to a probe.
+    Denied,
+    /// It rejected a question.
+    QuestionRejected,
+    /// It gave an answer to a question from which nothing follows.
+    Inconclusive,
 }
 
-/// What follows for others.
+/// A consequence that the runtime has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing new goes there, as if discovery had told that it drains; what waits there may go another way.
+    /// The executor gets no new work, as if discovery had announced that it drains. Work that waits for it
+    /// may be sent to another one.
     OutOfService(WorkerId),
-    /// What discovery told of it holds again.
+    /// What discovery announced about it is valid again.
     AsListed(WorkerId),
-    /// Its process counts as started just now.
-    Restarted(WorkerId),
-    /// What waits for its answer ends so, never sent, and may go another way.
-    SendElsewhere {
+    /// Its process is presumed to have just restarted.
+    PresumedRestarted(WorkerId),
+    /// Work that waits for its answer ends unsent, and may be sent to another executor.
+    Reroute {
         /// The executor.
         worker: WorkerId,
-        /// How it ends.
+        /// The outcome of that work.
         outcome: Outcome,
     },
 }
 
-/// What is known of the executors, and how old it is.
+/// What a front end knows about the executors, and how current it is.
 #[derive(Clone, Debug)]
 pub struct Freshness {
-    terms: Terms,
+    settings: FreshnessSettings,
     started: Time,
-    source: SourceWatch,
-    /// Executors that discovery has named and that are not gone. Nothing is kept of others.
+    source: SourceMonitor,
+    /// Executors that discovery has listed and not removed. Nothing is stored about others.
     listed: HashSet<WorkerId>,
     records: HashMap<WorkerId, Record>,
-    /// Executors of which discovery's word would change something.
+    /// Executors for which [`Record::deviates`] is true.
     deviating: BTreeSet<WorkerId>,
-    /// Executors with a question under way.
-    asking: BTreeSet<WorkerId>,
+    /// Executors with questions under way.
+    inquiring: BTreeSet<WorkerId>,
     counters: Counters,
-    /// As they stood when the list became stale last.
+    /// The counters when the list last became stale.
     counters_before: Counters,
 }
 
 impl Freshness {
-    /// Nothing is known yet, and discovery has not been heard.
-    pub fn new(now: Time, terms: Terms) -> Freshness {
-        // The deadline is the start of the grace; one half of that is left for the questions.
-        let spread = (terms.drain_grace as f64 / 2.0 * terms.chance.clamp(0.0, 1.0)) as Span;
+    /// Creates the state without any executors, and without a confirmation of the list by discovery.
+    pub fn new(now: Time, settings: FreshnessSettings) -> Freshness {
+        // The deadline is the start of the grace period; half of that is left for the questions.
+        let jitter = (settings.drain_grace as f64 / 2.0 * settings.jitter.clamp(0.0, 1.0)) as Span;
         Freshness {
-            terms,
+            settings,
             started: now,
-            source: SourceWatch::new(spread),
+            source: SourceMonitor::new(jitter),
             listed: HashSet::new(),
             records: HashMap::new(),
             deviating: BTreeSet::new(),
-            asking: BTreeSet::new(),
+            inquiring: BTreeSet::new(),
             counters: Counters::default(),
             counters_before: Counters::default(),
         }
     }
 
     /// Whether discovery's list may be relied on.
-    pub fn fresh(&self, now: Time) -> bool {
-        self.source.fresh(now)
+    pub fn is_fresh(&self, now: Time) -> bool {
+        self.source.is_fresh(now)
     }
 
-    /// How many executors something is kept of.
-    pub fn kept(&self) -> usize {
-        self.listed.len().max(self.records.len()).max(self.deviating.len()).max(self.asking.len())
+    /// Number of executors about which something is stored.
+    pub fn tracked(&self) -> usize {
+        self.listed.len().max(self.records.len()).max(self.deviating.len()).max(self.inquiring.len())
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Counts since the list became stale last.
-    pub fn cost(&self) -> Counters {
+    /// Counters since the list last became stale.
+    pub fn outage_counters(&self) -> Counters {
         self.counters.since(&self.counters_before)
     }
 
-    // ---- Discovery. ----
+    // ---- Discovery ----
 
-    /// Something came from discovery, see [`SourceWatch::heard`]. What discovery has had the time to notice is its to tell.
-    pub fn heard(&mut self, waited_since: Time, heard: Heard) -> Vec<Change> {
+    /// Records that something was received from discovery, see [`SourceMonitor::on_received`]. Deviations
+    /// that discovery has had the time to notice are dropped in favour of what it announced.
+    pub fn on_discovery_received(&mut self, waited_since: Time, received: Received) -> Vec<Change> {
         let was_stale = self.source.reported_stale();
-        self.source.heard(waited_since, heard);
-        if heard != Heard::UpToDate || was_stale {
-            return Vec::new(); // the end of an outage is a transition
+        self.source.on_received(waited_since, received);
+        if received != Received::UpToDate || was_stale {
+            return Vec::new(); // the end of an outage is handled by `transition`
         }
-        let settled = |worker: &WorkerId| {
-            let since = self.records.get(worker).and_then(|record| record.lost);
-            since.is_some_and(|since| since + NOTICED_WITHIN < waited_since)
+        let detected = |worker: &WorkerId| {
+            let since = self.records.get(worker).and_then(|record| record.disconnected_at);
+            since.is_some_and(|since| since + MAX_DETECTION_TIME < waited_since)
         };
-        let settled: Vec<WorkerId> = self.deviating.iter().copied().filter(settled).collect();
-        settled.into_iter().filter_map(|worker| self.relist(worker)).collect()
+        let detected: Vec<WorkerId> = self.deviating.iter().copied().filter(detected).collect();
+        detected.into_iter().filter_map(|worker| self.relist(worker)).collect()
     }
 
-    /// A connection to discovery ended.
-    pub fn ended(&mut self, now: Time, how: Ending) {
-        self.source.ended(now, how);
+    /// Records that a connection to discovery ended.
+    pub fn on_discovery_end(&mut self, now: Time, end: ConnectionEnd) {
+        self.source.on_connection_end(now, end);
     }
 
-    /// Discovery has another address from now on.
-    pub fn moved(&mut self, now: Time) {
-        self.source.moved(now);
+    /// Records that discovery has another address from now on.
+    pub fn on_discovery_address_change(&mut self, now: Time) {
+        self.source.on_address_change(now);
     }
 
-    /// Discovery named an executor; `gone` ends what is kept of it.
-    pub fn listed(&mut self, worker: WorkerId, gone: bool) {
+    /// Records that discovery announced an executor. If it was removed, everything stored about it is
+    /// dropped.
+    pub fn on_listed(&mut self, worker: WorkerId, removed: bool) {
         self.deviating.remove(&worker);
-        if gone {
+        if removed {
             self.listed.remove(&worker);
             self.records.remove(&worker);
-            self.asking.remove(&worker);
+            self.inquiring.remove(&worker);
             return;
         }
         self.listed.insert(worker);
@@ -208,15 +223,16 @@
         }
     }
 
-    /// Discovery told a whole list: whoever is not in it is gone.
-    pub fn listed_whole(&mut self, named: &BTreeSet<WorkerId>) {
-        self.listed.retain(|worker| named.contains(worker));
-        self.records.retain(|worker, _| named.contains(worker));
-        self.deviating.retain(|worker| named.contains(worker));
-        self.asking.retain(|worker| named.contains(worker));
+    /// Records that discovery announced a whole list: executors that are not in it were removed.
+    pub fn on_full_list(&mut self, listed: &BTreeSet<WorkerId>) {
+        self.listed.retain(|worker| listed.contains(worker));
+        self.records.retain(|worker, _| listed.contains(worker));
+        self.deviating.retain(|worker| listed.contains(worker));
+        self.inquiring.retain(|worker| listed.contains(worker));
     }
 
-    /// The change of the list between fresh and stale since this was last asked, and what follows for executors.
+    /// The change of the list between fresh and stale since the last call, and the consequences for
+    /// executors.
     pub fn transition(&mut self, now: Time) -> (Option<Transition>, Vec<Change>) {
         let transition = self.source.transition(now);
         let changes = match transition {
@@ -224,7 +240,7 @@
             Some(Transition::Stale { .. }) => {
                 self.counters.outages += 1;
                 self.counters_before = self.counters;
-                self.withdraw_unidentified()
+                self.take_unidentified_out_of_service()
             }
             Some(Transition::Fresh { .. }) => {
                 let deviating = self.deviating.clone();
@@ -234,13 +250,14 @@
         (transition, changes)
     }
 
-    /// Those whose address refused connections of late: discovery has not had the time to tell who is there.
-    fn withdraw_unidentified(&mut self) -> Vec<Change> {
+    /// Takes executors out of service whose address has recently refused a connection: discovery has not had
+    /// the time to announce which process is there.
+    fn take_unidentified_out_of_service(&mut self) -> Vec<Change> {
         let mut changes = Vec::new();
         for worker in &self.deviating {
             let Some(record) = self.records.get_mut(worker) else { continue };
-            if record.service == Service::Unidentified && !record.withdrawn {
-                record.withdrawn = true;
+            if record.service == Service::Unidentified && !record.reported_out_of_service {
+                record.reported_out_of_service = true;
                 self.counters.unidentified += 1;
                 changes.push(Change::OutOfService(*worker));
             }
@@ -248,33 +265,34 @@
         changes
     }
 
-    /// What discovery told of an executor holds again. One that said itself that it drains is asked first.
+    /// Returns to what discovery announced about an executor. One that itself answered that it drains must
+    /// first confirm that it accepts work.
     fn relist(&mut self, worker: WorkerId) -> Option<Change> {
         self.deviating.remove(&worker);
         let record = self.records.get_mut(&worker)?;
-        let differs = record.differs();
-        let suspect = record.suspect || record.service == Service::Draining;
-        *record = record.as_listed(suspect);
-        differs.then_some(Change::AsListed(worker))
+        let view_differs = record.module_view_differs();
+        let needs_confirmation = record.needs_confirmation || record.service == Service::Draining;
+        *record = record.as_listed(needs_confirmation);
+        view_differs.then_some(Change::AsListed(worker))
     }
 
-    /// What is kept of an executor that is listed.
-    fn record(&mut self, worker: WorkerId) -> Option<&mut Record> {
+    /// The record of an executor, if it is listed.
+    fn listed_record(&mut self, worker: WorkerId) -> Option<&mut Record> {
         self.listed.contains(&worker).then(|| self.records.entry(worker).or_default())
     }
 
-    // ---- Work. ----
+    // ---- Work ----
 
-    /// Whether new work may begin to go to an executor now.
+    /// Whether new work may be sent to an executor now.
     pub fn permit(&mut self, now: Time, worker: WorkerId) -> Permit {
-        let fresh = self.source.fresh(now);
+        let fresh = self.source.is_fresh(now);
         let Some(record) = self.records.get(&worker) else {
-            return if fresh { Permit::Granted } else { self.question(now) };
+            return if fresh { Permit::Granted } else { self.ask_or_wait(now) };
         };
         if record.service == Service::Draining {
             return Permit::Denied(Outcome::Moot);
         }
-        if fresh && !record.suspect {
+        if fresh && !record.needs_confirmation {
             return Permit::Granted;
         }
         if record.service == Service::Unidentified {
@@ -283,79 +301,79 @@
         if now < record.paused_until {
             return Permit::Denied(Outcome::Full);
         }
-        if record.confirmed_within(now, self.validity()) && !record.replaced {
+        if record.confirmed_within(now, self.validity()) && !record.maybe_replaced {
             return Permit::Granted;
         }
-        if record.awaits(now, self.terms.answer_within) {
+        if record.awaits_answer(now, self.settings.answer_timeout) {
             return Permit::Wait;
         }
-        self.question(now)
+        self.ask_or_wait(now)
     }
 
-    fn question(&self, now: Time) -> Permit {
-        if self.terms.may_probe {
+    fn ask_or_wait(&self, now: Time) -> Permit {
+        if self.settings.may_probe {
             Permit::Ask
-        } else if now < self.started + FIRST_WORD_WITHIN {
+        } else if now < self.started + MAX_FIRST_LIST_TIME {
             Permit::Wait
         } else {
             Permit::Denied(Outcome::Moot)
         }
     }
 
-    /// Whether an order for no copies is to be asked beside the probe.
+    /// Whether an order for zero copies is to be sent with the probe.
     pub fn asks_by_order(&self) -> bool {
-        self.terms.may_order
+        self.settings.may_order
     }
 
-    /// How long an answer is worth something, from the first byte of what it answers on.
+    /// How long a confirmation is valid, from the first byte of the probe on.
     fn validity(&self) -> Span {
-        self.terms.drain_grace.saturating_sub(MARGIN).max(LEAST_VALIDITY)
+        self.settings.drain_grace.saturating_sub(SEND_MARGIN).max(MIN_VALIDITY)
     }
 
-    /// Work begins to go out.
-    pub fn sent(&mut self, now: Time) {
-        if !self.source.fresh(now) {
+    /// Records that the first byte of a call or load order is sent.
+    pub fn on_work_sent(&mut self, now: Time) {
+        if !self.source.is_fresh(now) {
             self.counters.sent_while_stale += 1;
         }
     }
 
-    /// The questions are put in line, about a function that clients have called.
-    pub fn asked(&mut self, now: Time, worker: WorkerId, function: FunctionId) {
+    /// Records that the questions to an executor were queued. `function` is one that clients have called.
+    pub fn on_questions_queued(&mut self, now: Time, worker: WorkerId, function: FunctionId) {
         let pending = 1 + u32::from(self.asks_by_order());
-        let Some(record) = self.record(worker) else { return };
+        let Some(record) = self.listed_record(worker) else { return };
         record.inquiry = Some(Inquiry { asked: now, pending, since: None, copies: None });
         record.function = Some(function);
-        self.asking.insert(worker);
+        self.inquiring.insert(worker);
         self.counters.questions += u64::from(pending);
     }
 
-    /// A question came to its end without an answer.
-    pub fn unanswered(&mut self, worker: WorkerId) {
-        self.asking.remove(&worker);
+    /// Records that a question ended without an answer.
+    pub fn on_question_unanswered(&mut self, worker: WorkerId) {
+        self.inquiring.remove(&worker);
         let inquiry = self.records.get_mut(&worker).and_then(|record| record.inquiry.take());
         if inquiry.is_some() {
             self.counters.unanswered += 1;
         }
     }
 
-    /// What follows from questions that have had no answer in time.
-    pub fn overdue(&mut self, now: Time) -> Vec<Change> {
-        let within = self.terms.answer_within;
-        let overdue = |worker: &WorkerId| {
+    /// Ends the questions that were not answered in time, and returns the consequences.
+    pub fn expire_questions(&mut self, now: Time) -> Vec<Change> {
+        let timeout = self.settings.answer_timeout;
+        let expired = |worker: &WorkerId| {
             let inquiry = self.records.get(worker).and_then(|record| record.inquiry);
-            inquiry.is_some_and(|inquiry| now >= inquiry.asked + within)
+            inquiry.is_some_and(|inquiry| now >= inquiry.asked + timeout)
         };
-        let all: Vec<WorkerId> = self.asking.iter().copied().filter(overdue).collect();
+        let expired: Vec<WorkerId> = self.inquiring.iter().copied().filter(expired).collect();
         let give_up = |worker: WorkerId| {
-            self.unanswered(worker);
-            self.records.entry(worker).and_modify(|record| record.silent = true);
-            Change::SendElsewhere { worker, outcome: Outcome::ConnectFailed }
+            self.on_question_unanswered(worker);
+            self.records.entry(worker).and_modify(|record| record.unresponsive = true);
+            Change::Reroute { worker, outcome: Outcome::ConnectFailed }
         };
-        all.into_iter().map(give_up).collect()
+        expired.into_iter().map(give_up).collect()
     }
 
-    /// The executors that said that they drain, and are to be asked again now; and about which function.
-    pub fn repeats(&mut self, now: Time) -> Vec<(WorkerId, FunctionId)> {
+    /// The draining executors that are to be asked again now, each with the function to ask about.
+    pub fn due_repeats(&mut self, now: Time) -> Vec<(WorkerId, FunctionId)> {
         let due = |worker: &WorkerId| {
             let record = self.records.get(worker)?;
             let due =
@@ -365,41 +383,53 @@
         self.deviating.iter().filter_map(due).collect()
     }
 
-    /// What an answer proves. `proven`: the connection that it came over had taken something in before, so that a refusal
-    /// is not for want of room in the executor's table of connections.
-    pub fn evidence(&mut self, now: Time, worker: WorkerId, evidence: Evidence, proven: bool) -> Vec<Change> {
-        let fresh = self.source.fresh(now);
+    /// Records what an answer proves. `proven` tells whether the executor had accepted something on the
+    /// connection before, so that a rejection is not due to its full connection table.
+    pub fn on_evidence(
+        &mut self,
+        now: Time,
+        worker: WorkerId,
+        evidence: Evidence,
+        proven: bool,
+    ) -> Vec<Change> {
+        let fresh = self.source.is_fresh(now);
         match evidence {
             Evidence::Served => {
-                if let Some(record) = self.record(worker) {
-                    (record.turned_away, record.silent, record.met) = (0, false, true);
+                if let Some(record) = self.listed_record(worker) {
+                    (record.rejected, record.unresponsive, record.has_answered) = (0, false, true);
                 }
                 Vec::new()
             }
-            Evidence::TurnsAway => {
-                self.turns_away(now, fresh, worker, proven);
+            Evidence::WorkRejected => {
+                self.work_rejected(now, fresh, worker, proven);
                 Vec::new()
             }
-            Evidence::Confirms { since, copies } => self.confirms(now, worker, since, copies),
-            Evidence::Denies => self.denies(now, fresh, worker),
-            Evidence::RefusesQuestion if proven => self.denies(now, fresh, worker),
-            Evidence::RefusesQuestion | Evidence::Unclear => self.unclear(now, worker),
+            Evidence::Confirmed { since, copies } => self.answer_confirmed(now, worker, since, copies),
+            Evidence::Denied => self.denied(now, fresh, worker),
+            Evidence::QuestionRejected if proven => self.denied(now, fresh, worker),
+            Evidence::QuestionRejected | Evidence::Inconclusive => self.inconclusive(now, worker),
         }
     }
 
-    /// A question was answered with what tells nothing.
-    fn unclear(&mut self, now: Time, worker: WorkerId) -> Vec<Change> {
-        self.unanswered(worker);
-        let Some(record) = self.record(worker) else { return Vec::new() };
-        record.paused_until = now + UNCLEAR_PAUSE;
-        vec![Change::SendElsewhere { worker, outcome: Outcome::Full }]
+    /// Handles an answer to a question from which nothing follows.
+    fn inconclusive(&mut self, now: Time, worker: WorkerId) -> Vec<Change> {
+        self.on_question_unanswered(worker);
+        let Some(record) = self.listed_record(worker) else { return Vec::new() };
+        record.paused_until = now + INCONCLUSIVE_PAUSE;
+        vec![Change::Reroute { worker, outcome: Outcome::Full }]
     }
 
-    /// Counts a good answer to a question. The executor takes work once all of them are in.
-    fn confirms(&mut self, now: Time, worker: WorkerId, since: Time, copies: Option<u32>) -> Vec<Change> {
+    /// Counts a positive answer to a question. The executor is confirmed once all questions are answered.
+    fn answer_confirmed(
+        &mut self,
+        now: Time,
+        worker: WorkerId,
+        since: Time,
+        copies: Option<u32>,
+    ) -> Vec<Change> {
         let Some(record) = self.records.get_mut(&worker) else { return Vec::new() };
         let Some(inquiry) = record.inquiry.as_mut().filter(|inquiry| since >= inquiry.asked) else {
-            return Vec::new(); // it answers what was given up
+            return Vec::new(); // the answer to an earlier inquiry that was given up
         };
         inquiry.pending = inquiry.pending.saturating_sub(1);
         inquiry.since = Some(inquiry.since.map_or(since, |earlier| earlier.min(since)));
@@ -410,139 +440,146 @@
         }
         record.inquiry = None;
         record.denials = 0;
-        self.asking.remove(&worker);
-        self.takes_work(now, worker, since, copies)
+        self.inquiring.remove(&worker);
+        self.confirmed(now, worker, since, copies)
     }
 
-    fn takes_work(&mut self, now: Time, worker: WorkerId, since: Time, copies: Option<u32>) -> Vec<Change> {
-        let fresh = self.source.fresh(now);
+    fn confirmed(&mut self, now: Time, worker: WorkerId, since: Time, copies: Option<u32>) -> Vec<Change> {
+        let fresh = self.source.is_fresh(now);
         let Some(record) = self.records.get_mut(&worker) else { return Vec::new() };
-        record.turned_away = 0;
+        record.rejected = 0;
         if record.service == Service::Unidentified && !fresh {
-            return Vec::new(); // a process that discovery has not named
+            return Vec::new(); // a process that discovery has not announced
         }
-        record.confirmed = record.confirmed.max(Some(since));
-        (record.silent, record.suspect) = (false, false);
+        record.confirmed_at = record.confirmed_at.max(Some(since));
+        (record.unresponsive, record.needs_confirmation) = (false, false);
         let service = std::mem::take(&mut record.service);
-        record.replaced |= service == Service::Unidentified;
-        // The first word of a process, where the list may be older than it: one that holds no copy of what is called there may
-        // have started just now. Soon after a start discovery's first word is on its way, and says so itself.
-        let list_of_unknown_age = !self.source.ever_vouched() && now >= self.started + FIRST_WORD_WITHIN;
-        let met = std::mem::replace(&mut record.met, true);
+        record.maybe_replaced |= service == Service::Unidentified;
+        // If the list may be older than the process, and its first answer says that it has no copy of a
+        // called function, the process may have just started. Shortly after a start of the front end this is
+        // not presumed, because discovery's first frame is on its way and contains restarts.
+        let list_of_unknown_age = !self.source.ever_confirmed() && now >= self.started + MAX_FIRST_LIST_TIME;
+        let has_answered = std::mem::replace(&mut record.has_answered, true);
         let mut changes = Vec::new();
-        let returns = service == Service::Draining && std::mem::take(&mut record.withdrawn);
+        let returns = service == Service::Draining && std::mem::take(&mut record.reported_out_of_service);
         if returns {
             changes.push(Change::AsListed(worker));
         }
-        // While discovery is heard, it tells of a new start itself. A presumption holds beyond a return.
-        let empty_newcomer = list_of_unknown_age && !met && copies == Some(0);
-        if !fresh && (record.replaced || empty_newcomer || returns && record.presumed_restarted) {
-            // What waits was decided when it counted as warm.
-            let decide_anew = record.replaced;
-            (record.presumed_restarted, record.replaced, record.lost) = (true, false, None);
+        // While the list is fresh, discovery announces restarts itself. A presumed restart is reported again
+        // after a drain.
+        let empty_newcomer = list_of_unknown_age && !has_answered && copies == Some(0);
+        if !fresh && (record.maybe_replaced || empty_newcomer || returns && record.reported_restarted) {
+            // Waiting work was assigned when the executor counted as warm.
+            let reroute = record.maybe_replaced;
+            (record.reported_restarted, record.maybe_replaced, record.disconnected_at) = (true, false, None);
             self.counters.restarted += 1;
-            changes.push(Change::Restarted(worker));
-            if decide_anew {
-                changes.push(Change::SendElsewhere { worker, outcome: Outcome::Moot });
+            changes.push(Change::PresumedRestarted(worker));
+            if reroute {
+                changes.push(Change::Reroute { worker, outcome: Outcome::Moot });
             }
         }
-        self.note_deviation(worker);
+        self.update_deviation(worker);
         changes
     }
 
-    fn turns_away(&mut self, now: Time, fresh: bool, worker: WorkerId, proven: bool) {
+    fn work_rejected(&mut self, now: Time, fresh: bool, worker: WorkerId, proven: bool) {
         if fresh {
             return;
         }
-        self.counters.turned_away_while_stale += 1;
+        self.counters.rejected_while_stale += 1;
         if !proven {
-            return; // for want of room for another connection, it may be
+            return; // may be due to a full connection table
         }
-        let Some(record) = self.record(worker) else { return };
-        record.confirmed = None;
-        if record.turned_away > 0 {
-            let pause = FIRST_PAUSE << (record.turned_away - 1).min(8);
-            record.paused_until = now + pause.min(LONGEST_PAUSE);
+        let Some(record) = self.listed_record(worker) else { return };
+        record.confirmed_at = None;
+        if record.rejected > 0 {
+            let pause = MIN_REJECTION_PAUSE << (record.rejected - 1).min(8);
+            record.paused_until = now + pause.min(MAX_REJECTION_PAUSE);
         }
-        record.turned_away += 1;
+        record.rejected += 1;
     }
 
-    fn denies(&mut self, now: Time, fresh: bool, worker: WorkerId) -> Vec<Change> {
-        let shared_pace = u64::from(self.terms.front_ends) * SECOND / REPEATS_PER_SECOND;
-        let chance = self.terms.chance;
-        self.asking.remove(&worker);
-        let Some(record) = self.record(worker) else { return Vec::new() };
+    fn denied(&mut self, now: Time, fresh: bool, worker: WorkerId) -> Vec<Change> {
+        let shared_interval = u64::from(self.settings.front_ends) * SECOND / REPEATED_QUESTIONS_PER_SECOND;
+        let jitter = self.settings.jitter;
+        self.inquiring.remove(&worker);
+        let Some(record) = self.listed_record(worker) else { return Vec::new() };
         record.inquiry = None;
-        if fresh && !record.suspect && record.service != Service::Draining {
-            return Vec::new(); // an order that renews copies; discovery tells of the drain
+        if fresh && !record.needs_confirmation && record.service != Service::Draining {
+            // A rejected order that renews copies, for example. While the list is fresh, discovery announces
+            // drains.
+            return Vec::new();
         }
         record.service = Service::Draining;
-        (record.confirmed, record.met) = (None, true);
-        let pause = (DENIAL_PAUSE << record.denials.min(LONGEST_DOUBLING)).min(shared_pace.max(DENIAL_PAUSE));
-        record.paused_until = now + pause + (pause as f64 * chance) as Span;
+        (record.confirmed_at, record.has_answered) = (None, true);
+        let doubled = MIN_DENIAL_PAUSE << record.denials.min(MAX_DENIAL_DOUBLINGS);
+        let pause = doubled.min(shared_interval.max(MIN_DENIAL_PAUSE));
+        record.paused_until = now + pause + (pause as f64 * jitter) as Span;
         record.denials += 1;
-        let withdrawn = std::mem::replace(&mut record.withdrawn, true);
+        let already_reported = std::mem::replace(&mut record.reported_out_of_service, true);
         self.deviating.insert(worker);
-        if withdrawn {
+        if already_reported {
             return Vec::new();
         }
         self.counters.draining += 1;
         vec![Change::OutOfService(worker)]
     }
 
-    // ---- Connections. ----
+    // ---- Connections ----
 
-    /// The last connection to an executor has ended. While the list is stale another one, after the time that is returned,
-    /// shows whether the process is there: later it might be a successor's. Once only until it confirms anew, so that one that
-    /// ends all connections is not connected to without end. `chance`, from 0 to 1 and drawn anew, keeps front ends out of step.
-    pub fn disconnected(&mut self, now: Time, worker: WorkerId, chance: f64) -> Option<Span> {
-        let fresh = self.source.fresh(now);
-        self.asking.remove(&worker);
-        let record = self.record(worker)?;
+    /// Records that the last connection to an executor has ended. While the list is stale, returns after
+    /// which time to reconnect: a connection established soon shows that the process is still there, a later
+    /// one might lead to its successor. This happens only once until the executor confirms again, so that a
+    /// front end does not reconnect endlessly to an executor that closes all connections. `jitter` is a fresh
+    /// random number from 0 to 1, so that front ends do not reconnect in step.
+    pub fn on_disconnected(&mut self, now: Time, worker: WorkerId, jitter: f64) -> Option<Span> {
+        let fresh = self.source.is_fresh(now);
+        self.inquiring.remove(&worker);
+        let record = self.listed_record(worker)?;
         record.inquiry = None;
-        let confirmed = record.confirmed.take().is_some();
-        record.lost = record.lost.or(Some(now));
+        let was_confirmed = record.confirmed_at.take().is_some();
+        record.disconnected_at = record.disconnected_at.or(Some(now));
         if record.service == Service::Draining {
-            // It has come to its end.
+            // The drain has ended.
             record.service = Service::Unidentified;
         }
-        self.note_deviation(worker);
-        (confirmed && !fresh).then_some((RECONNECT_WITHIN as f64 * chance.clamp(0.0, 1.0)) as Span)
+        self.update_deviation(worker);
+        (was_confirmed && !fresh).then_some((MAX_RECONNECT_DELAY as f64 * jitter.clamp(0.0, 1.0)) as Span)
     }
 
-    /// A connection to an executor has come up, and none stood beside it.
-    pub fn connected(&mut self, now: Time, worker: WorkerId) {
+    /// Records that a connection to an executor was established while there was no other one.
+    pub fn on_connected(&mut self, now: Time, worker: WorkerId) {
         let Some(record) = self.records.get_mut(&worker) else { return };
         if record.service == Service::Unidentified {
-            return; // whoever answers there, discovery has not named it
+            return; // discovery has not announced which process listens there
         }
-        let Some(lost) = record.lost else { return };
-        if now > lost + SAME_PROCESS_WITHIN || record.silent {
-            record.replaced = true;
+        let Some(disconnected_at) = record.disconnected_at else { return };
+        if now > disconnected_at + MIN_REPLACEMENT_TIME || record.unresponsive {
+            record.maybe_replaced = true;
         } else {
-            record.lost = None;
+            record.disconnected_at = None;
         }
-        self.note_deviation(worker);
+        self.update_deviation(worker);
     }
 
-    /// Nobody listens at an executor's address.
-    pub fn refused(&mut self, now: Time, worker: WorkerId) -> Vec<Change> {
-        let fresh = self.source.fresh(now);
-        self.asking.remove(&worker);
-        let Some(record) = self.record(worker) else { return Vec::new() };
+    /// Records that an executor's address refused a connection.
+    pub fn on_connection_refused(&mut self, now: Time, worker: WorkerId) -> Vec<Change> {
+        let fresh = self.source.is_fresh(now);
+        self.inquiring.remove(&worker);
+        let Some(record) = self.listed_record(worker) else { return Vec::new() };
         record.service = Service::Unidentified;
-        (record.inquiry, record.confirmed) = (None, None);
-        record.lost = record.lost.or(Some(now));
-        let withdrawn = fresh || std::mem::replace(&mut record.withdrawn, true);
+        (record.inquiry, record.confirmed_at) = (None, None);
+        record.disconnected_at = record.disconnected_at.or(Some(now));
+        let nothing_to_report = fresh || std::mem::replace(&mut record.reported_out_of_service, true);
         self.deviating.insert(worker);
-        if withdrawn {
+        if nothing_to_report {
             return Vec::new();
         }
         self.counters.unidentified += 1;
         vec![Change::OutOfService(worker)]
     }
 
-    fn note_deviation(&mut self, worker: WorkerId) {
+    fn update_deviation(&mut self, worker: WorkerId) {
         if self.records.get(&worker).is_some_and(Record::deviates) {
             self.deviating.insert(worker);
         } else {
--- a/crates/badgerwind-freshness/src/counters.rs
+++ b/crates/badgerwind-freshness/src/counters.rs
@@ -1,35 +1,35 @@
-//! What an outage of service discovery cost, in counts.
+//! Counters of what outages of service discovery cost.
 
 use std::fmt;
 
-/// Counts since the start of the process.
+/// Counters since the start of the process. Their text form is part of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Times that the list became stale.
+    /// How often the list became stale.
     pub outages: u64,
-    /// Calls and orders to load that began to go out while the list was stale.
+    /// Calls and load orders of which the first byte was sent while the list was stale.
     pub sent_while_stale: u64,
-    /// Those of them that an executor turned away.
-    pub turned_away_while_stale: u64,
-    /// Questions that executors were asked.
+    /// Calls that an executor rejected while the list was stale.
+    pub rejected_while_stale: u64,
+    /// Questions sent to executors, see [`crate::confirmation`].
     pub questions: u64,
-    /// Those that had no answer in time, or one that tells nothing.
+    /// Inquiries that got no answer in time, or an inconclusive one.
     pub unanswered: u64,
-    /// Executors that said that they drain.
+    /// Executors that answered that they are draining.
     pub draining: u64,
-    /// Executors that refused connections, so that nobody knows who will listen there next.
+    /// Executors that refused connections, so that it is unknown which process will listen there next.
     pub unidentified: u64,
-    /// Executors that count as restarted, since nothing shows that the process is the one of before.
+    /// Executors presumed to have restarted, since nothing shows that their process is still the same.
     pub restarted: u64,
 }
 
 impl Counters {
-    /// What was counted since an earlier reading.
+    /// The difference from an earlier reading.
     pub fn since(&self, earlier: &Counters) -> Counters {
         Counters {
             outages: self.outages - earlier.outages,
             sent_while_stale: self.sent_while_stale - earlier.sent_while_stale,
-            turned_away_while_stale: self.turned_away_while_stale - earlier.turned_away_while_stale,
+            rejected_while_stale: self.rejected_while_stale - earlier.rejected_while_stale,
             questions: self.questions - earlier.questions,
             unanswered: self.unanswered - earlier.unanswered,
             draining: self.draining - earlier.draining,
@@ -45,7 +45,7 @@
             f,
             "sent={} turned_away={} questions={} unanswered={} draining={} unidentified={} restarted={}",
             self.sent_while_stale,
-            self.turned_away_while_stale,
+            self.rejected_while_stale,
             self.questions,
             self.unanswered,
             self.draining,
--- a/crates/badgerwind-freshness/src/lib.rs
+++ b/crates/badgerwind-freshness/src/lib.rs
@@ -1,9 +1,12 @@
-//! How old the knowledge of the executors is, and what stands in for service discovery while it is out of reach.
+//! How current a front end's knowledge of the executors is, and how it checks executors itself while service
+//! discovery is unreachable.
 //!
-//! Discovery tells changes only, so that its silence looks like "nothing changed". Here the list is worth something until a
-//! deadline that follows from when discovery last vouched for it ([`source`]). Past it, an executor takes new work only by
-//! its own word: an answer which shows that it took work at a known moment is worth as much as the grace of the drain rule
-//! ([`confirmation`]). No I/O, no clock: times come in as arguments, in microseconds of one monotonic clock.
+//! Service discovery sends changes only, so that its silence looks the same as "nothing has changed".
+//! Therefore the list of executors expires at a deadline that follows from when discovery last confirmed it
+//! ([`source`]). Once the list is stale, an executor gets new work only if it has confirmed itself that it
+//! accepts work: an answer which shows that it accepted work at a known time is valid for the grace period of
+//! the drain rule ([`confirmation`]). No I/O and no clock: times are passed in as arguments, in microseconds
+//! of one monotonic clock.
 
 #![forbid(unsafe_code)]
 
@@ -12,4 +15,4 @@
 mod record;
 pub mod source;
 
-pub use confirmation::{Change, Evidence, Freshness, Permit, Terms};
+pub use confirmation::{Change, Evidence, Freshness, FreshnessSettings, Permit};
--- a/crates/badgerwind-freshness/src/record.rs
+++ b/crates/badgerwind-freshness/src/record.rs
@@ -1,94 +1,99 @@
-//! What one executor itself has shown.
+//! What one executor has shown by its answers and connections.
 
 use badgerwind::interface::{FunctionId, Span, Time};
 
-/// Whether an executor takes part in service, beyond what discovery told.
+/// Whether an executor is in service, as far as this differs from what discovery announced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Service {
-    /// As discovery told.
+    /// As announced by discovery.
     #[default]
     Listed,
-    /// It said that it drains.
+    /// The executor answered that it is draining.
     Draining,
-    /// Nobody listened at its address: who does so next is not known.
+    /// Its address refused a connection, so that it is unknown which process will listen there next.
     Unidentified,
 }
 
-/// Questions under way. An executor confirms by all of their answers.
+/// The questions to an executor that are under way. Only all of their answers together confirm that it
+/// accepts work.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Inquiry {
-    /// When it was put in line.
+    /// When the questions were queued.
     pub asked: Time,
-    /// Answers that have not come.
+    /// Number of answers that are missing.
     pub pending: u32,
-    /// The first byte of the first question went out then at the earliest, as far as answers came.
+    /// The earliest time at which the first byte of an answered question may have been sent.
     pub since: Option<Time>,
-    /// Copies of the function asked about, where an answer told.
+    /// Number of copies of the function asked about, if an answer contained it.
     pub copies: Option<u32>,
 }
 
-/// What one executor itself has shown.
+/// What one executor has shown by its answers and connections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
     pub service: Service,
-    /// The latest moment at which it is known to have taken work.
-    pub confirmed: Option<Time>,
+    /// The latest time at which the executor is known to have accepted work.
+    pub confirmed_at: Option<Time>,
     /// The questions under way.
     pub inquiry: Option<Inquiry>,
-    /// The function that it was last asked about; one that clients have called.
+    /// The function of the last inquiry; one that clients have called.
     pub function: Option<FunctionId>,
-    /// No question, and no work, before this.
+    /// No questions and no work are sent before this time.
     pub paused_until: Time,
-    /// Times in a row that it denied to take work.
+    /// How often in a row it denied that it accepts work.
     pub denials: u32,
-    /// Calls turned away since it last served one.
-    pub turned_away: u32,
-    /// Discovery's word alone does not do: its own was another.
-    pub suspect: bool,
-    /// Something was answered by the process that listens there.
-    pub met: bool,
-    /// When the last connection to the process that was known there ended, or was refused.
-    pub lost: Option<Time>,
-    /// It left a question without an answer: the machine may be gone, and come back empty.
-    pub silent: bool,
-    /// Connections lead to a process that need not be the one of before.
-    pub replaced: bool,
-    /// The module was told that it has restarted.
-    pub presumed_restarted: bool,
-    /// The module was told that it takes no work.
-    pub withdrawn: bool,
+    /// Calls rejected since it last served one.
+    pub rejected: u32,
+    /// Its own answer contradicted discovery, so that discovery's announcement alone is not enough.
+    pub needs_confirmation: bool,
+    /// The process that listens there has answered something.
+    pub has_answered: bool,
+    /// When the last connection to the known process ended, or was refused.
+    pub disconnected_at: Option<Time>,
+    /// A question was left unanswered: the machine may have vanished, and may return without its copies.
+    pub unresponsive: bool,
+    /// Its connections may lead to another process than before.
+    pub maybe_replaced: bool,
+    /// The module was told to presume that it has restarted.
+    pub reported_restarted: bool,
+    /// The module was told that it accepts no work.
+    pub reported_out_of_service: bool,
 }
 
 impl Record {
-    /// Whether it took work less than `validity` ago.
+    /// Whether it accepted work less than `validity` ago.
     pub fn confirmed_within(&self, now: Time, validity: Span) -> bool {
-        self.confirmed.is_some_and(|at| now < at + validity)
+        self.confirmed_at.is_some_and(|at| now < at + validity)
     }
 
-    /// Whether an answer is awaited.
-    pub fn awaits(&self, now: Time, answer_within: Span) -> bool {
-        self.inquiry.is_some_and(|inquiry| now < inquiry.asked + answer_within)
+    /// Whether the answer to a question is still awaited.
+    pub fn awaits_answer(&self, now: Time, answer_timeout: Span) -> bool {
+        self.inquiry.is_some_and(|inquiry| now < inquiry.asked + answer_timeout)
     }
 
-    /// Whether the module has been told other than discovery told.
-    pub fn differs(&self) -> bool {
-        self.withdrawn || self.presumed_restarted
+    /// Whether the module was told something else than discovery announced.
+    pub fn module_view_differs(&self) -> bool {
+        self.reported_out_of_service || self.reported_restarted
     }
 
-    /// Whether there is anything here that discovery's word would undo.
+    /// Whether an announcement by discovery would change anything in this record.
     pub fn deviates(&self) -> bool {
-        self.differs() || self.service != Service::Listed || self.replaced || self.lost.is_some()
+        self.module_view_differs()
+            || self.service != Service::Listed
+            || self.maybe_replaced
+            || self.disconnected_at.is_some()
     }
 
-    /// What is left once discovery's word holds again. One that is not connected has to be met anew.
-    pub fn as_listed(&mut self, suspect: bool) -> Record {
-        let connected = self.lost.is_none() && self.service != Service::Unidentified;
+    /// The record that is left once discovery's announcement is valid again. An executor without a connection
+    /// counts as not having answered yet.
+    pub fn as_listed(&mut self, needs_confirmation: bool) -> Record {
+        let connected = self.disconnected_at.is_none() && self.service != Service::Unidentified;
         Record {
-            suspect,
-            met: self.met && connected,
+            needs_confirmation,
+            has_answered: self.has_answered && connected,
             inquiry: self.inquiry,
             function: self.function.take(),
-            confirmed: self.confirmed,
+            confirmed_at: self.confirmed_at,
             ..Record::default()
         }
     }
--- a/crates/badgerwind-freshness/src/source.rs
+++ b/crates/badgerwind-freshness/src/source.rs
@@ -1,94 +1,99 @@
-//! Until when what service discovery told may be relied on.
+//! How long the list that service discovery sent may be relied on.
 
 use badgerwind::interface::{Span, Time};
 
-/// After a connection to discovery ended, what it would have told counts as told this much later (DAYS page, "Bad peers").
-pub const TOLD_AFTER_BREAK: Span = 2_000_000;
-/// The same after it fell silent, and for any outage at the latest (PROTOCOL page, "Figures").
-pub const TOLD_AFTER_SILENCE: Span = 4_000_000;
-/// The same after SIGHUP named another address (DAYS page, "New configurations and restarts").
-pub const TOLD_AFTER_MOVE: Span = 4_000_000;
+/// After a connection to discovery has ended, changes that it would have announced count as announced this
+/// much later (DAYS page, "Bad peers").
+pub const ANNOUNCED_AFTER_BREAK: Span = 2_000_000;
+/// The same after discovery has fallen silent, and the maximum for any outage (PROTOCOL page, "Figures").
+pub const ANNOUNCED_AFTER_SILENCE: Span = 4_000_000;
+/// The same after SIGHUP has changed discovery's address (DAYS page, "New configurations and restarts").
+pub const ANNOUNCED_AFTER_ADDRESS_CHANGE: Span = 4_000_000;
 
-/// What came over a connection to discovery.
+/// What was received on a connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Heard {
-    /// Nothing whole, or nothing of use.
+pub enum Received {
+    /// No complete frame, or none that is of use.
     Nothing,
-    /// Events. More of them may stand behind these.
+    /// Events. Further ones may follow.
     Events,
-    /// Its word that nothing follows what is known.
+    /// A confirmation that no events follow the ones already known.
     UpToDate,
 }
 
-/// How a connection to discovery, or an attempt to make one, ended.
+/// How a connection to discovery, or an attempt to connect, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// It was closed, reset, refused, or told what cannot be used.
+pub enum ConnectionEnd {
+    /// It was closed, reset or refused, or sent something unusable.
     Broken,
-    /// Nothing came in time.
-    Silent,
+    /// Nothing was received in time.
+    TimedOut,
 }
 
-/// A change between relying on discovery and not.
+/// A change of the list between fresh and stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
     /// The list may no longer be relied on.
     Stale {
-        /// Time since discovery last vouched for it; `None` where it never did.
+        /// Time since discovery last confirmed the list; `None` if it never did.
         age: Option<Span>,
     },
-    /// Discovery vouches for it again.
+    /// Discovery has confirmed the list again.
     Fresh {
         /// How long it was stale.
         lasted: Span,
     },
 }
 
-/// Watches discovery.
+/// Tracks until when the list may be relied on.
 #[derive(Clone, Debug)]
-pub struct SourceWatch {
-    /// The latest moment for which discovery vouched. A front end that starts has been told a list of unknown age.
-    vouched: Option<Time>,
-    /// Deadline of an interruption under way.
+pub struct SourceMonitor {
+    /// The latest time for which discovery confirmed the list; `None` after a start, when the list that the
+    /// front end was given has an unknown age.
+    confirmed_at: Option<Time>,
+    /// When the list expires because of an interruption under way.
     deadline: Option<Time>,
-    /// Keeps front ends out of step. Part of the grace, which runs from the deadline on.
-    spread: Span,
-    /// Since when the list is stale, as last reported.
-    reported_stale: Option<Time>,
+    /// Extends the deadline, so that front ends do not act in step. It is part of the grace period, which
+    /// starts at the deadline.
+    jitter: Span,
+    /// Since when the list is stale, as last reported by [`SourceMonitor::transition`].
+    stale_since: Option<Time>,
 }
 
-impl SourceWatch {
-    /// One that relies on nothing before discovery was heard. `spread`: how much later than others it stops to rely on
-    /// it; less than the grace in which sends must end.
-    pub fn new(spread: Span) -> SourceWatch {
-        SourceWatch { vouched: None, deadline: None, spread, reported_stale: None }
+impl SourceMonitor {
+    /// Creates a monitor that regards the list as stale until discovery has confirmed it. `jitter` is how
+    /// much later than at the deadline the list becomes stale; it must be less than the grace period in which
+    /// sends must end.
+    pub fn new(jitter: Span) -> SourceMonitor {
+        SourceMonitor { confirmed_at: None, deadline: None, jitter, stale_since: None }
     }
 
-    /// Something came. `waited_since`: since when it was waited for; a frame that lay in the socket while this process had no
-    /// core vouches for no later moment.
-    pub fn heard(&mut self, waited_since: Time, heard: Heard) {
-        let counts = match heard {
-            Heard::Nothing => false,
-            // After an interruption others may follow, so these alone do not end it.
-            Heard::Events => self.deadline.is_none() && self.vouched.is_some(),
-            Heard::UpToDate => true,
+    /// Records that something was received. `waited_since` is when the front end started to wait for it: a
+    /// frame that lay in the socket buffer while this process had no CPU time confirms nothing later than
+    /// that.
+    pub fn on_received(&mut self, waited_since: Time, received: Received) {
+        let confirms = match received {
+            Received::Nothing => false,
+            // After an interruption further events may be missing, so events alone do not end it.
+            Received::Events => self.deadline.is_none() && self.confirmed_at.is_some(),
+            Received::UpToDate => true,
         };
-        if counts {
-            self.vouched = self.vouched.max(Some(waited_since));
+        if confirms {
+            self.confirmed_at = self.confirmed_at.max(Some(waited_since));
             self.deadline = None;
         }
     }
 
-    /// A connection ended. Those that end later in one interruption do not put its deadline off.
-    pub fn ended(&mut self, now: Time, how: Ending) {
-        if how == Ending::Broken {
-            self.interrupted(now + TOLD_AFTER_BREAK);
+    /// Records that a connection ended. Further ends during one interruption do not extend its deadline.
+    pub fn on_connection_end(&mut self, now: Time, end: ConnectionEnd) {
+        if end == ConnectionEnd::Broken {
+            self.interrupted(now + ANNOUNCED_AFTER_BREAK);
         }
     }
 
-    /// Discovery has another address from now on.
-    pub fn moved(&mut self, now: Time) {
-        self.interrupted(now + TOLD_AFTER_MOVE);
+    /// Records that discovery has another address from now on.
+    pub fn on_address_change(&mut self, now: Time) {
+        self.interrupted(now + ANNOUNCED_AFTER_ADDRESS_CHANGE);
     }
 
     fn interrupted(&mut self, deadline: Time) {
@@ -96,36 +101,36 @@
     }
 
     /// Until when the list may be relied on.
-    pub fn relied_on_until(&self) -> Time {
-        let Some(vouched) = self.vouched else { return 0 };
-        let silent = vouched + TOLD_AFTER_SILENCE;
-        self.deadline.map_or(silent, |deadline| deadline.min(silent)) + self.spread
+    pub fn fresh_until(&self) -> Time {
+        let Some(confirmed_at) = self.confirmed_at else { return 0 };
+        let silence_deadline = confirmed_at + ANNOUNCED_AFTER_SILENCE;
+        self.deadline.map_or(silence_deadline, |deadline| deadline.min(silence_deadline)) + self.jitter
     }
 
     /// Whether the list may be relied on.
-    pub fn fresh(&self, now: Time) -> bool {
-        now < self.relied_on_until()
+    pub fn is_fresh(&self, now: Time) -> bool {
+        now < self.fresh_until()
     }
 
-    /// Whether discovery has ever vouched for the list.
-    pub fn ever_vouched(&self) -> bool {
-        self.vouched.is_some()
+    /// Whether discovery has ever confirmed the list.
+    pub fn ever_confirmed(&self) -> bool {
+        self.confirmed_at.is_some()
     }
 
-    /// Whether the list was stale when this was last asked for a transition.
+    /// Whether the list was stale at the last call of [`SourceMonitor::transition`].
     pub fn reported_stale(&self) -> bool {
-        self.reported_stale.is_some()
+        self.stale_since.is_some()
     }
 
-    /// The change since this was last asked, for logs and for what follows from it.
+    /// The change of the list between fresh and stale since the last call, if any.
     pub fn transition(&mut self, now: Time) -> Option<Transition> {
-        match (self.fresh(now), self.reported_stale) {
+        match (self.is_fresh(now), self.stale_since) {
             (false, None) => {
-                self.reported_stale = Some(now);
-                Some(Transition::Stale { age: self.vouched.map(|vouched| now.saturating_sub(vouched)) })
+                self.stale_since = Some(now);
+                Some(Transition::Stale { age: self.confirmed_at.map(|at| now.saturating_sub(at)) })
             }
             (true, Some(since)) => {
-                self.reported_stale = None;
+                self.stale_since = None;
                 Some(Transition::Fresh { lasted: now.saturating_sub(since) })
             }
             _ => None,
--- a/crates/badgerwind-gateway/src/platform/connection.rs
+++ b/crates/badgerwind-gateway/src/platform/connection.rs
@@ -224,7 +224,7 @@
     fn start(&self, now: Time, permit: Permit, task: &Task<Out>, out: &mut Vec<u8>) -> Start {
         if task.new_work(Out::key).is_some() {
             match permit {
-                Permit::Granted => self.freshness.borrow_mut().sent(now),
+                Permit::Granted => self.freshness.borrow_mut().on_work_sent(now),
                 Permit::Ask | Permit::Wait => return Start::Held,
                 Permit::Denied(_) => return Start::Dropped,
             }
@@ -273,7 +273,7 @@
             Task::Order { order, .. } => self.tell(Input::OrderEnded { order, outcome, copies: 0 }),
             Task::Probe(_) => self.tell(Input::ProbeEnded { worker, outcome, report: None }),
             Task::ProbeQuestion { .. } | Task::OrderQuestion { .. } => {
-                self.freshness.borrow_mut().unanswered(worker)
+                self.freshness.borrow_mut().on_question_unanswered(worker)
             }
             Task::Unload(_) => {}
         }
@@ -287,7 +287,7 @@
             }
             End::Order(order, outcome, copies) => self.tell(Input::OrderEnded { order, outcome, copies }),
             End::Probe(outcome) => self.tell(Input::ProbeEnded { worker, outcome, report: None }),
-            End::Question(Outcome::Reset) => self.freshness.borrow_mut().unanswered(worker),
+            End::Question(Outcome::Reset) => self.freshness.borrow_mut().on_question_unanswered(worker),
             End::Question(_) => {}
             End::Unsent(task) => self.unsent(worker, task, unsent),
         }
--- a/crates/badgerwind-gateway/src/platform/discovery.rs
+++ b/crates/badgerwind-gateway/src/platform/discovery.rs
@@ -4,7 +4,7 @@
 use super::wire::is_short;
 use badgerwind::interface::{Availability, ListKind, Time};
 use badgerwind_connect::connect;
-use badgerwind_freshness::source::Ending;
+use badgerwind_freshness::source::ConnectionEnd;
 use badgerwind_platform::board::{BadFrame, Follower, News};
 use badgerwind_platform::config::Places;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -55,19 +55,19 @@
 
 /// Why following discovery has to begin anew.
 struct Interruption {
-    how: Ending,
+    how: ConnectionEnd,
     what: String,
 }
 
 impl Interruption {
     fn broken(what: impl ToString) -> Interruption {
-        Interruption { how: Ending::Broken, what: what.to_string() }
+        Interruption { how: ConnectionEnd::Broken, what: what.to_string() }
     }
 
     fn by(error: &std::io::Error) -> Interruption {
         let how = match error.kind() {
-            std::io::ErrorKind::TimedOut => Ending::Silent,
-            _ => Ending::Broken,
+            std::io::ErrorKind::TimedOut => ConnectionEnd::TimedOut,
+            _ => ConnectionEnd::Broken,
         };
         Interruption { how, what: error.to_string() }
     }
@@ -80,11 +80,11 @@
         let mut freshness = self.freshness.borrow_mut();
         if news.kind != ListKind::Changes {
             let named = news.entries.iter().map(|listed| listed.entry.worker).collect();
-            freshness.listed_whole(&named);
+            freshness.on_full_list(&named);
         }
         for listed in &news.entries {
             let gone = listed.entry.availability == Availability::Gone;
-            freshness.listed(listed.entry.worker, gone);
+            freshness.on_listed(listed.entry.worker, gone);
         }
         let entries = news.entries.iter().map(|l| l.entry.clone()).collect();
         self.tell(Input::List { kind: news.kind, entries });
@@ -100,7 +100,7 @@
                 None
             };
             let Some(interruption) = followed.or(changed).await else {
-                self.freshness.borrow_mut().moved(self.clock.now());
+                self.freshness.borrow_mut().on_discovery_address_change(self.clock.now());
                 pause = FIRST_PAUSE;
                 continue;
             };
@@ -164,7 +164,7 @@
         let fed = follower.feed(&discovery.places, bytes, &mut news);
         let (heard, partial) = (follower.heard(), follower.partial());
         drop(follower);
-        if !news.is_empty() && !self.freshness.borrow().fresh(self.clock.now()) {
+        if !news.is_empty() && !self.freshness.borrow().is_fresh(self.clock.now()) {
             tracing::info!(
                 events = news.len(),
                 "service discovery tells events while the list of executors is stale"
--- a/crates/badgerwind-gateway/src/platform/executors.rs
+++ b/crates/badgerwind-gateway/src/platform/executors.rs
@@ -386,7 +386,7 @@
     pub(super) fn sweep(&self, shell: &Shell, now: Time) {
         let long = shell.transport.idle_close / 4 * 3;
         // While the list is stale, the last connection to an executor shows that its process is the one that was listed.
-        let stale = !shell.freshness.borrow().fresh(now);
+        let stale = !shell.freshness.borrow().is_fresh(now);
         let all = self.all.borrow();
         let mut begun = Vec::new();
         for e in all.values() {
--- a/crates/badgerwind-gateway/src/platform/freshness.rs
+++ b/crates/badgerwind-gateway/src/platform/freshness.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, Out};
 use super::shell::{Input, Shell};
 use badgerwind::interface::*;
-use badgerwind_freshness::source::{Ending, Heard, Transition};
+use badgerwind_freshness::source::{ConnectionEnd, Received, Transition};
 use badgerwind_freshness::{Change, Evidence, Permit};
 use badgerwind_platform::link::{Start, Task};
 use smol::Timer;
@@ -12,15 +12,15 @@
 
 impl Shell {
     /// Something came from service discovery, waited for since then.
-    pub(super) fn discovery_heard(self: &Rc<Self>, waited_since: Time, heard: Heard) {
-        let changes = self.freshness.borrow_mut().heard(waited_since, heard);
+    pub(super) fn discovery_heard(self: &Rc<Self>, waited_since: Time, heard: Received) {
+        let changes = self.freshness.borrow_mut().on_discovery_received(waited_since, heard);
         self.apply(changes);
         self.look_at_freshness();
     }
 
     /// A connection to it ended.
-    pub(super) fn discovery_ended(self: &Rc<Self>, how: Ending) {
-        self.freshness.borrow_mut().ended(self.clock.now(), how);
+    pub(super) fn discovery_ended(self: &Rc<Self>, how: ConnectionEnd) {
+        self.freshness.borrow_mut().on_discovery_end(self.clock.now(), how);
     }
 
     /// Takes note where the list has become stale or fresh, and tells the log what an outage cost.
@@ -36,7 +36,7 @@
                 "the list of executors is stale: service discovery has not vouched for it; work goes to those who confirm that they take it"
             ),
             Some(Transition::Fresh { lasted }) => {
-                let cost = self.freshness.borrow().cost();
+                let cost = self.freshness.borrow().outage_counters();
                 tracing::info!(lasted_us = lasted, %cost, "the list of executors is fresh again");
             }
         }
@@ -50,9 +50,9 @@
     pub(super) fn sweep_freshness(self: &Rc<Self>) {
         self.look_at_freshness();
         let now = self.clock.now();
-        let changes = self.freshness.borrow_mut().overdue(now);
+        let changes = self.freshness.borrow_mut().expire_questions(now);
         self.apply(changes);
-        let repeats = self.freshness.borrow_mut().repeats(now);
+        let repeats = self.freshness.borrow_mut().due_repeats(now);
         for (worker, function) in repeats {
             if let Some(connection) = self.executors.proven(worker) {
                 self.ask(&connection, now, function);
@@ -67,11 +67,11 @@
     /// Tells the log now and then what an outage has cost so far.
     fn report_cost(&self, now: Time) {
         let freshness = self.freshness.borrow();
-        if freshness.fresh(now) {
+        if freshness.is_fresh(now) {
             return;
         }
         if self.complaints.outage.may(now).is_some() {
-            tracing::info!(cost = %freshness.cost(), "the list of executors is stale");
+            tracing::info!(cost = %freshness.outage_counters(), "the list of executors is stale");
         }
     }
 
@@ -103,7 +103,7 @@
         }
         let number = self.executors.next_number();
         link.push(now, Task::ProbeQuestion { number });
-        freshness.asked(now, connection.worker, function);
+        freshness.on_questions_queued(now, connection.worker, function);
         tracing::debug!(worker = %name(connection.worker), "an executor is asked whether it takes work");
     }
 
@@ -115,19 +115,19 @@
         }
         let worker = connection.worker;
         for evidence in evidence {
-            let changes = self.freshness.borrow_mut().evidence(now, worker, evidence, proven);
-            if evidence == Evidence::TurnsAway {
+            let changes = self.freshness.borrow_mut().on_evidence(now, worker, evidence, proven);
+            if evidence == Evidence::WorkRejected {
                 self.complain_of_refusal(now, worker);
             }
             self.apply(changes);
-            if matches!(evidence, Evidence::Confirms { .. }) {
+            if matches!(evidence, Evidence::Confirmed { .. }) {
                 self.push_out_waiting(worker);
             }
         }
     }
 
     fn complain_of_refusal(&self, now: Time, worker: WorkerId) {
-        if self.freshness.borrow().fresh(now) {
+        if self.freshness.borrow().is_fresh(now) {
             return;
         }
         if let Some(more) = self.complaints.turned_away.may(now) {
@@ -148,11 +148,11 @@
                     tracing::info!(worker = %name(worker), "an executor counts as service discovery told");
                     self.relist(worker, None);
                 }
-                Change::Restarted(worker) => {
+                Change::PresumedRestarted(worker) => {
                     tracing::info!(worker = %name(worker), "an executor counts as just started: nothing shows that its process is the one of before");
                     self.tell(Input::PresumedRestart { worker });
                 }
-                Change::SendElsewhere { worker, outcome } => {
+                Change::Reroute { worker, outcome } => {
                     tracing::debug!(worker = %name(worker), ?outcome, "an executor did not confirm that it takes work");
                     self.give_up_waiting(worker, outcome);
                 }
@@ -193,7 +193,7 @@
     /// A connection has come up.
     pub(super) fn came_up(&self, now: Time, connection: &Rc<Connection>) {
         if self.executors.stands_alone(connection) {
-            self.freshness.borrow_mut().connected(now, connection.worker);
+            self.freshness.borrow_mut().on_connected(now, connection.worker);
         }
     }
 
@@ -201,7 +201,7 @@
     pub(super) fn refused(self: &Rc<Self>, connection: &Rc<Connection>) {
         if self.executors.stands_alone(connection) {
             let now = self.clock.now();
-            let changes = self.freshness.borrow_mut().refused(now, connection.worker);
+            let changes = self.freshness.borrow_mut().on_connection_refused(now, connection.worker);
             self.apply(changes);
         }
     }
@@ -213,7 +213,7 @@
             return;
         }
         let now = self.clock.now();
-        let after = self.freshness.borrow_mut().disconnected(now, worker, fastrand::f64());
+        let after = self.freshness.borrow_mut().on_disconnected(now, worker, fastrand::f64());
         let Some(after) = after.filter(|_| !self.stopping.get()) else { return };
         let shell = self.clone();
         let reconnect = async move {
--- a/crates/badgerwind-gateway/src/platform/shell.rs
+++ b/crates/badgerwind-gateway/src/platform/shell.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use badgerwind::interface::*;
 use badgerwind_driver::Output;
-use badgerwind_freshness::{Freshness, Terms};
+use badgerwind_freshness::{Freshness, FreshnessSettings};
 use badgerwind_instance::{Names, Transport};
 use badgerwind_platform::config::Config;
 use badgerwind_platform::shares::Shares;
@@ -112,14 +112,14 @@
     }
 }
 
-fn freshness_terms(config: &Config) -> Terms {
-    Terms {
+fn freshness_terms(config: &Config) -> FreshnessSettings {
+    FreshnessSettings {
         drain_grace: config.router.drain_grace,
-        answer_within: config.transport.connect_timeout,
+        answer_timeout: config.transport.connect_timeout,
         may_probe: config.router.may_probe,
         may_order: config.router.may_order,
         front_ends: config.router.front_ends,
-        chance: fastrand::Rng::with_seed(config.seed).f64(),
+        jitter: fastrand::Rng::with_seed(config.seed).f64(),
     }
 }
 
--- a/crates/badgerwind-platform/src/board.rs
+++ b/crates/badgerwind-platform/src/board.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Places;
 use badgerwind::interface::{Availability, ListKind, WorkerEntry, WorkerId};
-use badgerwind_freshness::source::Heard;
+use badgerwind_freshness::source::Received;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -64,7 +64,7 @@
     replay: Option<Replay>,
     come: Vec<u8>,
     /// The most that the frames since the last look have told.
-    heard: Option<Heard>,
+    heard: Option<Received>,
 }
 
 /// The list as it was after some event.
@@ -108,8 +108,8 @@
     }
 
     /// What the whole frames that came since this was last asked are worth.
-    pub fn heard(&mut self) -> Heard {
-        self.heard.take().unwrap_or(Heard::Nothing)
+    pub fn heard(&mut self) -> Received {
+        self.heard.take().unwrap_or(Received::Nothing)
     }
 
     /// Whether a frame has begun to come and is not whole.
@@ -146,7 +146,7 @@
             0 => {
                 // While events are told again, or where it knows less than was told before, it vouches for nothing.
                 if self.replay.is_none() && number == self.last && !self.from_start {
-                    self.heard = Some(Heard::UpToDate);
+                    self.heard = Some(Received::UpToDate);
                 }
                 return Ok(());
             }
@@ -167,7 +167,7 @@
         }
         let entries = payload.chunks_exact(RECORD).map(|r| record(places, r)).collect::<Option<Vec<_>>>();
         let entries = entries.ok_or(BadFrame::Record)?;
-        self.heard = self.heard.max(Some(Heard::Events));
+        self.heard = self.heard.max(Some(Received::Events));
         let told = News { kind, entries };
         if begins {
             self.replay = Some(Replay::default());
--- a/crates/badgerwind-platform/src/link.rs
+++ b/crates/badgerwind-platform/src/link.rs
@@ -489,12 +489,12 @@
 fn proves(owed: &Owed, began: Time, word: Word, copies: u32) -> Option<Evidence> {
     match (owed, word) {
         (Owed::Attempt(..), Word::Hit) => Some(Evidence::Served),
-        (Owed::Attempt(..), Word::Shed) => Some(Evidence::TurnsAway),
-        (Owed::ProbeQuestion, Word::Pong) => Some(Evidence::Confirms { since: began, copies: None }),
-        (Owed::ProbeQuestion, Word::Sick) => Some(Evidence::Denies),
-        (Owed::OrderQuestion, Word::Hit) => Some(Evidence::Confirms { since: began, copies: Some(copies) }),
-        (Owed::ProbeQuestion | Owed::OrderQuestion, Word::Shed) => Some(Evidence::RefusesQuestion),
-        (Owed::ProbeQuestion | Owed::OrderQuestion, _) => Some(Evidence::Unclear),
+        (Owed::Attempt(..), Word::Shed) => Some(Evidence::WorkRejected),
+        (Owed::ProbeQuestion, Word::Pong) => Some(Evidence::Confirmed { since: began, copies: None }),
+        (Owed::ProbeQuestion, Word::Sick) => Some(Evidence::Denied),
+        (Owed::OrderQuestion, Word::Hit) => Some(Evidence::Confirmed { since: began, copies: Some(copies) }),
+        (Owed::ProbeQuestion | Owed::OrderQuestion, Word::Shed) => Some(Evidence::QuestionRejected),
+        (Owed::ProbeQuestion | Owed::OrderQuestion, _) => Some(Evidence::Inconclusive),
         _ => None,
     }
 }
--- a/crates/badgerwind-platform/tests/boards.rs
+++ b/crates/badgerwind-platform/tests/boards.rs
@@ -1,7 +1,7 @@
 //! The notice board's frames, the configuration and a request's fields.
 
 use badgerwind::interface::{Availability, ListKind};
-use badgerwind_freshness::source::Heard;
+use badgerwind_freshness::source::Received;
 use badgerwind_instance::Names;
 use badgerwind_platform::board::{BadFrame, Follower, News};
 use badgerwind_platform::config::{self, Limits, Places};
@@ -75,14 +75,14 @@
         feed(&mut f, bytes).unwrap();
         f.heard()
     };
-    assert_eq!(heard(b""), Heard::Nothing);
-    assert_eq!(heard(&frame(4, 0, b"")), Heard::UpToDate);
-    assert_eq!(heard(b""), Heard::Nothing, "once");
-    assert_eq!(heard(&frame(5, 2, &record(1, 0))), Heard::Events);
-    assert_eq!(heard(&frame(4, 0, b"")), Heard::Nothing, "it knows less than was told before");
-    assert_eq!(heard(&[frame(6, 2, &record(1, 0)), frame(6, 0, b"")].concat()), Heard::UpToDate);
+    assert_eq!(heard(b""), Received::Nothing);
+    assert_eq!(heard(&frame(4, 0, b"")), Received::UpToDate);
+    assert_eq!(heard(b""), Received::Nothing, "once");
+    assert_eq!(heard(&frame(5, 2, &record(1, 0))), Received::Events);
+    assert_eq!(heard(&frame(4, 0, b"")), Received::Nothing, "it knows less than was told before");
+    assert_eq!(heard(&[frame(6, 2, &record(1, 0)), frame(6, 0, b"")].concat()), Received::UpToDate);
     let half = &frame(6, 0, b"")[..7];
-    assert_eq!(heard(half), Heard::Nothing);
+    assert_eq!(heard(half), Received::Nothing);
     assert!(f.partial());
 }
 
@@ -92,10 +92,10 @@
     assert!(feed(&mut f, &frame(7, 0, b"")).is_err());
     f.ask();
     feed(&mut f, &[frame(1, 1, &record(1, 0)), frame(1, 0, b"")].concat()).unwrap();
-    assert_ne!(f.heard(), Heard::UpToDate);
+    assert_ne!(f.heard(), Received::UpToDate);
     let rest: Vec<u8> = (2..=7).flat_map(|n| frame(n, 2, &record(2, 0))).chain(frame(7, 0, b"")).collect();
     feed(&mut f, &rest).unwrap();
-    assert_eq!(f.heard(), Heard::UpToDate);
+    assert_eq!(f.heard(), Received::UpToDate);
 }
 
 #[test]
--- a/crates/badgerwind-platform/tests/links.rs
+++ b/crates/badgerwind-platform/tests/links.rs
@@ -259,15 +259,15 @@
     let probe = || Task::ProbeQuestion { number: 1 };
     let asks = || Task::OrderQuestion { number: 1, key: "f".into() };
     let order = || Task::Order { order: OrderId(3), key: "f".into(), copies: 2 };
-    let confirms = |copies| vec![Evidence::Confirms { since: 5, copies }];
+    let confirms = |copies| vec![Evidence::Confirmed { since: 5, copies }];
     assert_eq!(answer(attempt("a"), "HIT", "a"), [Evidence::Served]);
-    assert_eq!(answer(attempt("a"), "SHED", "a"), [Evidence::TurnsAway]);
+    assert_eq!(answer(attempt("a"), "SHED", "a"), [Evidence::WorkRejected]);
     assert_eq!(answer(probe(), "PONG", "ask-1"), confirms(None));
-    assert_eq!(answer(probe(), "SICK", "ask-1"), [Evidence::Denies]);
-    assert_eq!(answer(probe(), "SHED", "ask-1"), [Evidence::RefusesQuestion], "a full table's word");
+    assert_eq!(answer(probe(), "SICK", "ask-1"), [Evidence::Denied]);
+    assert_eq!(answer(probe(), "SHED", "ask-1"), [Evidence::QuestionRejected], "a full table's word");
     assert_eq!(answer(asks(), "HIT", "ask-1"), confirms(Some(2)));
-    assert_eq!(answer(asks(), "SHED", "ask-1"), [Evidence::RefusesQuestion]);
-    assert_eq!(answer(asks(), "FAULT", "ask-1"), [Evidence::Unclear]);
+    assert_eq!(answer(asks(), "SHED", "ask-1"), [Evidence::QuestionRejected]);
+    assert_eq!(answer(asks(), "FAULT", "ask-1"), [Evidence::Inconclusive]);
     assert_eq!(answer(order(), "HIT", "load-3"), [], "one that drains may take it");
     assert_eq!(answer(order(), "SHED", "load-3"), [], "for want of room, it may be");
     for word in ["NONE", "FAULT", "LATE"] {
--- a/crates/badgerwind-scale/src/rows/outages.rs
+++ b/crates/badgerwind-scale/src/rows/outages.rs
@@ -7,7 +7,7 @@
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use badgerwind::interface::{FunctionId, Span, Time, WorkerId};
-use badgerwind_freshness::{Evidence, Freshness, Permit, Terms};
+use badgerwind_freshness::{Evidence, Freshness, FreshnessSettings, Permit};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -116,16 +116,16 @@
 impl HollowOutage {
     /// A front end that has never heard of discovery.
     fn new(workers: u32, seed: u64) -> Self {
-        let terms = Terms {
+        let terms = FreshnessSettings {
             drain_grace: GRACE,
-            answer_within: SECOND / 4,
+            answer_timeout: SECOND / 4,
             may_probe: true,
             may_order: true,
             front_ends: 1,
-            chance: 0.0,
+            jitter: 0.0,
         };
         let mut freshness = Freshness::new(0, terms);
-        (0..workers).for_each(|worker| freshness.listed(worker, false));
+        (0..workers).for_each(|worker| freshness.on_listed(worker, false));
         HollowOutage {
             freshness,
             workers,
@@ -144,7 +144,7 @@
             match self.freshness.permit(now, worker) {
                 Permit::Granted => self.answers.push(Reverse((now + CALL_TIME, worker, now, false))),
                 Permit::Ask => {
-                    self.freshness.asked(now, worker, self.function.clone());
+                    self.freshness.on_questions_queued(now, worker, self.function.clone());
                     self.answers.push(Reverse((now + QUESTION_TIME, worker, now, true)));
                 }
                 Permit::Wait | Permit::Denied(_) => {}
@@ -159,10 +159,10 @@
         {
             self.answers.pop();
             if !question {
-                self.freshness.evidence(at, worker, Evidence::Served, true);
+                self.freshness.on_evidence(at, worker, Evidence::Served, true);
             } else {
                 for copies in [Some(1), None] {
-                    self.freshness.evidence(at, worker, Evidence::Confirms { since, copies }, true);
+                    self.freshness.on_evidence(at, worker, Evidence::Confirmed { since, copies }, true);
                 }
                 self.answers.push(Reverse((at + CALL_TIME, worker, at, false)));
             }
