--- a/crates/badgerwind-cli/tests/platform/endings.rs
+++ b/crates/badgerwind-cli/tests/platform/endings.rs
@@ -189,7 +189,7 @@
 fn base64(bytes: &[u8]) -> String {
     use badgerwind_platform::line;
     let mut out = Vec::new();
-    line::call(&mut out, &line::Call { id: "", kind: "", obj: "", ms: 1, body: bytes });
+    line::call(&mut out, &line::Call { id: "", class: "", function: "", wait_ms: 1, body: bytes });
     let line: serde_json::Value = serde_json::from_slice(&out).unwrap();
     line["data"].as_str().unwrap().to_owned()
 }
--- a/crates/badgerwind-gateway/src/platform/connection.rs
+++ b/crates/badgerwind-gateway/src/platform/connection.rs
@@ -8,7 +8,7 @@
 use badgerwind_freshness::Permit;
 use badgerwind_platform::line;
 use badgerwind_platform::link::{order_tag, probe_tag, question_tag, End, Link, Start, Task};
-use badgerwind_platform::reach::Reach;
+use badgerwind_platform::reach::Reachability;
 use futures_lite::FutureExt;
 use smol::{Async, Timer};
 use std::cell::{Cell, RefCell};
@@ -103,7 +103,7 @@
 
     /// How much is on it.
     pub(super) fn busy(&self) -> usize {
-        self.link.borrow().busy()
+        self.link.borrow().task_count()
     }
 
     /// Whether it is the first time since its last write that something is put on it.
@@ -119,7 +119,7 @@
     /// Has its task wait until the rest of its lines can go out.
     pub(super) fn wake_for_the_rest(&self) {
         let wire = self.wire.borrow();
-        if let Some(wire) = wire.as_ref().filter(|_| !self.link.borrow().out().is_empty()) {
+        if let Some(wire) = wire.as_ref().filter(|_| !self.link.borrow().output().is_empty()) {
             wire.wake();
         }
     }
@@ -144,16 +144,16 @@
 
     /// Whether new work waits on it.
     pub(super) fn has_new_work(&self) -> bool {
-        self.link.borrow().waiting().any(|task| task.new_work(Out::key).is_some())
+        self.link.borrow().queued().any(|task| task.new_work(Out::key).is_some())
     }
 
     /// The function of the first new work that waits on it.
     pub(super) fn first_new_work(&self) -> Option<FunctionId> {
-        self.link.borrow().waiting().find_map(|task| task.new_work(Out::key)).map(FunctionId::from)
+        self.link.borrow().queued().find_map(|task| task.new_work(Out::key)).map(FunctionId::from)
     }
 
     pub(super) fn idle(&self) -> bool {
-        self.link.borrow().busy() == 0 && self.wire.borrow().is_some()
+        self.link.borrow().task_count() == 0 && self.wire.borrow().is_some()
     }
 
     /// Whether it takes something new.
@@ -162,7 +162,7 @@
             Task::Attempt { id, .. } => id,
             _ => "",
         };
-        !self.closing.get() && self.over.get().is_none() && self.link.borrow().takes(id)
+        !self.closing.get() && self.over.get().is_none() && self.link.borrow().accepts(id)
     }
 
     pub(super) fn close(&self) {
@@ -195,17 +195,17 @@
         let barred = leaving.is_some_and(|at| now + MARGIN > at + self.set.drain_grace);
         let permit = if barred { Permit::Denied(Outcome::ConnectFailed) } else { self.permit(c, now) };
         let mut link = c.link.borrow_mut();
-        link.begin(now, |task, out| self.start(now, permit, task, out), &mut ends);
-        let failed = match wire.write(link.out()) {
+        link.start_queued(now, |task, out| self.start(now, permit, task, out), &mut ends);
+        let failed = match wire.write(link.output()) {
             Ok(n) => {
-                let owed = link.owed();
-                link.sent(n, &mut ends);
-                link.put_back(|task| task.new_work(Out::key).is_some());
-                if link.owed() > owed {
-                    self.executors.reach(c.worker, |r| r.asked(now));
+                let owed = link.awaiting_count();
+                link.on_written(n, &mut ends);
+                link.requeue_unwritten(|task| task.new_work(Out::key).is_some());
+                if link.awaiting_count() > owed {
+                    self.executors.reach(c.worker, |r| r.on_sent(now));
                 }
                 // A call-off that cannot go out: only the end of the connection gives its attempt up now.
-                link.kills()
+                link.has_unsent_cancellation()
             }
             Err(_) => true,
         };
@@ -225,12 +225,12 @@
         if task.new_work(Out::key).is_some() {
             match permit {
                 Permit::Granted => self.freshness.borrow_mut().on_work_sent(now),
-                Permit::Ask | Permit::Wait => return Start::Held,
+                Permit::Ask | Permit::Wait => return Start::Deferred,
                 Permit::Denied(_) => return Start::Dropped,
             }
         }
         if self.line(now, task, out) {
-            Start::Begun
+            Start::Started
         } else {
             Start::Dropped
         }
@@ -246,7 +246,7 @@
                 }
                 let kind = self.names.classes.get(content.class).map_or("", String::as_str);
                 let (id, obj, body) = (&*content.id, &*content.key, &*content.body);
-                line::call(out, &line::Call { id, kind, obj, ms, body });
+                line::call(out, &line::Call { id, class: kind, function: obj, wait_ms: ms, body });
             }
             Task::Order { order, key, copies } => {
                 line::load(out, &order_tag(*order), key, *copies);
@@ -298,7 +298,7 @@
     pub(super) fn broken(self: &Rc<Self>, c: &Rc<Connection>, spoilt: bool) {
         let was_up = c.wire.borrow().is_some();
         let mut ends = Vec::new();
-        c.link.borrow_mut().broken(spoilt, &mut ends);
+        c.link.borrow_mut().close(spoilt, &mut ends);
         c.close();
         if was_up && ends.iter().any(|e| matches!(e, End::Attempt(_, _, end) if matches!(end.outcome, Outcome::Reset | Outcome::Error))) {
             self.executors.broke();
@@ -331,7 +331,7 @@
             (Door::Inside, _) | (_, true) => {}
             _ => {
                 c.door.set(Door::Inside);
-                self.executors.reach(c.worker, Reach::taken_in);
+                self.executors.reach(c.worker, Reachability::on_accepted);
             }
         }
     }
@@ -346,7 +346,7 @@
                 worker = c.worker,
                 "a new connection was turned away: the executor's table is full"
             );
-            self.executors.reach(c.worker, |r| r.turned_away(now, fastrand::f64()));
+            self.executors.reach(c.worker, |r| r.on_rejected(now, fastrand::f64()));
         }
         self.broken(&c, c.over.get() == Some(Over::Spoilt));
         let was_up = c.is_up();
@@ -378,19 +378,19 @@
             return;
         }
         *c.wire.borrow_mut() = Some(Rc::new(Wire::new(stream)));
-        self.executors.reach(c.worker, |r| _ = r.heard());
+        self.executors.reach(c.worker, |r| _ = r.on_received());
         self.came_up(self.clock.now(), c);
         self.push_out(c);
         while !c.closing.get() && c.over.get().is_none() {
             let Some(wire) = c.wire.borrow().clone() else { return };
-            wire.ready(true, || !c.link.borrow().out().is_empty()).await;
+            wire.ready(true, || !c.link.borrow().output().is_empty()).await;
             if c.closing.get() || !self.stands(c) {
                 return;
             }
-            if !c.link.borrow().out().is_empty() {
+            if !c.link.borrow().output().is_empty() {
                 self.push_out(c);
             }
-            if c.link.borrow().spent() && c.idle() {
+            if c.link.borrow().is_retired() && c.idle() {
                 return;
             }
         }
@@ -415,7 +415,7 @@
             };
             let now = self.clock.now();
             self.executors.word(now, c.worker);
-            let fed = c.link.borrow_mut().feed(now, &scratch[..n], &mut ends);
+            let fed = c.link.borrow_mut().on_bytes(now, &scratch[..n], &mut ends);
             drop(scratch);
             self.take_evidence(c, now, c.door.get() != Door::Unseen);
             for end in ends.drain(..) {
--- a/crates/badgerwind-gateway/src/platform/executors.rs
+++ b/crates/badgerwind-gateway/src/platform/executors.rs
@@ -5,8 +5,8 @@
 use badgerwind::interface::*;
 use badgerwind_driver::{CancelReason, OrderId};
 use badgerwind_platform::discovery::{ListUpdate, ListedExecutor};
-use badgerwind_platform::link::{Off, Task};
-use badgerwind_platform::reach::{Patience, Reach, Sharing};
+use badgerwind_platform::link::{CancelResult, Task};
+use badgerwind_platform::reach::{Reachability, Sharing, SilenceTolerance};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
     /// Since when nothing new may go there, and whether it is gone.
     leaving: Option<Time>,
     gone: bool,
-    reach: Reach,
+    reach: Reachability,
     links: Vec<Rc<Connection>>,
 }
 
 pub(super) struct Executors {
     all: RefCell<HashMap<WorkerId, Executor>>,
     /// How long executors take to say a word.
-    patience: RefCell<Patience>,
+    patience: RefCell<SilenceTolerance>,
     /// Whether calls share connections.
     sharing: RefCell<Sharing>,
     /// First pause after a connection was turned away.
@@ -44,7 +44,7 @@
         let patience = 2 * connect_timeout;
         Executors {
             all: RefCell::default(),
-            patience: RefCell::new(Patience::new(patience)),
+            patience: RefCell::new(SilenceTolerance::new(patience)),
             sharing: RefCell::default(),
             pause: patience,
             open: Cell::default(),
@@ -69,13 +69,13 @@
                 address: *address,
                 leaving: None,
                 gone: false,
-                reach: Reach::new(pause),
+                reach: Reachability::new(pause),
                 links: Vec::new(),
             });
             if e.address != *address {
                 // Another machine: nothing new goes over what leads to the old one.
                 e.links.iter().for_each(|c| c.retire());
-                (e.address, e.reach) = (*address, Reach::new(pause));
+                (e.address, e.reach) = (*address, Reachability::new(pause));
             }
             e.entry = entry.clone();
             e.gone = entry.availability == Availability::Gone;
@@ -169,7 +169,7 @@
     }
 
     /// Puts something on one of an executor's connections, with others while connections hold ([`Sharing`]). Where nothing was
-    /// heard of the executor since something was handed over ([`Reach`]), a new connection shows first that it is there: on an
+    /// heard of the executor since something was handed over ([`Reachability`]), a new connection shows first that it is there: on an
     /// old one silence would prove nothing.
     pub(super) fn put(&self, shell: &Rc<Shell>, now: Time, worker: WorkerId, task: Task<Out>, anew: bool) {
         if self.is_gone(worker) {
@@ -177,7 +177,7 @@
         }
         // What must not run twice is lost with its connection; the others are tried again.
         let once = matches!(&task, Task::Attempt { content, .. } if shell.once(content.content()));
-        let together = self.sharing.borrow().together(once);
+        let together = self.sharing.borrow().max_calls(once);
         let standing = loop {
             let standing = self.standing(now, worker, &task, (anew, together));
             // It may have ended, and only not been read to its end: what went out on it would count as sent.
@@ -197,7 +197,7 @@
                 let outcome = match self.all.borrow().get(&worker) {
                     None => Outcome::ConnectFailed,
                     // Nothing leads there and its table is full: it turns away unseen.
-                    Some(e) if !anew && !e.reach.opens(now) => Outcome::Full,
+                    Some(e) if !anew && !e.reach.may_connect(now) => Outcome::Full,
                     // No descriptor is left here: that tells nothing of the executor.
                     Some(_) => Outcome::Moot,
                 };
@@ -222,11 +222,11 @@
     ) -> Option<Rc<Connection>> {
         let all = self.all.borrow();
         let e = all.get(&worker)?;
-        if anew || !e.reach.trusted(now, self.patience.borrow().span()) {
+        if anew || !e.reach.is_trusted(now, self.patience.borrow().get()) {
             return None;
         }
         let pick = e.links.iter().filter(|c| c.takes(task));
-        let own = pick.clone().filter(|c| c.idle()).max_by_key(|c| c.link.borrow().used);
+        let own = pick.clone().filter(|c| c.idle()).max_by_key(|c| c.link.borrow().last_used);
         let shares = |c: &&Rc<Connection>| c.is_up() && c.shared() && c.busy() < together;
         let shared = || pick.filter(shares).min_by_key(|c| c.busy());
         own.or_else(|| shared().filter(|_| together > 1)).cloned()
@@ -241,11 +241,11 @@
         task: &Task<Out>,
         anew: bool,
     ) -> Option<Rc<Connection>> {
-        let opens = self.all.borrow().get(&worker)?.reach.opens(now) || anew;
+        let opens = self.all.borrow().get(&worker)?.reach.may_connect(now) || anew;
         let room = opens && (self.open.get() < shell.shares.executor_connections || self.evict(worker));
         let mut all = self.all.borrow_mut();
         let e = all.get_mut(&worker)?;
-        let trusted = !anew && e.reach.trusted(now, self.patience.borrow().span());
+        let trusted = !anew && e.reach.is_trusted(now, self.patience.borrow().get());
         let shared = e.links.iter().filter(|c| c.takes(task) && c.busy() < shell.transport.streams);
         // One that is coming up proves as much as another would.
         let proof = shared.clone().find(|c| !c.is_up()).filter(|_| !trusted);
@@ -274,7 +274,7 @@
         let all = self.all.borrow();
         let links = all.iter().filter(|(id, _)| **id != but).flat_map(|(_, e)| &e.links);
         let idle = links.filter(|c| c.idle() && !c.closes());
-        let oldest = idle.min_by_key(|c| c.link.borrow().used);
+        let oldest = idle.min_by_key(|c| c.link.borrow().last_used);
         if let Some(c) = oldest {
             c.close();
         }
@@ -282,7 +282,7 @@
     }
 
     /// What is learned of the way to an executor.
-    pub(super) fn reach(&self, worker: WorkerId, learn: impl FnOnce(&mut Reach)) {
+    pub(super) fn reach(&self, worker: WorkerId, learn: impl FnOnce(&mut Reachability)) {
         if let Some(e) = self.all.borrow_mut().get_mut(&worker) {
             learn(&mut e.reach);
         }
@@ -291,8 +291,8 @@
     /// Bytes came from an executor: how long it took teaches what silence is worth.
     pub(super) fn word(&self, now: Time, worker: WorkerId) {
         self.reach(worker, |r| {
-            if let Some(at) = r.heard() {
-                self.patience.borrow_mut().word(now.saturating_sub(at));
+            if let Some(at) = r.on_received() {
+                self.patience.borrow_mut().observe(now.saturating_sub(at));
             }
         });
     }
@@ -319,12 +319,12 @@
 
     /// A call was answered.
     pub(super) fn answered(&self) {
-        self.sharing.borrow_mut().answered();
+        self.sharing.borrow_mut().on_answer();
     }
 
     /// A connection broke under calls.
     pub(super) fn broke(&self) {
-        self.sharing.borrow_mut().broke();
+        self.sharing.borrow_mut().on_break();
     }
 
     /// A connection has ended, and nothing is on it any more.
@@ -350,11 +350,11 @@
         let links = self.all.borrow().get(&worker).map(|e| e.links.clone()).unwrap_or_default();
         let mut ends = Vec::new();
         for c in links {
-            let off = c.link.borrow_mut().off(id, attempt, why, &mut ends);
+            let off = c.link.borrow_mut().cancel(id, attempt, why, &mut ends);
             match off {
-                Off::Unknown => continue,
-                Off::Done => self.mark(c),
-                Off::Cut => shell.broken(&c, false),
+                CancelResult::Unknown => continue,
+                CancelResult::Cancelled => self.mark(c),
+                CancelResult::PartlySent => shell.broken(&c, false),
             }
             break;
         }
@@ -391,11 +391,11 @@
         let mut begun = Vec::new();
         for e in all.values() {
             for c in &e.links {
-                let rests = now > c.link.borrow().used + long && !(stale && e.links.len() == 1);
-                if c.idle() && (rests || c.link.borrow().spent()) {
+                let rests = now > c.link.borrow().last_used + long && !(stale && e.links.len() == 1);
+                if c.idle() && (rests || c.link.borrow().is_retired()) {
                     c.close();
                 }
-                begun.push((c.link.borrow().held(), c));
+                begun.push((c.link.borrow().buffered_bytes(), c));
             }
         }
         // Beyond their share the longest lines go: what was sent of them so far shows no end.
--- a/crates/badgerwind-gateway/src/platform/freshness.rs
+++ b/crates/badgerwind-gateway/src/platform/freshness.rs
@@ -109,7 +109,7 @@
 
     /// Takes in what the answers over a connection prove. `proven`: something was taken in over it before them.
     pub(super) fn take_evidence(self: &Rc<Self>, connection: &Connection, now: Time, proven: bool) {
-        let evidence = connection.link.borrow_mut().evidence();
+        let evidence = connection.link.borrow_mut().take_evidence();
         if evidence.is_empty() {
             return;
         }
@@ -174,9 +174,9 @@
             let mut ends = Vec::new();
             let drop_new_work = |task: &Task<Out>| match task.new_work(Out::key) {
                 Some(_) => Start::Dropped,
-                None => Start::Held,
+                None => Start::Deferred,
             };
-            connection.link.borrow_mut().begin(now, |task, _| drop_new_work(task), &mut ends);
+            connection.link.borrow_mut().start_queued(now, |task, _| drop_new_work(task), &mut ends);
             ends.into_iter().for_each(|end| self.end(worker, end, outcome));
         }
     }
--- a/crates/badgerwind-platform/src/lib.rs
+++ b/crates/badgerwind-platform/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! - Clients: FastCGI records ([`fcgi`]), the state of a client's connection ([`client`]) and the parameters
 //!   of a request ([`fields`]).
-//! - Executors: the lines exchanged with them ([`line`]), the state of a connection ([`link`]) and when to
-//!   trust or open connections ([`reach`]).
+//! - Executors: the lines exchanged with them ([`mod@line`]), the state of a connection ([`link`]) and when
+//!   to trust or open connections ([`reach`]).
 //! - Service discovery ([`discovery`]), the configuration ([`config`]) and how its limits are divided
 //!   ([`shares`]).
 
--- a/crates/badgerwind-platform/src/line.rs
+++ b/crates/badgerwind-platform/src/line.rs
@@ -1,4 +1,4 @@
-//! Lines between a front end and an executor.
+//! The lines of JSON that a front end and an executor exchange.
 
 use badgerwind::interface::{CopyMark, Outcome};
 use base64::{engine::general_purpose::STANDARD, Engine};
@@ -6,43 +6,44 @@
 use std::borrow::Cow;
 use std::io::Write;
 
-/// The longest line that an executor may send.
-pub const MOST: usize = 256 * 1024;
+/// Maximum length of a line from an executor, in bytes.
+pub const MAX_LINE_BYTES: usize = 256 * 1024;
 
-/// A request to an executor.
+/// A call to an executor.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
     /// The request's id.
     pub id: &'a str,
     /// The class.
-    pub kind: &'a str,
+    pub class: &'a str,
     /// The function.
-    pub obj: &'a str,
-    /// How long the front end will wait, in milliseconds.
-    pub ms: u64,
+    pub function: &'a str,
+    /// How long the front end waits for the answer, in milliseconds.
+    pub wait_ms: u64,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// Appends a request. Id and key are checked digits and the class is the settings' own, but it is quoted all the same.
-pub fn call(out: &mut Vec<u8>, c: &Call) {
+/// Appends a call. All texts are quoted, although id and function are validated digits and the class comes
+/// from the settings.
+pub fn call(out: &mut Vec<u8>, call: &Call) {
     out.extend_from_slice(b"{\"type\":\"FN\",\"req\":");
-    text(out, c.id);
+    text(out, call.id);
     out.extend_from_slice(b",\"meta\":{\"kind\":");
-    text(out, c.kind);
+    text(out, call.class);
     out.extend_from_slice(b",\"obj\":");
-    text(out, c.obj);
-    number(out, ",\"ms\":", c.ms);
+    text(out, call.function);
+    number(out, ",\"ms\":", call.wait_ms);
     out.extend_from_slice(b"},\"data\":\"");
-    let from = out.len();
-    out.resize(from + c.body.len().div_ceil(3) * 4, 0);
-    let written = STANDARD.encode_slice(c.body, &mut out[from..]).unwrap_or(0);
-    out.truncate(from + written);
+    let start = out.len();
+    out.resize(start + call.body.len().div_ceil(3) * 4, 0);
+    let written = STANDARD.encode_slice(call.body, &mut out[start..]).unwrap_or(0);
+    out.truncate(start + written);
     out.extend_from_slice(b"\"}\n");
 }
 
 fn text(out: &mut Vec<u8>, text: &str) {
-    // Writing a string into memory cannot fail.
+    // Serializing a string into a vector cannot fail.
     let _ = serde_json::to_writer(&mut *out, text);
 }
 
@@ -50,28 +51,29 @@
     let _ = write!(out, "{name}{value}");
 }
 
-fn plain(out: &mut Vec<u8>, word: &str, req: &str) {
-    let _ = write!(out, "{{\"type\":\"{word}\",\"req\":");
+/// Appends a line that consists of a type and an id or tag.
+fn simple(out: &mut Vec<u8>, kind: &str, req: &str) {
+    let _ = write!(out, "{{\"type\":\"{kind}\",\"req\":");
     text(out, req);
     out.extend_from_slice(b"}\n");
 }
 
-/// Appends the giving up of a request.
+/// Appends the cancellation of a call.
 pub fn kill(out: &mut Vec<u8>, id: &str) {
-    plain(out, "KILL", id);
+    simple(out, "KILL", id);
 }
 
 /// Appends a probe.
 pub fn probe(out: &mut Vec<u8>, tag: &str) {
-    plain(out, "HELO", tag);
+    simple(out, "HELO", tag);
 }
 
-/// Appends an order to unload.
+/// Appends an order to unload a function.
 pub fn unload(out: &mut Vec<u8>, key: &str) {
-    plain(out, "REAP", key);
+    simple(out, "REAP", key);
 }
 
-/// Appends an order to load.
+/// Appends an order to load copies of a function, or a question how many are loaded (0 copies).
 pub fn load(out: &mut Vec<u8>, tag: &str, key: &str, copies: u32) {
     out.extend_from_slice(b"{\"type\":\"SPAWN\",\"req\":");
     text(out, tag);
@@ -81,48 +83,48 @@
     out.extend_from_slice(b"}}\n");
 }
 
-/// A word that an executor answers with.
+/// The type of an executor's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub enum Word {
-    /// Ok.
+pub enum AnswerKind {
+    /// Success.
     #[serde(rename = "HIT")]
     Hit,
-    /// It never ran: not loaded.
+    /// The call never ran: the function is not loaded.
     #[serde(rename = "NONE")]
     None,
-    /// It never ran: full.
+    /// The call never ran: the executor is full.
     #[serde(rename = "SHED")]
     Shed,
-    /// It may have run.
+    /// The call failed and may have run.
     #[serde(rename = "FAULT")]
     Fault,
-    /// It never ran: over already.
+    /// The call never ran: its time was already up.
     #[serde(rename = "LATE")]
     Late,
-    /// Healthy.
+    /// Positive answer to a probe.
     #[serde(rename = "PONG")]
     Pong,
-    /// Not healthy.
+    /// Negative answer to a probe.
     #[serde(rename = "SICK")]
     Sick,
 }
 
-/// Fields may be strings or numbers.
+/// A number that executors send as a JSON number or as a string.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Loose<'a> {
+enum NumberOrText<'a> {
     Number(f64),
     #[serde(borrow)]
     Text(Cow<'a, str>),
 }
 
-impl Loose<'_> {
+impl NumberOrText<'_> {
     fn number(&self) -> Option<f64> {
-        let n = match self {
-            Loose::Number(n) => *n,
-            Loose::Text(t) => t.trim().parse().ok()?,
+        let number = match self {
+            NumberOrText::Number(n) => *n,
+            NumberOrText::Text(t) => t.trim().parse().ok()?,
         };
-        (n.is_finite() && n >= 0.0).then_some(n)
+        (number.is_finite() && number >= 0.0).then_some(number)
     }
 }
 
@@ -131,15 +133,15 @@
     #[serde(borrow, default)]
     res: Option<Cow<'a, str>>,
     #[serde(borrow, default)]
-    company: Option<Loose<'a>>,
+    company: Option<NumberOrText<'a>>,
     #[serde(borrow, default)]
-    slots_up: Option<Loose<'a>>,
+    slots_up: Option<NumberOrText<'a>>,
 }
 
 #[derive(Deserialize)]
 struct Raw<'a> {
     #[serde(rename = "type")]
-    word: Word,
+    kind: AnswerKind,
     #[serde(borrow)]
     req: Cow<'a, str>,
     #[serde(borrow, default)]
@@ -150,25 +152,25 @@
 
 /// An executor's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Said {
-    /// Its word.
-    pub word: Word,
-    /// The id or tag that it answers.
+pub struct Answer {
+    /// Its type.
+    pub kind: AnswerKind,
+    /// The id or tag of what it answers.
     pub req: String,
-    /// What is said of the copy.
+    /// What it says about the copy.
     pub mark: CopyMark,
-    /// Requests for the function that were held there; none where not told.
+    /// Number of requests for the function that the executor had; 0 if not reported.
     pub crowd: u32,
-    /// Copies that stand loaded, where told.
+    /// Number of copies loaded; 0 if not reported.
     pub copies: u32,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// A line that cannot be read.
+/// Why a line cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum BadLine {
-    /// It is no answer.
+    /// It is not an answer.
     #[error("not an answer: {0}")]
     Json(#[from] serde_json::Error),
     /// Its body is not base64.
@@ -176,8 +178,8 @@
     Body,
 }
 
-/// Reads a line without its line feed.
-pub fn read(line: &[u8]) -> Result<Said, BadLine> {
+/// Parses a line, which must not include its line feed.
+pub fn read(line: &[u8]) -> Result<Answer, BadLine> {
     let raw: Raw = serde_json::from_slice(line)?;
     let meta = raw.meta.unwrap_or_default();
     let mark = match meta.res.as_deref() {
@@ -187,41 +189,41 @@
         Some("f") => CopyMark::LoadFailed,
         _ => CopyMark::Untold,
     };
-    let figure = |x: Option<Loose>| x.and_then(|x| x.number()).unwrap_or(0.0) as u32;
+    let count = |x: Option<NumberOrText>| x.and_then(|x| x.number()).unwrap_or(0.0) as u32;
     let body = STANDARD.decode(raw.data.as_deref().unwrap_or("")).map_err(|_| BadLine::Body)?;
-    let (word, req) = (raw.word, raw.req.into_owned());
-    Ok(Said { word, req, mark, crowd: figure(meta.company), copies: figure(meta.slots_up), body })
+    let (kind, req) = (raw.kind, raw.req.into_owned());
+    Ok(Answer { kind, req, mark, crowd: count(meta.company), copies: count(meta.slots_up), body })
 }
 
-impl Word {
-    /// How an attempt ended that got this word; `None` for a word that answers no attempt.
-    pub fn attempt(self) -> Option<Outcome> {
+impl AnswerKind {
+    /// The outcome of an attempt with this answer; `None` if it does not answer attempts.
+    pub fn attempt_outcome(self) -> Option<Outcome> {
         Some(match self {
-            Word::Hit => Outcome::Ok,
-            Word::None => Outcome::Miss,
-            Word::Shed => Outcome::Full,
-            Word::Fault => Outcome::Error,
-            // It never ran; the module reads a moot one so.
-            Word::Late => Outcome::Moot,
-            Word::Pong | Word::Sick => return None,
+            AnswerKind::Hit => Outcome::Ok,
+            AnswerKind::None => Outcome::Miss,
+            AnswerKind::Shed => Outcome::Full,
+            AnswerKind::Fault => Outcome::Error,
+            // The call never ran, which is what the module concludes from `Moot`.
+            AnswerKind::Late => Outcome::Moot,
+            AnswerKind::Pong | AnswerKind::Sick => return None,
         })
     }
 
-    /// How an order to load ended.
-    pub fn order(self) -> Option<Outcome> {
+    /// The outcome of a load order with this answer; `None` if it does not answer orders.
+    pub fn order_outcome(self) -> Option<Outcome> {
         Some(match self {
-            Word::Hit => Outcome::Ok,
-            Word::Shed => Outcome::Full,
-            Word::Fault => Outcome::Error,
+            AnswerKind::Hit => Outcome::Ok,
+            AnswerKind::Shed => Outcome::Full,
+            AnswerKind::Fault => Outcome::Error,
             _ => return None,
         })
     }
 
-    /// How a probe ended.
-    pub fn probe(self) -> Option<Outcome> {
+    /// The outcome of a probe with this answer; `None` if it does not answer probes.
+    pub fn probe_outcome(self) -> Option<Outcome> {
         Some(match self {
-            Word::Pong => Outcome::Ok,
-            Word::Sick => Outcome::Error,
+            AnswerKind::Pong => Outcome::Ok,
+            AnswerKind::Sick => Outcome::Error,
             _ => return None,
         })
     }
--- a/crates/badgerwind-platform/src/link.rs
+++ b/crates/badgerwind-platform/src/link.rs
@@ -1,19 +1,22 @@
-//! One connection to an executor: what waits, what has begun to go out, what is out whole. From this alone follows how
-//! an attempt ended: one whose last byte was never handed over has never run, any other may have. No I/O, no clock.
+//! The state of one connection to an executor: which tasks are queued, partly written or completely written.
+//! From this follows how an attempt ended if the connection breaks: if its last byte was never written to the
+//! socket, it has never run; otherwise it may have. No I/O and no clock.
 
-use crate::line::{self, Said, Word};
+use crate::line::{self, Answer, AnswerKind};
 use badgerwind::interface::{CopyMark, Outcome, RequestId, Time};
 use badgerwind_driver::{AttemptEnd, CancelReason, OrderId};
 use badgerwind_freshness::Evidence;
 use std::collections::VecDeque;
 
-/// Attempts given up whose answers may still come; beyond them a connection is used up.
-const GHOSTS: usize = 32;
-/// Attempts turned away of which a second answer may still come. None of their calls comes over this connection again while it
-/// is remembered: the second answer would be taken for that of the next attempt, while that one runs.
-const ANSWERED: usize = 64;
+/// Maximum number of cancelled attempts whose answers may still arrive. With more of them the connection is
+/// retired.
+const MAX_ABANDONED: usize = 32;
+/// Maximum number of failed attempts that are remembered. Their calls are not sent over this connection
+/// again, because a late duplicate of the first answer would be taken for the answer to the second attempt
+/// while that is still running.
+const MAX_FAILED: usize = 64;
 
-/// Something to be sent. `C` is the content of a call.
+/// Something to send. `C` is the content of a call.
 #[derive(Clone, Debug)]
 pub enum Task<C> {
     /// An attempt.
@@ -22,40 +25,40 @@
         id: RequestId,
         /// The attempt.
         attempt: u32,
-        /// What goes out.
+        /// What to send.
         content: C,
-        /// Its time is up then.
+        /// When the attempt times out.
         limit: Time,
     },
-    /// An order to load.
+    /// An order to load copies.
     Order {
-        /// Its name.
+        /// Its id.
         order: OrderId,
         /// The function.
         key: String,
-        /// Copies wanted.
+        /// Number of copies wanted.
         copies: u32,
     },
     /// A probe and its number.
     Probe(u64),
-    /// A probe that asks whether the executor takes work.
+    /// A probe that asks whether the executor accepts work.
     ProbeQuestion {
         /// Its number.
         number: u64,
     },
-    /// The same by an order for no copies, which only asks.
+    /// An order for zero copies, which asks whether the executor accepts work.
     OrderQuestion {
         /// Its number.
         number: u64,
-        /// The function, one that clients have called.
+        /// A function that clients have called.
         key: String,
     },
-    /// An order to unload; nothing answers it.
+    /// An order to unload a function, which is not answered.
     Unload(String),
 }
 
 impl<C> Task<C> {
-    /// The function that it is about, where it is new work, which an executor that drains is not to be sent.
+    /// The function, if the task is new work, which must not be sent to a draining executor.
     pub fn new_work(&self, key: impl Fn(&C) -> &str) -> Option<&str> {
         match self {
             Task::Attempt { content, .. } => Some(key(content)),
@@ -64,460 +67,492 @@
         }
     }
 
-    /// Whether it is this attempt.
-    fn is(&self, id: &RequestId, attempt: u32) -> bool {
+    fn is_attempt(&self, id: &RequestId, attempt: u32) -> bool {
         matches!(self, Task::Attempt { id: i, attempt: a, .. } if i == id && *a == attempt)
     }
 }
 
-/// What is owed an end.
+/// What an answer is awaited for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Owed {
+pub enum Awaited {
     /// An attempt.
     Attempt(RequestId, u32),
-    /// An order to load.
+    /// An order to load copies.
     Order(OrderId),
     /// A probe.
     Probe,
-    /// A probe that asks whether it takes work.
+    /// A probe that asks whether the executor accepts work.
     ProbeQuestion,
-    /// An order that asks so.
+    /// An order for zero copies that asks the same.
     OrderQuestion,
 }
 
-/// What becomes of a task in line.
+/// What happens to a queued task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Its line begins.
-    Begun,
-    /// It stays in line.
-    Held,
-    /// It must not go out any more.
+    /// Its line was appended to the output.
+    Started,
+    /// It stays in the queue.
+    Deferred,
+    /// It must not be sent any more.
     Dropped,
 }
 
-/// How something ended.
+/// How a task ended.
 #[derive(Debug)]
 pub enum End<C> {
-    /// An attempt, by an answer, a call-off or a break after its last byte.
+    /// An attempt, by an answer, a cancellation or a broken connection after its last byte was written.
     Attempt(RequestId, u32, AttemptEnd<Vec<u8>>),
-    /// An order, with the copies that stand.
+    /// An order, with its outcome and the number of copies loaded.
     Order(OrderId, Outcome, u32),
     /// A probe.
     Probe(Outcome),
-    /// A question; what an answer to it proves is told by [`Link::evidence`].
+    /// A question. [`Link::take_evidence`] returns what its answer proves.
     Question(Outcome),
-    /// It never went out whole, so it never ran: it may go another way.
+    /// The task was never completely written, so that it never ran and may be sent elsewhere.
     Unsent(Task<C>),
 }
 
 /// Why a connection cannot be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Spoilt {
-    /// A line that is no answer.
-    #[error("an answer that cannot be read")]
-    Line,
-    /// A line without end.
-    #[error("a line of more than {} bytes", line::MOST)]
-    Endless,
+pub enum LinkError {
+    /// A line that is not an answer.
+    #[error("an answer that cannot be parsed")]
+    BadLine,
+    /// A line that exceeds the maximum length.
+    #[error("a line of more than {} bytes", line::MAX_LINE_BYTES)]
+    LineTooLong,
 }
 
-/// What became of a call-off.
+/// The result of [`Link::cancel`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Off {
-    /// It is not here.
+pub enum CancelResult {
+    /// The attempt is not on this connection.
     Unknown,
-    /// It had not begun to go out, or is given up by a line that goes out next: its end comes.
-    Done,
-    /// Part of its line is out: only the end of the connection keeps the rest back.
-    Cut,
+    /// The attempt was not started, or a cancellation line for it was appended: its end is reported.
+    Cancelled,
+    /// Its line is partly written, so that only closing the connection prevents it from running.
+    PartlySent,
 }
 
 #[derive(Debug)]
-struct Open {
+struct AwaitedAnswer {
+    /// The id or tag in the answer.
     name: RequestId,
-    owed: Owed,
-    /// Its first byte went out then at the earliest.
-    began: Time,
+    awaited: Awaited,
+    /// The earliest time at which its first byte may have been written.
+    started_at: Time,
 }
 
-/// What a line of what goes out is.
+/// What a line of the output contains.
 #[derive(Debug)]
-enum Begun<C> {
+enum LineContent<C> {
     Task(Task<C>),
-    Kill(RequestId, u32, CancelReason),
+    Cancellation(RequestId, u32, CancelReason),
 }
 
-/// A line in `out`, from its first byte to behind its last.
+/// A line in the output: the range `from..to`.
 #[derive(Debug)]
-struct Line<C> {
+struct OutputLine<C> {
     from: usize,
     to: usize,
-    began: Time,
-    what: Begun<C>,
+    started_at: Time,
+    content: LineContent<C>,
 }
 
-/// A connection.
+/// The state of a connection to an executor.
 #[derive(Debug)]
 pub struct Link<C> {
+    /// Tasks whose lines are not yet in `output`.
     queue: VecDeque<Task<C>>,
-    out: Vec<u8>,
-    sent: usize,
-    /// Lines in `out`, in their order.
-    begun: VecDeque<Line<C>>,
-    open: Vec<Open>,
-    ghosts: VecDeque<RequestId>,
-    /// Calls whose attempts ended here by a word other than ok.
-    answered: VecDeque<RequestId>,
-    /// What the answers since the last look prove of the executor.
+    output: Vec<u8>,
+    /// Number of bytes of `output` that were written to the socket.
+    written: usize,
+    /// Lines in `output` that are not completely written, in order.
+    started: VecDeque<OutputLine<C>>,
+    /// Tasks that are completely written and not answered.
+    awaiting: Vec<AwaitedAnswer>,
+    /// Cancelled attempts whose answers may still arrive.
+    abandoned: VecDeque<RequestId>,
+    /// Calls whose attempts were answered here, but not successfully.
+    failed: VecDeque<RequestId>,
+    /// What the answers since the last call of [`Link::take_evidence`] prove.
     evidence: Vec<Evidence>,
-    /// Part of a line.
-    come: Vec<u8>,
-    /// It takes nothing new, and closes once nothing is on it.
-    spent: bool,
-    /// Last sign of life.
-    pub heard: Time,
-    /// When it last became idle or was given something.
-    pub used: Time,
+    /// The beginning of an incomplete line.
+    buffer: Vec<u8>,
+    /// The connection accepts no new tasks, and is to be closed once it has none left.
+    retired: bool,
+    /// When something was last received.
+    pub last_received: Time,
+    /// When the connection last became idle or got a task.
+    pub last_used: Time,
 }
 
 impl<C> Link<C> {
-    /// A connection that is up, or coming up.
+    /// Creates the state of a connection that is established, or being established.
     pub fn new(now: Time) -> Self {
         Link {
             queue: VecDeque::new(),
-            out: Vec::new(),
-            sent: 0,
-            begun: VecDeque::new(),
-            open: Vec::new(),
-            ghosts: VecDeque::new(),
-            answered: VecDeque::new(),
+            output: Vec::new(),
+            written: 0,
+            started: VecDeque::new(),
+            awaiting: Vec::new(),
+            abandoned: VecDeque::new(),
+            failed: VecDeque::new(),
             evidence: Vec::new(),
-            come: Vec::new(),
-            spent: false,
-            heard: now,
-            used: now,
+            buffer: Vec::new(),
+            retired: false,
+            last_received: now,
+            last_used: now,
         }
     }
 
-    /// What is on it.
-    pub fn busy(&self) -> usize {
-        self.queue.len() + self.begun.len() + self.open.len()
+    /// Number of tasks on the connection: queued, being written, or awaiting an answer.
+    pub fn task_count(&self) -> usize {
+        self.queue.len() + self.started.len() + self.awaiting.len()
     }
 
-    /// What is out whole and owed an answer.
-    pub fn owed(&self) -> usize {
-        self.open.len()
+    /// Number of tasks that are completely written and not answered.
+    pub fn awaiting_count(&self) -> usize {
+        self.awaiting.len()
     }
 
-    /// Whether it takes something new for this id: not where an answer to an earlier attempt may still come.
-    pub fn takes(&self, id: &str) -> bool {
-        let same = |o: &Open| &*o.name == id;
-        let passed = self.ghosts.iter().chain(&self.answered).any(|g| &**g == id);
-        !self.spent && !passed && !self.open.iter().any(same)
+    /// Whether the connection accepts a new task for this id. It does not if an answer to an earlier attempt
+    /// with the same id may still arrive.
+    pub fn accepts(&self, id: &str) -> bool {
+        let same = |awaiting: &AwaitedAnswer| &*awaiting.name == id;
+        let earlier = self.abandoned.iter().chain(&self.failed).any(|earlier| &**earlier == id);
+        !self.retired && !earlier && !self.awaiting.iter().any(same)
     }
 
-    /// Nothing new goes over it from now on: it leads where nothing is to go.
+    /// Accepts no new tasks from now on.
     pub fn retire(&mut self) {
-        self.spent = true;
+        self.retired = true;
     }
 
-    /// Whether it is of no more use once nothing is on it.
-    pub fn spent(&self) -> bool {
-        self.spent
+    /// Whether the connection accepts no new tasks, and is to be closed once it has none left.
+    pub fn is_retired(&self) -> bool {
+        self.retired
     }
 
-    /// Puts something in line.
+    /// Adds a task to the queue.
     pub fn push(&mut self, now: Time, task: Task<C>) {
-        self.used = now;
+        self.last_used = now;
         self.queue.push_back(task);
     }
 
-    /// What is in line and has not begun.
-    pub fn waiting(&self) -> impl Iterator<Item = &Task<C>> {
+    /// The queued tasks.
+    pub fn queued(&self) -> impl Iterator<Item = &Task<C>> {
         self.queue.iter()
     }
 
-    /// Begins what is in line. `write` appends its line where it says that it begins.
-    pub fn begin(
+    /// Starts queued tasks. `write` decides on each of them, and appends its line if it returns
+    /// [`Start::Started`].
+    pub fn start_queued(
         &mut self,
         now: Time,
         mut write: impl FnMut(&Task<C>, &mut Vec<u8>) -> Start,
         ends: &mut Vec<End<C>>,
     ) {
         for task in std::mem::take(&mut self.queue) {
-            let from = self.out.len();
-            let start = write(&task, &mut self.out);
-            if start != Start::Begun {
-                self.out.truncate(from);
+            let from = self.output.len();
+            let start = write(&task, &mut self.output);
+            if start != Start::Started {
+                self.output.truncate(from);
             }
             match start {
-                Start::Begun => {
-                    let (to, what) = (self.out.len(), Begun::Task(task));
-                    self.begun.push_back(Line { from, to, began: now, what });
+                Start::Started => {
+                    let (to, content) = (self.output.len(), LineContent::Task(task));
+                    self.started.push_back(OutputLine { from, to, started_at: now, content });
                 }
-                Start::Held => self.queue.push_back(task),
+                Start::Deferred => self.queue.push_back(task),
                 Start::Dropped => ends.push(End::Unsent(task)),
             }
         }
     }
 
-    /// Puts new work of which no byte was taken by the socket back in line, so that it is looked at again when its first
-    /// byte can go.
-    pub fn put_back(&mut self, is_new_work: impl Fn(&Task<C>) -> bool) {
-        let sent = self.sent;
-        let waits = |l: &Line<C>| l.from >= sent && matches!(&l.what, Begun::Task(t) if is_new_work(t));
-        while let Some(place) = self.begun.iter().rposition(waits) {
-            if let Some(Line { what: Begun::Task(task), .. }) = self.cut(place) {
+    /// Returns new work of which the socket has not accepted a byte to the queue, so that the decision
+    /// whether to send it is made again when its first byte can be written.
+    pub fn requeue_unwritten(&mut self, is_new_work: impl Fn(&Task<C>) -> bool) {
+        let written = self.written;
+        let unwritten = |line: &OutputLine<C>| {
+            line.from >= written && matches!(&line.content, LineContent::Task(task) if is_new_work(task))
+        };
+        while let Some(index) = self.started.iter().rposition(unwritten) {
+            if let Some(OutputLine { content: LineContent::Task(task), .. }) = self.remove_line(index) {
                 self.queue.push_front(task);
             }
         }
     }
 
-    /// Cuts a line out of what is to be sent; those after it move up.
-    fn cut(&mut self, place: usize) -> Option<Line<C>> {
-        let line = self.begun.remove(place)?;
+    /// Removes an unwritten line from the output, and moves the following ones forward.
+    fn remove_line(&mut self, index: usize) -> Option<OutputLine<C>> {
+        let line = self.started.remove(index)?;
         let length = line.to - line.from;
-        self.begun.iter_mut().skip(place).for_each(|l| (l.from, l.to) = (l.from - length, l.to - length));
-        self.out.drain(line.from..line.to);
+        let following = self.started.iter_mut().skip(index);
+        following.for_each(|line| (line.from, line.to) = (line.from - length, line.to - length));
+        self.output.drain(line.from..line.to);
         Some(line)
     }
 
-    /// What is to be sent.
-    pub fn out(&self) -> &[u8] {
-        &self.out[self.sent..]
+    /// The bytes to write.
+    pub fn output(&self) -> &[u8] {
+        &self.output[self.written..]
     }
 
-    /// So many bytes of it were handed over.
-    pub fn sent(&mut self, bytes: usize, ends: &mut Vec<End<C>>) {
-        self.sent += bytes;
-        while self.begun.front().is_some_and(|line| line.to <= self.sent) {
-            let Some(line) = self.begun.pop_front() else { break };
-            let task = match line.what {
-                Begun::Task(task) => task,
-                Begun::Kill(id, attempt, why) => {
-                    ends.push(off(id, attempt, why));
+    /// Records that the socket has accepted so many bytes of the output.
+    pub fn on_written(&mut self, bytes: usize, ends: &mut Vec<End<C>>) {
+        self.written += bytes;
+        while self.started.front().is_some_and(|line| line.to <= self.written) {
+            let Some(line) = self.started.pop_front() else { break };
+            let task = match line.content {
+                LineContent::Task(task) => task,
+                LineContent::Cancellation(id, attempt, reason) => {
+                    ends.push(cancelled(id, attempt, reason));
                     continue;
                 }
             };
-            let began = line.began;
-            let (name, owed): (RequestId, Owed) = match task {
-                Task::Attempt { id, attempt, .. } => (id.clone(), Owed::Attempt(id, attempt)),
-                Task::Order { order, .. } => (order_tag(order).into(), Owed::Order(order)),
-                Task::Probe(number) => (probe_tag(number).into(), Owed::Probe),
-                Task::ProbeQuestion { number } => (question_tag(number).into(), Owed::ProbeQuestion),
-                Task::OrderQuestion { number, .. } => (question_tag(number).into(), Owed::OrderQuestion),
+            let started_at = line.started_at;
+            let (name, awaited): (RequestId, Awaited) = match task {
+                Task::Attempt { id, attempt, .. } => (id.clone(), Awaited::Attempt(id, attempt)),
+                Task::Order { order, .. } => (order_tag(order).into(), Awaited::Order(order)),
+                Task::Probe(number) => (probe_tag(number).into(), Awaited::Probe),
+                Task::ProbeQuestion { number } => (question_tag(number).into(), Awaited::ProbeQuestion),
+                Task::OrderQuestion { number, .. } => (question_tag(number).into(), Awaited::OrderQuestion),
                 Task::Unload(_) => continue,
             };
-            self.open.push(Open { name, owed, began });
+            self.awaiting.push(AwaitedAnswer { name, awaited, started_at });
         }
-        if self.sent >= self.out.len() {
-            self.sent = 0;
-            self.out.clear();
-            self.out.shrink_to(4096);
+        if self.written >= self.output.len() {
+            self.written = 0;
+            self.output.clear();
+            self.output.shrink_to(4096);
         }
     }
 
-    /// Takes back an attempt of which no byte is out; false where it is not here, or has begun.
+    /// Removes an attempt of which no byte was written; false if it is not on this connection, or was partly
+    /// written.
     pub fn withhold(&mut self, id: &RequestId, attempt: u32, ends: &mut Vec<End<C>>) -> bool {
-        let is = |t: &Task<C>| t.is(id, attempt);
-        if let Some(task) = self.queue.iter().position(is).and_then(|n| self.queue.remove(n)) {
+        let same = |task: &Task<C>| task.is_attempt(id, attempt);
+        if let Some(task) = self.queue.iter().position(same).and_then(|n| self.queue.remove(n)) {
             ends.push(End::Unsent(task));
             return true;
         }
-        // Behind lines that the socket has not taken yet.
-        let sent = self.sent;
-        let waits = |l: &Line<C>| l.from >= sent && matches!(&l.what, Begun::Task(t) if is(t));
-        let place = self.begun.iter().position(waits);
-        let Some(line) = place.and_then(|place| self.cut(place)) else { return false };
-        if let Begun::Task(task) = line.what {
+        // Its line may be in the output, behind others that the socket has not accepted yet.
+        let written = self.written;
+        let unwritten = |line: &OutputLine<C>| {
+            line.from >= written && matches!(&line.content, LineContent::Task(task) if same(task))
+        };
+        let index = self.started.iter().position(unwritten);
+        let Some(line) = index.and_then(|index| self.remove_line(index)) else { return false };
+        if let LineContent::Task(task) = line.content {
             ends.push(End::Unsent(task));
         }
         true
     }
 
-    /// Calls an attempt off.
-    pub fn off(&mut self, id: &RequestId, attempt: u32, why: CancelReason, ends: &mut Vec<End<C>>) -> Off {
+    /// Cancels an attempt.
+    pub fn cancel(
+        &mut self,
+        id: &RequestId,
+        attempt: u32,
+        reason: CancelReason,
+        ends: &mut Vec<End<C>>,
+    ) -> CancelResult {
         if self.withhold(id, attempt, ends) {
-            return Off::Done;
+            return CancelResult::Cancelled;
         }
-        let owed = Owed::Attempt(id.clone(), attempt);
-        if let Some(n) = self.open.iter().position(|o| o.owed == owed) {
-            self.open.swap_remove(n);
-            let from = self.out.len();
-            line::kill(&mut self.out, id);
-            let what = Begun::Kill(id.clone(), attempt, why);
-            let began = self.used;
-            self.begun.push_back(Line { from, to: self.out.len(), began, what });
-            self.ghosts.push_back(id.clone());
-            self.spent |= self.ghosts.len() > GHOSTS;
-            return Off::Done;
+        let awaited = Awaited::Attempt(id.clone(), attempt);
+        if let Some(index) = self.awaiting.iter().position(|awaiting| awaiting.awaited == awaited) {
+            self.awaiting.swap_remove(index);
+            let from = self.output.len();
+            line::kill(&mut self.output, id);
+            let content = LineContent::Cancellation(id.clone(), attempt, reason);
+            let started_at = self.last_used;
+            self.started.push_back(OutputLine { from, to: self.output.len(), started_at, content });
+            self.abandoned.push_back(id.clone());
+            self.retired |= self.abandoned.len() > MAX_ABANDONED;
+            return CancelResult::Cancelled;
         }
-        let is = |t: &Task<C>| t.is(id, attempt);
-        if self.begun.iter().any(|l| matches!(&l.what, Begun::Task(t) if is(t))) {
-            return Off::Cut;
+        let same = |task: &Task<C>| task.is_attempt(id, attempt);
+        if self.started.iter().any(|line| matches!(&line.content, LineContent::Task(task) if same(task))) {
+            return CancelResult::PartlySent;
         }
-        Off::Unknown
+        CancelResult::Unknown
     }
 
-    /// Takes bytes in. An error: the connection is spoilt, and is to be broken off.
-    pub fn feed(&mut self, now: Time, mut bytes: &[u8], ends: &mut Vec<End<C>>) -> Result<(), Spoilt> {
-        self.heard = now;
+    /// Parses received bytes. After an error the connection must be closed, see [`Link::close`].
+    pub fn on_bytes(&mut self, now: Time, mut bytes: &[u8], ends: &mut Vec<End<C>>) -> Result<(), LinkError> {
+        self.last_received = now;
         while let Some(n) = bytes.iter().position(|b| *b == b'\n') {
-            let (head, rest) = (&bytes[..n], &bytes[n + 1..]);
+            let (line_end, rest) = (&bytes[..n], &bytes[n + 1..]);
             bytes = rest;
-            if self.come.len() + head.len() > line::MOST {
-                return Err(Spoilt::Endless);
+            if self.buffer.len() + line_end.len() > line::MAX_LINE_BYTES {
+                return Err(LinkError::LineTooLong);
             }
-            let said = if self.come.is_empty() {
-                line::read(head)
+            let answer = if self.buffer.is_empty() {
+                line::read(line_end)
             } else {
-                self.come.extend_from_slice(head);
-                let said = line::read(&self.come);
-                self.come.clear();
-                self.come.shrink_to(4096);
-                said
+                self.buffer.extend_from_slice(line_end);
+                let answer = line::read(&self.buffer);
+                self.buffer.clear();
+                self.buffer.shrink_to(4096);
+                answer
             };
-            self.said(now, said.map_err(|_| Spoilt::Line)?, ends)?;
+            self.on_answer(now, answer.map_err(|_| LinkError::BadLine)?, ends)?;
         }
-        if self.come.len() + bytes.len() > line::MOST {
-            return Err(Spoilt::Endless);
+        if self.buffer.len() + bytes.len() > line::MAX_LINE_BYTES {
+            return Err(LinkError::LineTooLong);
         }
-        self.come.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    fn said(&mut self, now: Time, said: Said, ends: &mut Vec<End<C>>) -> Result<(), Spoilt> {
-        let Some(n) = self.open.iter().position(|o| *o.name == *said.req) else {
-            match self.ghosts.iter().position(|g| **g == *said.req) {
-                // The answer to an attempt that was given up crossed its call-off.
-                Some(n) => {
-                    let ghost = self.ghosts.remove(n);
-                    ghost.into_iter().for_each(|id| self.remember(id));
+    fn on_answer(&mut self, now: Time, answer: Answer, ends: &mut Vec<End<C>>) -> Result<(), LinkError> {
+        let Some(index) = self.awaiting.iter().position(|awaiting| *awaiting.name == *answer.req) else {
+            match self.abandoned.iter().position(|id| **id == *answer.req) {
+                // The answer to a cancelled attempt has crossed the cancellation.
+                Some(index) => {
+                    let abandoned = self.abandoned.remove(index);
+                    abandoned.into_iter().for_each(|id| self.remember_failed(id));
                 }
-                // An answer to nothing: what came before it and what is open still counts, but nothing new.
-                None => self.spent = true,
+                // An answer to nothing: answers before it and to tasks on the connection count, but no new
+                // tasks are accepted.
+                None => self.retired = true,
             }
             return Ok(());
         };
-        let end = match &self.open[n].owed {
-            Owed::Attempt(id, attempt) => {
-                let outcome = said.word.attempt().ok_or(Spoilt::Line)?;
-                let crowd = matches!(outcome, Outcome::Ok | Outcome::Full).then_some(said.crowd);
-                let reply = (outcome == Outcome::Ok).then_some(said.body);
-                let end = AttemptEnd { outcome, mark: said.mark, crowd, report: None, reply };
+        let end = match &self.awaiting[index].awaited {
+            Awaited::Attempt(id, attempt) => {
+                let outcome = answer.kind.attempt_outcome().ok_or(LinkError::BadLine)?;
+                let crowd = matches!(outcome, Outcome::Ok | Outcome::Full).then_some(answer.crowd);
+                let reply = (outcome == Outcome::Ok).then_some(answer.body);
+                let end = AttemptEnd { outcome, mark: answer.mark, crowd, report: None, reply };
                 End::Attempt(id.clone(), *attempt, end)
             }
-            Owed::Order(order) => End::Order(*order, said.word.order().ok_or(Spoilt::Line)?, said.copies),
-            Owed::Probe => End::Probe(said.word.probe().ok_or(Spoilt::Line)?),
-            Owed::ProbeQuestion | Owed::OrderQuestion => End::Question(answered(said.word)),
+            Awaited::Order(order) => {
+                let outcome = answer.kind.order_outcome().ok_or(LinkError::BadLine)?;
+                End::Order(*order, outcome, answer.copies)
+            }
+            Awaited::Probe => End::Probe(answer.kind.probe_outcome().ok_or(LinkError::BadLine)?),
+            Awaited::ProbeQuestion | Awaited::OrderQuestion => End::Question(question_outcome(answer.kind)),
         };
-        let open = &self.open[n];
-        self.evidence.extend(proves(&open.owed, open.began, said.word, said.copies));
+        let AwaitedAnswer { awaited, started_at, .. } = &self.awaiting[index];
+        self.evidence.extend(evidence(awaited, *started_at, answer.kind, answer.copies));
         if let End::Attempt(id, _, end) = &end {
-            // One that ended well is over; any other may be tried again.
+            // A successful attempt ends its call; after any other end the call may be tried again.
             if end.outcome != Outcome::Ok {
-                self.remember(id.clone());
+                self.remember_failed(id.clone());
             }
         }
-        self.open.swap_remove(n);
-        self.used = now;
+        self.awaiting.swap_remove(index);
+        self.last_used = now;
         ends.push(end);
         Ok(())
     }
 
-    /// What the answers since this was last asked prove of the executor.
-    pub fn evidence(&mut self) -> Vec<Evidence> {
+    /// What the answers since the last call prove about the executor.
+    pub fn take_evidence(&mut self) -> Vec<Evidence> {
         std::mem::take(&mut self.evidence)
     }
 
-    fn remember(&mut self, id: RequestId) {
-        if self.answered.len() >= ANSWERED {
-            self.answered.pop_front();
+    fn remember_failed(&mut self, id: RequestId) {
+        if self.failed.len() >= MAX_FAILED {
+            self.failed.pop_front();
         }
-        self.answered.push_back(id);
+        self.failed.push_back(id);
     }
 
-    /// The connection has ended, or is to be. What was out whole may have run; the rest never did. A spoilt answer
-    /// that can only have been the one attempt's is that attempt's error.
-    pub fn broken(&mut self, spoilt: bool, ends: &mut Vec<End<C>>) {
-        let attempts = self.open.iter().filter(|o| matches!(o.owed, Owed::Attempt(..))).count();
-        let outcome = if spoilt && attempts == 1 { Outcome::Error } else { Outcome::Reset };
-        for open in self.open.drain(..) {
-            ends.push(match open.owed {
-                Owed::Attempt(id, attempt) => End::Attempt(id, attempt, AttemptEnd::from_outcome(outcome)),
-                Owed::Order(order) => End::Order(order, Outcome::Reset, 0),
-                Owed::Probe => End::Probe(Outcome::Reset),
-                Owed::ProbeQuestion | Owed::OrderQuestion => End::Question(Outcome::Reset),
+    /// Ends all tasks, because the connection has ended or is to be closed. Tasks that were completely
+    /// written may have run, the others have not. If the reason is a bad answer, and only one attempt can
+    /// have been meant by it, that attempt ends with an error.
+    pub fn close(&mut self, bad_answer: bool, ends: &mut Vec<End<C>>) {
+        let is_attempt = |awaiting: &&AwaitedAnswer| matches!(awaiting.awaited, Awaited::Attempt(..));
+        let attempts = self.awaiting.iter().filter(is_attempt).count();
+        let outcome = if bad_answer && attempts == 1 { Outcome::Error } else { Outcome::Reset };
+        for awaiting in self.awaiting.drain(..) {
+            ends.push(match awaiting.awaited {
+                Awaited::Attempt(id, attempt) => End::Attempt(id, attempt, AttemptEnd::from_outcome(outcome)),
+                Awaited::Order(order) => End::Order(order, Outcome::Reset, 0),
+                Awaited::Probe => End::Probe(Outcome::Reset),
+                Awaited::ProbeQuestion | Awaited::OrderQuestion => End::Question(Outcome::Reset),
             });
         }
-        for line in self.begun.drain(..) {
-            ends.push(match line.what {
-                Begun::Task(task) => End::Unsent(task),
-                // The end of the connection gives it up as well.
-                Begun::Kill(id, attempt, why) => off(id, attempt, why),
+        for line in self.started.drain(..) {
+            ends.push(match line.content {
+                LineContent::Task(task) => End::Unsent(task),
+                // The end of the connection cancels the attempt as well.
+                LineContent::Cancellation(id, attempt, reason) => cancelled(id, attempt, reason),
             });
         }
         ends.extend(self.queue.drain(..).map(End::Unsent));
-        (self.spent, self.sent) = (true, 0);
-        self.out = Vec::new();
-        self.come = Vec::new();
+        (self.retired, self.written) = (true, 0);
+        self.output = Vec::new();
+        self.buffer = Vec::new();
     }
 
-    /// Whether an attempt given up still waits for its line to go out.
-    pub fn kills(&self) -> bool {
-        self.begun.iter().any(|l| matches!(l.what, Begun::Kill(..)))
+    /// Whether the line of a cancellation is not completely written.
+    pub fn has_unsent_cancellation(&self) -> bool {
+        self.started.iter().any(|line| matches!(line.content, LineContent::Cancellation(..)))
     }
 
-    /// Bytes of a line that has begun to come.
-    pub fn held(&self) -> usize {
-        self.come.len()
+    /// Number of buffered bytes of an incomplete line.
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.len()
     }
 }
 
-/// How a question ended.
-fn answered(word: Word) -> Outcome {
-    match word {
-        Word::Hit | Word::Pong => Outcome::Ok,
-        Word::Shed => Outcome::Full,
+/// The outcome of a question with this answer.
+fn question_outcome(kind: AnswerKind) -> Outcome {
+    match kind {
+        AnswerKind::Hit | AnswerKind::Pong => Outcome::Ok,
+        AnswerKind::Shed => Outcome::Full,
         _ => Outcome::Error,
     }
 }
 
-/// What an answer proves of the executor; `began`: the first byte of what it answers went out then at the earliest. That of
-/// an order to load proves nothing.
-fn proves(owed: &Owed, began: Time, word: Word, copies: u32) -> Option<Evidence> {
-    match (owed, word) {
-        (Owed::Attempt(..), Word::Hit) => Some(Evidence::Served),
-        (Owed::Attempt(..), Word::Shed) => Some(Evidence::WorkRejected),
-        (Owed::ProbeQuestion, Word::Pong) => Some(Evidence::Confirmed { since: began, copies: None }),
-        (Owed::ProbeQuestion, Word::Sick) => Some(Evidence::Denied),
-        (Owed::OrderQuestion, Word::Hit) => Some(Evidence::Confirmed { since: began, copies: Some(copies) }),
-        (Owed::ProbeQuestion | Owed::OrderQuestion, Word::Shed) => Some(Evidence::QuestionRejected),
-        (Owed::ProbeQuestion | Owed::OrderQuestion, _) => Some(Evidence::Inconclusive),
+/// What an answer proves about the executor. `started_at` is the earliest time at which the first byte of the
+/// answered task may have been written. The answer to a load order proves nothing, because a draining
+/// executor may accept it.
+fn evidence(awaited: &Awaited, started_at: Time, kind: AnswerKind, copies: u32) -> Option<Evidence> {
+    match (awaited, kind) {
+        (Awaited::Attempt(..), AnswerKind::Hit) => Some(Evidence::Served),
+        (Awaited::Attempt(..), AnswerKind::Shed) => Some(Evidence::WorkRejected),
+        (Awaited::ProbeQuestion, AnswerKind::Pong) => {
+            Some(Evidence::Confirmed { since: started_at, copies: None })
+        }
+        (Awaited::ProbeQuestion, AnswerKind::Sick) => Some(Evidence::Denied),
+        (Awaited::OrderQuestion, AnswerKind::Hit) => {
+            Some(Evidence::Confirmed { since: started_at, copies: Some(copies) })
+        }
+        (Awaited::ProbeQuestion | Awaited::OrderQuestion, AnswerKind::Shed) => {
+            Some(Evidence::QuestionRejected)
+        }
+        (Awaited::ProbeQuestion | Awaited::OrderQuestion, _) => Some(Evidence::Inconclusive),
         _ => None,
     }
 }
 
-fn off<C>(id: RequestId, attempt: u32, why: CancelReason) -> End<C> {
-    let outcome = match why {
+/// The end of a cancelled attempt.
+fn cancelled<C>(id: RequestId, attempt: u32, reason: CancelReason) -> End<C> {
+    let outcome = match reason {
         CancelReason::Cancelled => Outcome::Cancelled,
         CancelReason::TimedOut => Outcome::Timeout,
     };
     End::Attempt(id, attempt, AttemptEnd { mark: CopyMark::Untold, ..AttemptEnd::from_outcome(outcome) })
 }
 
-/// A tag of an order; no id begins so.
+/// The tag of a load order. Tags never equal request ids, which consist of hexadecimal digits.
 pub fn order_tag(order: OrderId) -> String {
     format!("load-{}", order.0)
 }
 
-/// The same of a probe.
+/// The tag of a probe.
 pub fn probe_tag(number: u64) -> String {
     format!("probe-{number}")
 }
 
-/// The same of a question.
+/// The tag of a question.
 pub fn question_tag(number: u64) -> String {
     format!("ask-{number}")
 }
--- a/crates/badgerwind-platform/src/reach.rs
+++ b/crates/badgerwind-platform/src/reach.rs
@@ -1,143 +1,149 @@
-//! What is known of the way to one executor: whether a standing connection still leads to it, and whether it takes
-//! another one. No I/O, no clock.
+//! Whether the connections to one executor still lead to it, and whether it accepts another one. No I/O and
+//! no clock.
 //!
-//! Two troubles look alike from one call and want opposite answers. A machine that has vanished leaves its connections open
-//! and silent, so that only a new one proves anything. One whose table of connections is full lets a new one come up,
-//! turns away the first call on it and closes it, while standing ones go on to work. So a standing connection
-//! is trusted until something handed over has had no word for longer than busy executors take ([`Patience`]), and a new one is not
-//! tried again at once where the last was turned away.
+//! Two faults look alike from a single call and require opposite reactions. If a machine has vanished, its
+//! connections stay open but silent, so that only a new connection shows whether it is there. If an
+//! executor's connection table is full, it accepts a new connection, rejects the first call on it and closes
+//! it, while existing connections go on to work. Therefore an existing connection is trusted until something
+//! sent over it has been unanswered for longer than busy executors usually take ([`SilenceTolerance`]), and
+//! after a rejected connection the next one is only tried after a pause.
 
 use badgerwind::interface::{Span, Time};
 
-/// The longest pause before the next new connection, in first ones.
-const MOST_PAUSES: u64 = 8;
+/// The maximum pause before the next new connection, as a multiple of the first one.
+const MAX_PAUSE_FACTOR: u64 = 8;
 
-/// Words after which a long silence is forgotten to about a third.
-const FADES: u64 = 64;
-/// Silence that is ever borne, in the least that is.
-const MOST_BORNE: u64 = 4;
+/// Number of answers after which a long silence has decayed to about a third.
+const DECAY_ANSWERS: u64 = 64;
+/// The maximum tolerated silence, as a multiple of the minimum.
+const MAX_TOLERANCE_FACTOR: u64 = 4;
 
-/// How long executors leave what was handed over without a word, as all connections of this front end found lately. Guards
-/// against taking busy ones for vanished: hundreds of front ends that each open another connection to an executor with a
-/// queue are its worst load.
+/// How long executors usually take to send anything after something was sent to them, as observed recently on
+/// all connections of this front end. Prevents busy executors from being taken for vanished ones: hundreds of
+/// front ends that each open another connection to an executor with a queue are its worst load.
 #[derive(Clone, Debug)]
-pub struct Patience {
-    least: Span,
+pub struct SilenceTolerance {
+    min: Span,
     usual: Span,
 }
 
-impl Patience {
-    /// At least so much silence is borne, in microseconds.
-    pub fn new(least: Span) -> Patience {
-        Patience { least, usual: 0 }
+impl SilenceTolerance {
+    /// Tolerates at least `min` microseconds of silence.
+    pub fn new(min: Span) -> SilenceTolerance {
+        SilenceTolerance { min, usual: 0 }
     }
 
-    /// A word came after so much silence.
-    pub fn word(&mut self, silence: Span) {
-        self.usual = silence.max(self.usual - self.usual / FADES);
+    /// Records that an executor sent something after so much silence.
+    pub fn observe(&mut self, silence: Span) {
+        self.usual = silence.max(self.usual - self.usual / DECAY_ANSWERS);
     }
 
-    /// Longer silence is more than a busy executor's, in microseconds.
-    pub fn span(&self) -> Span {
-        self.usual.clamp(self.least, self.least * MOST_BORNE)
+    /// The tolerated silence, in microseconds. A longer one is not explained by a busy executor.
+    pub fn get(&self) -> Span {
+        self.usual.clamp(self.min, self.min * MAX_TOLERANCE_FACTOR)
     }
 }
 
-/// Calls on one connection at once, while connections hold.
-const TOGETHER: usize = 8;
-/// Weight of a call in the running share of connections that broke under calls.
-const SHARE_GAIN: f64 = 1.0 / 256.0;
-/// From this share on calls keep apart: a break less than 75 calls ago.
-const BREAKS: f64 = 1.5 * SHARE_GAIN;
-/// The same for those that must not run twice: 75 calls without a break since the start, 250 since one.
-const FEW_BREAKS: f64 = 0.75 * SHARE_GAIN;
-
-/// Whether calls share connections. What breaks under one call costs all that share its connection; each connection of its
-/// own costs a handshake and a place in the executor's table, times all front ends. So calls go together while connections
-/// hold, and apart while they break; those that could not be tried again need more proof.
+/// Maximum number of calls that share a connection while connections are reliable.
+const MAX_SHARED_CALLS: usize = 8;
+/// Weight of a call in the moving average of connections that broke under calls.
+const BREAK_RATE_GAIN: f64 = 1.0 / 256.0;
+/// From this rate on calls do not share connections: a break less than 75 calls ago.
+const MAX_BREAK_RATE: f64 = 1.5 * BREAK_RATE_GAIN;
+/// The same for calls that must not run twice: they need 75 calls without a break after the start, and 250
+/// after a break.
+const MAX_BREAK_RATE_ONCE: f64 = 0.75 * BREAK_RATE_GAIN;
+
+/// Whether calls share connections. A connection that breaks under one call fails all calls that share it,
+/// whereas each separate connection costs a handshake and an entry in the executor's connection table,
+/// multiplied by the number of front ends. So calls share connections while these are reliable, and use
+/// separate ones while they break. Calls that cannot be retried require more evidence of reliability.
 #[derive(Clone, Debug)]
 pub struct Sharing {
-    breaks: f64,
+    break_rate: f64,
 }
 
 impl Default for Sharing {
-    /// Nothing is known: as if one had just broken.
+    /// Starts as if a connection had just broken, since nothing is known.
     fn default() -> Sharing {
-        Sharing { breaks: SHARE_GAIN }
+        Sharing { break_rate: BREAK_RATE_GAIN }
     }
 }
 
 impl Sharing {
-    /// A call was answered.
-    pub fn answered(&mut self) {
-        self.breaks -= SHARE_GAIN * self.breaks;
+    /// Records that a call was answered.
+    pub fn on_answer(&mut self) {
+        self.break_rate -= BREAK_RATE_GAIN * self.break_rate;
     }
 
-    /// A connection broke under calls.
-    pub fn broke(&mut self) {
-        self.breaks += SHARE_GAIN * (1.0 - self.breaks);
+    /// Records that a connection broke under calls.
+    pub fn on_break(&mut self) {
+        self.break_rate += BREAK_RATE_GAIN * (1.0 - self.break_rate);
     }
 
-    /// Calls that may be on one connection, by whether they `once` run must not run again.
-    pub fn together(&self, once: bool) -> usize {
-        if self.breaks < if once { FEW_BREAKS } else { BREAKS } {
-            TOGETHER
+    /// How many calls may share one connection; `once` tells whether they must not run twice.
+    pub fn max_calls(&self, once: bool) -> usize {
+        if self.break_rate < if once { MAX_BREAK_RATE_ONCE } else { MAX_BREAK_RATE } {
+            MAX_SHARED_CALLS
         } else {
             1
         }
     }
 }
 
-/// The way to one executor.
+/// Whether one executor can be reached, over existing connections and over new ones.
 #[derive(Clone, Debug)]
-pub struct Reach {
-    /// Something that answers was handed over then, and no sign of life has come since.
-    unanswered: Option<Time>,
-    /// The first pause before another new connection, in microseconds.
-    first: Span,
-    /// Before this no new connection is tried.
-    shut_until: Time,
+pub struct Reachability {
+    /// When something that requires an answer was sent, if nothing was received since.
+    unanswered_since: Option<Time>,
+    /// The first pause after a rejected connection, in microseconds.
+    first_pause: Span,
+    /// No new connection is tried before this time.
+    paused_until: Time,
     pause: Span,
 }
 
-impl Reach {
-    /// An executor just listed. `first`: the first pause after a new connection was turned away, in microseconds.
-    pub fn new(first: Span) -> Reach {
-        Reach { unanswered: None, first, shut_until: 0, pause: 0 }
+impl Reachability {
+    /// Starts for an executor that was just listed. `first_pause` is the pause after the first rejected
+    /// connection, in microseconds.
+    pub fn new(first_pause: Span) -> Reachability {
+        Reachability { unanswered_since: None, first_pause, paused_until: 0, pause: 0 }
     }
 
-    /// A byte came, or a connection came up: the machine is there. Since when something was without a word.
-    pub fn heard(&mut self) -> Option<Time> {
-        self.unanswered.take()
+    /// Records that something was received or a connection was established, which shows that the machine is
+    /// there. Returns since when something was unanswered.
+    pub fn on_received(&mut self) -> Option<Time> {
+        self.unanswered_since.take()
     }
 
-    /// Something that is owed an answer was handed over whole.
-    pub fn asked(&mut self, now: Time) {
-        self.unanswered.get_or_insert(now);
+    /// Records that something that requires an answer was completely sent.
+    pub fn on_sent(&mut self, now: Time) {
+        self.unanswered_since.get_or_insert(now);
     }
 
-    /// Whether a standing connection still counts as leading there, where so much silence is borne.
-    pub fn trusted(&self, now: Time, patience: Span) -> bool {
-        self.unanswered.is_none_or(|at| now <= at + patience)
+    /// Whether existing connections still count as leading to the executor, if so much silence is tolerated.
+    pub fn is_trusted(&self, now: Time, tolerated_silence: Span) -> bool {
+        self.unanswered_since.is_none_or(|at| now <= at + tolerated_silence)
     }
 
-    /// A new connection was turned away at the door: its table is full. The pause grows while that goes on; `part`, from 0
-    /// to 1 and drawn anew, keeps front ends out of step.
-    pub fn turned_away(&mut self, now: Time, part: f64) {
-        if !self.opens(now) {
-            return; // those that knocked beside the first tell nothing more
+    /// Records that the executor rejected a new connection because its table is full. The pause grows with
+    /// each rejection. `jitter` is a fresh random number from 0 to 1, so that front ends do not retry in
+    /// step.
+    pub fn on_rejected(&mut self, now: Time, jitter: f64) {
+        if !self.may_connect(now) {
+            return; // connections opened at the same time as the first rejected one prove nothing more
         }
-        self.pause = (self.pause * 2).clamp(self.first, self.first * MOST_PAUSES);
-        self.shut_until = now + (self.pause as f64 * (0.5 + 0.5 * part.clamp(0.0, 1.0))) as Span;
+        self.pause = (self.pause * 2).clamp(self.first_pause, self.first_pause * MAX_PAUSE_FACTOR);
+        self.paused_until = now + (self.pause as f64 * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as Span;
     }
 
-    /// A call over a new connection was taken in.
-    pub fn taken_in(&mut self) {
-        (self.pause, self.shut_until) = (0, 0);
+    /// Records that the executor accepted a call over a new connection.
+    pub fn on_accepted(&mut self) {
+        (self.pause, self.paused_until) = (0, 0);
     }
 
     /// Whether a new connection may be tried.
-    pub fn opens(&self, now: Time) -> bool {
-        now >= self.shut_until
+    pub fn may_connect(&self, now: Time) -> bool {
+        now >= self.paused_until
     }
 }
--- a/crates/badgerwind-platform/tests/links.rs
+++ b/crates/badgerwind-platform/tests/links.rs
@@ -1,14 +1,15 @@
-//! A connection to an executor: what an attempt's end proves, and what a spoilt answer costs.
+//! A connection to an executor: the ends of attempts, what answers prove, bad answers, and when connections
+//! are trusted.
 
 use badgerwind::interface::{CopyMark, RequestId};
 use badgerwind_driver::{CancelReason, OrderId};
 use badgerwind_freshness::Evidence;
 use badgerwind_platform::line;
-use badgerwind_platform::link::{End, Link, Off, Spoilt, Start, Task};
-use badgerwind_platform::reach::{Patience, Reach, Sharing};
+use badgerwind_platform::link::{CancelResult, End, Link, LinkError, Start, Task};
+use badgerwind_platform::reach::{Reachability, Sharing, SilenceTolerance};
 use proptest::prelude::*;
 
-type L = Link<()>;
+type TestLink = Link<()>;
 
 fn attempt(id: &str) -> Task<()> {
     Task::Attempt { id: id.into(), attempt: 0, content: (), limit: 9 }
@@ -17,7 +18,7 @@
 fn write(task: &Task<()>, out: &mut Vec<u8>) -> Start {
     match task {
         Task::Attempt { id, .. } => {
-            line::call(out, &line::Call { id, kind: "k", obj: "f", ms: 9, body: b"hi" });
+            line::call(out, &line::Call { id, class: "k", function: "f", wait_ms: 9, body: b"hi" });
         }
         Task::Order { copies, .. } => line::load(out, "load-3", "f", *copies),
         Task::Probe(_) => line::probe(out, "probe-1"),
@@ -25,22 +26,22 @@
         Task::OrderQuestion { number, key } => line::load(out, &format!("ask-{number}"), key, 0),
         Task::Unload(key) => line::unload(out, key),
     }
-    Start::Begun
+    Start::Started
 }
 
-/// A link on which these attempts are out whole.
-fn out(ids: &[&str]) -> L {
-    let (mut l, mut ends) = (L::new(0), Vec::new());
-    ids.iter().for_each(|id| l.push(0, attempt(id)));
-    l.begin(0, write, &mut ends);
-    l.sent(l.out().len(), &mut ends);
-    assert!(ends.is_empty() && l.busy() == ids.len());
-    l
+/// A link on which these attempts are completely written.
+fn sent_link(ids: &[&str]) -> TestLink {
+    let (mut link, mut ends) = (TestLink::new(0), Vec::new());
+    ids.iter().for_each(|id| link.push(0, attempt(id)));
+    link.start_queued(0, write, &mut ends);
+    link.on_written(link.output().len(), &mut ends);
+    assert!(ends.is_empty() && link.task_count() == ids.len());
+    link
 }
 
-/// The ends in words.
-fn words(ends: Vec<End<()>>) -> Vec<String> {
-    let word = |e| match e {
+/// A short text for each end.
+fn summaries(ends: Vec<End<()>>) -> Vec<String> {
+    let summary = |end| match end {
         End::Attempt(id, n, end) => format!("{id}/{n} {:?}", end.outcome),
         End::Order(OrderId(n), outcome, copies) => format!("order {n} {outcome:?} {copies}"),
         End::Probe(outcome) => format!("probe {outcome:?}"),
@@ -48,20 +49,20 @@
         End::Unsent(Task::Attempt { id, .. }) => format!("{id} unsent"),
         End::Unsent(_) => "unsent".into(),
     };
-    ends.into_iter().map(word).collect()
+    ends.into_iter().map(summary).collect()
 }
 
-fn feed(l: &mut L, text: &str) -> (Vec<String>, bool) {
+fn receive(link: &mut TestLink, text: &str) -> (Vec<String>, bool) {
     let mut ends = Vec::new();
-    let fed = l.feed(1, text.as_bytes(), &mut ends);
-    (words(ends), fed.is_ok())
+    let result = link.on_bytes(1, text.as_bytes(), &mut ends);
+    (summaries(ends), result.is_ok())
 }
 
-fn broken(mut l: L, spoilt: bool) -> Vec<String> {
+fn close(mut link: TestLink, bad_answer: bool) -> Vec<String> {
     let mut ends = Vec::new();
-    l.broken(spoilt, &mut ends);
-    assert_eq!(l.busy(), 0);
-    words(ends)
+    link.close(bad_answer, &mut ends);
+    assert_eq!(link.task_count(), 0);
+    summaries(ends)
 }
 
 fn hit(id: &str) -> String {
@@ -69,158 +70,163 @@
 }
 
 #[test]
-fn only_what_is_out_to_its_last_byte_may_have_run() {
+fn only_completely_written_attempts_may_have_run() {
     for short in [0usize, 1, 1000] {
-        let mut l = L::new(0);
+        let mut link = TestLink::new(0);
         let mut ends = Vec::new();
-        l.push(0, attempt("a"));
-        l.begin(0, write, &mut ends);
-        let whole = l.out().len();
-        l.sent(whole.saturating_sub(short), &mut ends);
+        link.push(0, attempt("a"));
+        link.start_queued(0, write, &mut ends);
+        let whole = link.output().len();
+        link.on_written(whole.saturating_sub(short), &mut ends);
         let want = if short == 0 { "a/0 Reset" } else { "a unsent" };
-        assert_eq!(broken(l, false), [want], "{short} bytes short");
+        assert_eq!(close(link, false), [want], "{short} bytes short");
     }
-    let mut l = L::new(0);
-    l.push(0, attempt("queued"));
-    assert_eq!(broken(l, false), ["queued unsent"]);
+    let mut link = TestLink::new(0);
+    link.push(0, attempt("queued"));
+    assert_eq!(close(link, false), ["queued unsent"]);
 }
 
 #[test]
-fn what_may_not_go_out_any_more_is_told_apart_at_its_first_byte() {
-    let (mut l, mut ends) = (L::new(0), Vec::new());
-    l.push(0, attempt("late"));
-    l.push(0, Task::Probe(1));
+fn dropped_tasks_end_unsent() {
+    let (mut link, mut ends) = (TestLink::new(0), Vec::new());
+    link.push(0, attempt("late"));
+    link.push(0, Task::Probe(1));
     let probes_only = |t: &Task<()>, out: &mut Vec<u8>| match t {
         Task::Probe(_) => write(t, out),
         _ => Start::Dropped,
     };
-    l.begin(0, probes_only, &mut ends);
-    assert_eq!(words(ends), ["late unsent"]);
-    assert!(l.out().starts_with(b"{\"type\":\"HELO\""));
+    link.start_queued(0, probes_only, &mut ends);
+    assert_eq!(summaries(ends), ["late unsent"]);
+    assert!(link.output().starts_with(b"{\"type\":\"HELO\""));
 }
 
 #[test]
-fn each_word_ends_what_it_answers() {
-    for (word, outcome) in
+fn each_kind_of_answer_ends_its_task() {
+    for (kind, outcome) in
         [("HIT", "Ok"), ("NONE", "Miss"), ("SHED", "Full"), ("FAULT", "Error"), ("LATE", "Moot")]
     {
-        let mut l = out(&["a", "b"]);
+        let mut link = sent_link(&["a", "b"]);
         assert_eq!(
-            feed(&mut l, &format!("{{\"type\":\"{word}\",\"req\":\"a\"}}\n")).0,
+            receive(&mut link, &format!("{{\"type\":\"{kind}\",\"req\":\"a\"}}\n")).0,
             [format!("a/0 {outcome}")]
         );
-        assert!(l.busy() == 1 && l.takes("c") && !l.takes("b"));
+        assert!(link.task_count() == 1 && link.accepts("c") && !link.accepts("b"));
     }
-    let (mut l, mut ends) = (L::new(0), Vec::new());
-    l.push(0, Task::Order { order: OrderId(3), key: "f".into(), copies: 2 });
-    l.push(0, Task::Probe(1));
-    l.begin(0, write, &mut ends);
-    l.sent(l.out().len(), &mut ends);
+    let (mut link, mut ends) = (TestLink::new(0), Vec::new());
+    link.push(0, Task::Order { order: OrderId(3), key: "f".into(), copies: 2 });
+    link.push(0, Task::Probe(1));
+    link.start_queued(0, write, &mut ends);
+    link.on_written(link.output().len(), &mut ends);
     let text = "{\"type\":\"SHED\",\"req\":\"load-3\",\"meta\":{\"slots_up\":\"1\"}}\n{\"type\":\"PONG\",\"req\":\"probe-1\"}\n";
-    assert_eq!(feed(&mut l, text).0, ["order 3 Full 1", "probe Ok"]);
+    assert_eq!(receive(&mut link, text).0, ["order 3 Full 1", "probe Ok"]);
 }
 
 #[test]
-fn notes_and_company_are_read_and_may_be_strings_or_numbers() {
+fn marks_and_counts_are_parsed_and_counts_may_be_strings_or_numbers() {
     for company in ["3", "\"3\""] {
         let text = format!("{{\"type\":\"HIT\",\"req\":\"a\",\"meta\":{{\"res\":\"j\",\"company\":{company}}},\"data\":\"aGk=\"}}");
-        let said = line::read(text.as_bytes()).unwrap();
-        assert_eq!((said.mark, said.crowd, &said.body[..]), (CopyMark::WaitedForLoad, 3, &b"hi"[..]));
+        let answer = line::read(text.as_bytes()).unwrap();
+        assert_eq!((answer.mark, answer.crowd, &answer.body[..]), (CopyMark::WaitedForLoad, 3, &b"hi"[..]));
     }
     assert!(line::read(b"{\"type\":\"HIT\",\"req\":\"a\",\"data\":\"?\"}").is_err());
     assert!(line::read(b"{\"type\":\"WHAT\",\"req\":\"a\"}").is_err());
 }
 
-/// The answer to an attempt that was given up must not count for the next one of the same id.
+/// The late answer to a cancelled attempt must not count for the next attempt with the same id.
 #[test]
-fn a_late_answer_is_nobodys_and_its_connection_is_no_way_for_the_same_id() {
-    let mut l = out(&["a"]);
+fn a_late_answer_is_ignored_and_its_connection_does_not_accept_the_same_id() {
+    let mut link = sent_link(&["a"]);
     let mut ends = Vec::new();
-    assert_eq!(l.off(&"a".into(), 0, CancelReason::TimedOut, &mut ends), Off::Done);
-    assert!(ends.is_empty(), "over only once its KILL is out");
-    assert!(l.kills() && l.out() == b"{\"type\":\"KILL\",\"req\":\"a\"}\n");
-    l.sent(l.out().len(), &mut ends);
-    assert_eq!(words(ends), ["a/0 Timeout"]);
-    assert!(!l.takes("a") && l.takes("b"));
-    assert_eq!(feed(&mut l, &hit("a")), (vec![], true));
-    // A second copy of it may still come, so that no attempt of the same call goes over it; others do.
-    assert!(!l.takes("a") && l.takes("b") && !l.spent());
+    assert_eq!(link.cancel(&"a".into(), 0, CancelReason::TimedOut, &mut ends), CancelResult::Cancelled);
+    assert!(ends.is_empty(), "the attempt ends only once its KILL is written");
+    assert!(link.has_unsent_cancellation() && link.output() == b"{\"type\":\"KILL\",\"req\":\"a\"}\n");
+    link.on_written(link.output().len(), &mut ends);
+    assert_eq!(summaries(ends), ["a/0 Timeout"]);
+    assert!(!link.accepts("a") && link.accepts("b"));
+    assert_eq!(receive(&mut link, &hit("a")), (vec![], true));
+    // A duplicate of the answer may still arrive, so that only attempts of other calls are accepted.
+    assert!(!link.accepts("a") && link.accepts("b") && !link.is_retired());
 }
 
-/// A second answer may come some milliseconds late. Over the same connection it would end the next attempt of its call while
-/// that one still runs.
+/// A duplicate answer may arrive some milliseconds late. On the same connection it would end the next attempt
+/// of its call while that one still runs.
 #[test]
-fn a_call_turned_away_comes_over_the_same_connection_no_more() {
-    for word in ["SHED", "NONE", "FAULT", "LATE"] {
-        let mut l = out(&["a", "b"]);
-        let line = format!("{{\"type\":\"{word}\",\"req\":\"a\"}}\n");
-        assert_eq!(feed(&mut l, &line).0.len(), 1);
-        assert!(!l.takes("a") && l.takes("c"), "{word}");
-        // The second one spoils it for all that is new, and ends nothing.
-        assert_eq!(feed(&mut l, &line), (vec![], true));
-        assert!(!l.takes("c") && l.spent() && l.owed() == 1);
+fn a_call_that_failed_is_not_accepted_on_the_same_connection_again() {
+    for kind in ["SHED", "NONE", "FAULT", "LATE"] {
+        let mut link = sent_link(&["a", "b"]);
+        let line = format!("{{\"type\":\"{kind}\",\"req\":\"a\"}}\n");
+        assert_eq!(receive(&mut link, &line).0.len(), 1);
+        assert!(!link.accepts("a") && link.accepts("c"), "{kind}");
+        // The duplicate ends nothing, but retires the connection.
+        assert_eq!(receive(&mut link, &line), (vec![], true));
+        assert!(!link.accepts("c") && link.is_retired() && link.awaiting_count() == 1);
     }
-    // One that was given up, its answer crossing that, and again.
-    let (mut l, mut ends) = (out(&["a"]), Vec::new());
-    l.off(&"a".into(), 0, CancelReason::TimedOut, &mut ends);
-    l.sent(l.out().len(), &mut ends);
-    assert_eq!(feed(&mut l, &hit("a")), (vec![], true));
-    assert!(!l.takes("a") && l.takes("c"));
-    // What is remembered is bounded.
+    // The answer to a cancelled attempt that crosses the cancellation.
+    let (mut link, mut ends) = (sent_link(&["a"]), Vec::new());
+    link.cancel(&"a".into(), 0, CancelReason::TimedOut, &mut ends);
+    link.on_written(link.output().len(), &mut ends);
+    assert_eq!(receive(&mut link, &hit("a")), (vec![], true));
+    assert!(!link.accepts("a") && link.accepts("c"));
+    // The number of remembered calls is bounded.
     for n in 0..200 {
         let id = format!("n{n}");
         let mut ends = Vec::new();
-        l.push(0, attempt(&id));
-        l.begin(0, write, &mut ends);
-        l.sent(l.out().len(), &mut ends);
-        feed(&mut l, &format!("{{\"type\":\"SHED\",\"req\":\"{id}\"}}\n"));
-        assert!(!l.takes(&id));
+        link.push(0, attempt(&id));
+        link.start_queued(0, write, &mut ends);
+        link.on_written(link.output().len(), &mut ends);
+        receive(&mut link, &format!("{{\"type\":\"SHED\",\"req\":\"{id}\"}}\n"));
+        assert!(!link.accepts(&id));
     }
-    assert!(l.takes("n1") && !l.takes("n190"));
+    assert!(link.accepts("n1") && !link.accepts("n190"));
 }
 
-/// Nobody waits for it any more: what no byte of is out stays back, and what was to follow follows.
+/// An attempt of which no byte was written can be removed, and later lines move forward.
 #[test]
-fn an_attempt_that_has_not_begun_is_withheld_also_behind_lines_that_the_socket_has_not_taken() {
-    let (mut l, mut ends) = (L::new(0), Vec::new());
-    ["a", "b", "c"].iter().for_each(|id| l.push(0, attempt(id)));
-    l.begin(0, write, &mut ends);
-    l.push(0, attempt("d"));
-    let line = l.out().len() / 3;
-    l.sent(line + 1, &mut ends);
-    assert!(!l.withhold(&"a".into(), 0, &mut ends), "out whole");
-    assert!(!l.withhold(&"b".into(), 0, &mut ends), "a byte of it is out");
-    assert!(!l.withhold(&"c".into(), 1, &mut ends), "another attempt");
-    assert!(l.withhold(&"c".into(), 0, &mut ends) && l.withhold(&"d".into(), 0, &mut ends));
-    assert_eq!(words(std::mem::take(&mut ends)), ["c unsent", "d unsent"]);
-    assert_eq!(l.off(&"b".into(), 0, CancelReason::Cancelled, &mut ends), Off::Cut);
-    assert_eq!(l.out().len(), line - 1);
-    l.push(0, attempt("e"));
-    l.begin(0, write, &mut ends);
-    let text = String::from_utf8(l.out().to_vec()).unwrap();
+fn an_unwritten_attempt_is_withheld_even_behind_lines_that_the_socket_has_not_accepted() {
+    let (mut link, mut ends) = (TestLink::new(0), Vec::new());
+    ["a", "b", "c"].iter().for_each(|id| link.push(0, attempt(id)));
+    link.start_queued(0, write, &mut ends);
+    link.push(0, attempt("d"));
+    let line = link.output().len() / 3;
+    link.on_written(line + 1, &mut ends);
+    assert!(!link.withhold(&"a".into(), 0, &mut ends), "completely written");
+    assert!(!link.withhold(&"b".into(), 0, &mut ends), "a byte of it is written");
+    assert!(!link.withhold(&"c".into(), 1, &mut ends), "another attempt");
+    assert!(link.withhold(&"c".into(), 0, &mut ends) && link.withhold(&"d".into(), 0, &mut ends));
+    assert_eq!(summaries(std::mem::take(&mut ends)), ["c unsent", "d unsent"]);
+    assert_eq!(link.cancel(&"b".into(), 0, CancelReason::Cancelled, &mut ends), CancelResult::PartlySent);
+    assert_eq!(link.output().len(), line - 1);
+    link.push(0, attempt("e"));
+    link.start_queued(0, write, &mut ends);
+    let text = String::from_utf8(link.output().to_vec()).unwrap();
     assert!(text.contains("\"e\"") && !text.contains("\"c\"") && !text.contains("\"d\""), "{text}");
-    l.sent(l.out().len(), &mut ends);
-    assert_eq!((l.owed(), l.busy(), ends.len()), (3, 3, 0));
-    assert_eq!(feed(&mut l, &hit("e")).0, ["e/0 Ok"]);
+    link.on_written(link.output().len(), &mut ends);
+    assert_eq!((link.awaiting_count(), link.task_count(), ends.len()), (3, 3, 0));
+    assert_eq!(receive(&mut link, &hit("e")).0, ["e/0 Ok"]);
 }
 
-/// Work whose first byte the socket has not taken is looked at again when it can go: its executor may drain by then.
+/// Whether to send unwritten work is decided again when it can be written, because its executor may be
+/// draining by then.
 #[test]
-fn work_of_which_no_byte_is_out_goes_back_in_line_in_its_order() {
-    let (mut l, mut ends) = (L::new(0), Vec::new());
-    ["a", "b", "c"].iter().for_each(|id| l.push(0, attempt(id)));
-    l.push(0, Task::Probe(1));
-    l.begin(0, write, &mut ends);
-    l.push(0, attempt("d"));
+fn unwritten_work_is_requeued_in_its_order() {
+    let (mut link, mut ends) = (TestLink::new(0), Vec::new());
+    ["a", "b", "c"].iter().for_each(|id| link.push(0, attempt(id)));
+    link.push(0, Task::Probe(1));
+    link.start_queued(0, write, &mut ends);
+    link.push(0, attempt("d"));
     let line = line_length(&attempt("a"));
-    l.sent(line + 1, &mut ends);
-    l.put_back(|task| task.new_work(|()| "f").is_some());
-    let waiting: Vec<_> = l.waiting().map(|task| matches!(task, Task::Attempt { .. })).collect();
-    assert_eq!(waiting, [true, true], "c and d; a is out whole, b has begun, the probe is no work");
-    assert_eq!(l.out().len(), line - 1 + line_length(&Task::Probe(1)));
-    l.begin(1, |_, _| Start::Dropped, &mut ends);
-    assert_eq!(words(ends), ["c unsent", "d unsent"]);
-    assert_eq!(feed(&mut l, &hit("a")).0, ["a/0 Ok"]);
+    link.on_written(line + 1, &mut ends);
+    link.requeue_unwritten(|task| task.new_work(|()| "f").is_some());
+    let waiting: Vec<_> = link.queued().map(|task| matches!(task, Task::Attempt { .. })).collect();
+    assert_eq!(
+        waiting,
+        [true, true],
+        "c and d; a is completely and b partly written, and the probe is not new work"
+    );
+    assert_eq!(link.output().len(), line - 1 + line_length(&Task::Probe(1)));
+    link.start_queued(1, |_, _| Start::Dropped, &mut ends);
+    assert_eq!(summaries(ends), ["c unsent", "d unsent"]);
+    assert_eq!(receive(&mut link, &hit("a")).0, ["a/0 Ok"]);
 }
 
 fn line_length(task: &Task<()>) -> usize {
@@ -230,31 +236,32 @@
 }
 
 #[test]
-fn what_is_held_stays_in_line_until_it_may_begin_or_must_not() {
-    let (mut l, mut ends) = (L::new(0), Vec::new());
-    l.push(0, attempt("a"));
-    l.push(0, Task::OrderQuestion { number: 1, key: "f".into() });
-    let hold_work = |task: &Task<()>, out: &mut Vec<u8>| match task {
-        Task::Attempt { .. } => Start::Held,
+fn deferred_tasks_stay_queued() {
+    let (mut link, mut ends) = (TestLink::new(0), Vec::new());
+    link.push(0, attempt("a"));
+    link.push(0, Task::OrderQuestion { number: 1, key: "f".into() });
+    let defer_work = |task: &Task<()>, out: &mut Vec<u8>| match task {
+        Task::Attempt { .. } => Start::Deferred,
         _ => write(task, out),
     };
-    l.begin(0, hold_work, &mut ends);
-    assert!(l.out().starts_with(b"{\"type\":\"SPAWN\",\"req\":\"ask-1\"") && ends.is_empty());
-    assert_eq!(l.busy(), 2);
-    assert!(l.withhold(&"a".into(), 0, &mut ends), "its client may leave while it waits");
+    link.start_queued(0, defer_work, &mut ends);
+    assert!(link.output().starts_with(b"{\"type\":\"SPAWN\",\"req\":\"ask-1\"") && ends.is_empty());
+    assert_eq!(link.task_count(), 2);
+    assert!(link.withhold(&"a".into(), 0, &mut ends), "its client may disconnect while it waits");
 }
 
-/// Each answer proves what the executor did at some moment after the first byte of what it answers, and no more.
+/// Each answer proves what the executor did at some time after the first byte of the answered task was
+/// written.
 #[test]
-fn answers_prove_what_executors_did_after_what_they_answer_began() {
-    let answer = |task: Task<()>, word: &str, name: &str| {
-        let (mut l, mut ends) = (L::new(0), Vec::new());
-        l.push(3, task);
-        l.begin(5, write, &mut ends);
-        l.sent(l.out().len(), &mut ends);
-        let line = format!("{{\"type\":\"{word}\",\"req\":\"{name}\",\"meta\":{{\"slots_up\":2}}}}\n");
-        feed(&mut l, &line);
-        l.evidence()
+fn answers_prove_what_executors_did_after_the_task_was_started() {
+    let answer = |task: Task<()>, kind: &str, name: &str| {
+        let (mut link, mut ends) = (TestLink::new(0), Vec::new());
+        link.push(3, task);
+        link.start_queued(5, write, &mut ends);
+        link.on_written(link.output().len(), &mut ends);
+        let line = format!("{{\"type\":\"{kind}\",\"req\":\"{name}\",\"meta\":{{\"slots_up\":2}}}}\n");
+        receive(&mut link, &line);
+        link.take_evidence()
     };
     let probe = || Task::ProbeQuestion { number: 1 };
     let asks = || Task::OrderQuestion { number: 1, key: "f".into() };
@@ -264,171 +271,188 @@
     assert_eq!(answer(attempt("a"), "SHED", "a"), [Evidence::WorkRejected]);
     assert_eq!(answer(probe(), "PONG", "ask-1"), confirms(None));
     assert_eq!(answer(probe(), "SICK", "ask-1"), [Evidence::Denied]);
-    assert_eq!(answer(probe(), "SHED", "ask-1"), [Evidence::QuestionRejected], "a full table's word");
+    assert_eq!(
+        answer(probe(), "SHED", "ask-1"),
+        [Evidence::QuestionRejected],
+        "sent by a full connection table"
+    );
     assert_eq!(answer(asks(), "HIT", "ask-1"), confirms(Some(2)));
     assert_eq!(answer(asks(), "SHED", "ask-1"), [Evidence::QuestionRejected]);
     assert_eq!(answer(asks(), "FAULT", "ask-1"), [Evidence::Inconclusive]);
-    assert_eq!(answer(order(), "HIT", "load-3"), [], "one that drains may take it");
-    assert_eq!(answer(order(), "SHED", "load-3"), [], "for want of room, it may be");
-    for word in ["NONE", "FAULT", "LATE"] {
-        assert_eq!(answer(attempt("a"), word, "a"), [], "{word}");
+    assert_eq!(answer(order(), "HIT", "load-3"), [], "a draining executor may accept it");
+    assert_eq!(answer(order(), "SHED", "load-3"), [], "may be due to a lack of room");
+    for kind in ["NONE", "FAULT", "LATE"] {
+        assert_eq!(answer(attempt("a"), kind, "a"), [], "{kind}");
     }
-    assert_eq!(answer(Task::Probe(1), "SICK", "probe-1"), [], "it was not asked for that");
+    assert_eq!(answer(Task::Probe(1), "SICK", "probe-1"), [], "a plain probe is not a question");
 }
 
 #[test]
-fn a_retired_connection_takes_nothing_new_and_ends_what_is_on_it() {
-    let mut l = out(&["a"]);
-    l.retire();
-    assert!(!l.takes("b") && l.spent());
-    assert_eq!(feed(&mut l, &hit("a")).0, ["a/0 Ok"]);
+fn a_retired_connection_accepts_no_new_tasks_but_completes_the_others() {
+    let mut link = sent_link(&["a"]);
+    link.retire();
+    assert!(!link.accepts("b") && link.is_retired());
+    assert_eq!(receive(&mut link, &hit("a")).0, ["a/0 Ok"]);
 }
 
 #[test]
-fn one_cut_in_the_middle_of_its_line_can_only_be_kept_back_by_the_connections_end() {
-    let (mut l, mut ends) = (L::new(0), Vec::new());
-    l.push(0, attempt("a"));
-    l.begin(0, write, &mut ends);
-    l.sent(5, &mut ends);
-    assert_eq!(l.off(&"a".into(), 0, CancelReason::Cancelled, &mut ends), Off::Cut);
-    assert_eq!(l.off(&"x".into(), 0, CancelReason::Cancelled, &mut ends), Off::Unknown);
-    assert_eq!(broken(l, false), ["a unsent"]);
+fn a_partly_written_attempt_can_only_be_stopped_by_closing_the_connection() {
+    let (mut link, mut ends) = (TestLink::new(0), Vec::new());
+    link.push(0, attempt("a"));
+    link.start_queued(0, write, &mut ends);
+    link.on_written(5, &mut ends);
+    assert_eq!(link.cancel(&"a".into(), 0, CancelReason::Cancelled, &mut ends), CancelResult::PartlySent);
+    assert_eq!(link.cancel(&"x".into(), 0, CancelReason::Cancelled, &mut ends), CancelResult::Unknown);
+    assert_eq!(close(link, false), ["a unsent"]);
 }
 
 #[test]
-fn a_good_answer_beside_junk_counts_and_the_connection_takes_nothing_new() {
-    let mut l = out(&["a"]);
-    let (ends, good) = feed(&mut l, &format!("{}{}", hit("unknown"), hit("a")));
+fn a_valid_answer_after_an_unknown_one_counts_and_the_connection_is_retired() {
+    let mut link = sent_link(&["a"]);
+    let (ends, good) = receive(&mut link, &format!("{}{}", hit("unknown"), hit("a")));
     assert_eq!((ends, good), (vec!["a/0 Ok".to_owned()], true));
-    assert!(!l.takes("b") && l.spent());
-    let mut l = out(&["a"]);
-    assert_eq!(feed(&mut l, &format!("{}{}", hit("a"), hit("a"))).0, ["a/0 Ok"], "a second copy is nobody's");
-    assert!(l.spent());
+    assert!(!link.accepts("b") && link.is_retired());
+    let mut link = sent_link(&["a"]);
+    assert_eq!(
+        receive(&mut link, &format!("{}{}", hit("a"), hit("a"))).0,
+        ["a/0 Ok"],
+        "the duplicate is ignored"
+    );
+    assert!(link.is_retired());
 }
 
 #[test]
-fn a_spoilt_answer_is_the_one_attempts_error_or_everybodys_reset() {
+fn a_bad_answer_fails_the_only_attempt_or_resets_all_of_them() {
     for junk in [
         "noise\n",
         "{\"type\":\"HIT\",\"req\":\"a\",\"data\":\"%\"}\n",
         "{\"type\":\"PONG\",\"req\":\"a\"}\n",
     ] {
-        let mut l = out(&["a"]);
-        assert!(!feed(&mut l, junk).1, "{junk}");
-        assert_eq!(broken(l, true), ["a/0 Error"]);
-        let mut l = out(&["a", "b"]);
-        assert!(!feed(&mut l, junk).1);
-        assert_eq!(broken(l, true), ["a/0 Reset", "b/0 Reset"]);
+        let mut link = sent_link(&["a"]);
+        assert!(!receive(&mut link, junk).1, "{junk}");
+        assert_eq!(close(link, true), ["a/0 Error"]);
+        let mut link = sent_link(&["a", "b"]);
+        assert!(!receive(&mut link, junk).1);
+        assert_eq!(close(link, true), ["a/0 Reset", "b/0 Reset"]);
     }
 }
 
 #[test]
-fn a_line_without_end_is_given_up_at_its_bound() {
-    let (mut l, mut fed) = (out(&["a"]), 0);
+fn a_line_without_end_is_an_error_at_the_maximum_length() {
+    let (mut link, mut received) = (sent_link(&["a"]), 0);
     let piece = "x".repeat(10_000);
-    let spoilt = loop {
-        match l.feed(1, piece.as_bytes(), &mut Vec::new()) {
-            Ok(()) => fed += piece.len(),
+    let error = loop {
+        match link.on_bytes(1, piece.as_bytes(), &mut Vec::new()) {
+            Ok(()) => received += piece.len(),
             Err(e) => break e,
         }
     };
-    assert_eq!(spoilt, Spoilt::Endless);
-    assert!(fed <= line::MOST && l.held() <= line::MOST);
+    assert_eq!(error, LinkError::LineTooLong);
+    assert!(received <= line::MAX_LINE_BYTES && link.buffered_bytes() <= line::MAX_LINE_BYTES);
 }
 
 #[test]
-fn a_connection_that_gave_up_too_much_is_used_up() {
+fn a_connection_with_too_many_cancellations_is_retired() {
     let ids: Vec<String> = (0..40).map(|n| format!("{n}")).collect();
-    let mut l = out(&ids.iter().map(String::as_str).collect::<Vec<_>>());
+    let mut link = sent_link(&ids.iter().map(String::as_str).collect::<Vec<_>>());
     for id in &ids {
-        l.off(&RequestId::from(id.as_str()), 0, CancelReason::Cancelled, &mut Vec::new());
+        link.cancel(&RequestId::from(id.as_str()), 0, CancelReason::Cancelled, &mut Vec::new());
     }
-    assert!(l.spent());
+    assert!(link.is_retired());
 }
 
 proptest! {
-    /// Cut anywhere, the same ends come out; whatever one byte is turned into, each attempt ends once.
+    /// However the input is split, the same ends are reported. Whatever one byte is changed to, each attempt
+    /// ends once.
     #[test]
-    fn any_split_and_any_mutation(cuts in proptest::collection::vec(1usize..20, 1..60), at in 0usize..200, to in any::<u8>()) {
+    fn splits_do_not_matter_and_mutations_end_each_attempt_once(cuts in proptest::collection::vec(1usize..20, 1..60), at in 0usize..200, to in any::<u8>()) {
         let text: String = ["a", "b", "c"].map(hit).concat();
-        let (mut l, mut rest, mut all) = (out(&["a", "b", "c"]), &text[..], Vec::new());
+        let (mut link, mut rest, mut all) = (sent_link(&["a", "b", "c"]), &text[..], Vec::new());
         for cut in cuts {
             let (piece, after) = rest.split_at(cut.min(rest.len()));
-            all.extend(feed(&mut l, piece).0);
+            all.extend(receive(&mut link, piece).0);
             rest = after;
         }
-        all.extend(feed(&mut l, rest).0);
+        all.extend(receive(&mut link, rest).0);
         prop_assert_eq!(all, ["a/0 Ok", "b/0 Ok", "c/0 Ok"]);
 
         let mut bytes = text.into_bytes();
         let at = at % bytes.len();
         bytes[at] = to;
-        let (mut l, mut ends) = (out(&["a", "b", "c"]), Vec::new());
-        let spoilt = l.feed(1, &bytes, &mut ends).is_err();
-        l.broken(spoilt, &mut ends);
-        let mut ids: Vec<String> = words(ends).iter().map(|w| w[..1].to_owned()).collect();
+        let (mut link, mut ends) = (sent_link(&["a", "b", "c"]), Vec::new());
+        let bad_answer = link.on_bytes(1, &bytes, &mut ends).is_err();
+        link.close(bad_answer, &mut ends);
+        let mut ids: Vec<String> = summaries(ends).iter().map(|w| w[..1].to_owned()).collect();
         ids.sort();
         prop_assert_eq!(ids, ["a", "b", "c"]);
     }
 }
 
 #[test]
-fn a_standing_connection_is_trusted_until_something_went_without_a_word() {
-    let mut r = Reach::new(500);
-    assert!(r.trusted(0, 500) && r.trusted(1_000_000, 500), "silence where nothing was asked proves nothing");
-    r.asked(1000);
-    r.asked(1400); // the first counts
-    assert!(r.trusted(1500, 500) && !r.trusted(1501, 500));
-    assert_eq!(r.heard(), Some(1000));
-    assert!(r.trusted(1501, 500));
+fn a_connection_is_trusted_until_something_is_unanswered_for_too_long() {
+    let mut reachability = Reachability::new(500);
+    assert!(
+        reachability.is_trusted(0, 500) && reachability.is_trusted(1_000_000, 500),
+        "silence proves nothing if nothing was sent"
+    );
+    reachability.on_sent(1000);
+    reachability.on_sent(1400); // the first counts
+    assert!(reachability.is_trusted(1500, 500) && !reachability.is_trusted(1501, 500));
+    assert_eq!(reachability.on_received(), Some(1000));
+    assert!(reachability.is_trusted(1501, 500));
 }
 
 #[test]
-fn silence_is_borne_as_long_as_executors_usually_take_and_no_longer_than_four_times_the_least() {
-    let mut p = Patience::new(500);
-    assert_eq!(p.span(), 500);
-    p.word(900);
-    p.word(100);
-    assert!((880..=900).contains(&p.span()), "{}", p.span());
-    (0..200).for_each(|_| p.word(100));
-    assert_eq!(p.span(), 500, "a queue of long ago is forgotten");
-    p.word(60_000);
-    assert_eq!(p.span(), 2000);
+fn the_tolerated_silence_is_the_usual_one_up_to_four_times_the_minimum() {
+    let mut tolerance = SilenceTolerance::new(500);
+    assert_eq!(tolerance.get(), 500);
+    tolerance.observe(900);
+    tolerance.observe(100);
+    assert!((880..=900).contains(&tolerance.get()), "{}", tolerance.get());
+    (0..200).for_each(|_| tolerance.observe(100));
+    assert_eq!(tolerance.get(), 500, "an earlier long silence is forgotten");
+    tolerance.observe(60_000);
+    assert_eq!(tolerance.get(), 2000);
 }
 
 #[test]
-fn calls_go_together_while_connections_hold_and_apart_while_they_break() {
-    let mut s = Sharing::default();
-    let until = |s: &mut Sharing, once| (0..).take_while(|_| (s.together(once) == 1, s.answered()).0).count();
-    assert!(s.together(false) > 1);
-    assert_eq!(s.together(true), 1, "what must not run twice waits for proof");
-    assert!((70..80).contains(&until(&mut s, true)));
-    s.broke();
-    assert_eq!((s.together(false), s.together(true)), (1, 1));
-    assert!((20..60).contains(&until(&mut s, false)));
-    s.broke();
-    s.broke();
-    assert!((200..400).contains(&until(&mut s, false)), "breaks add up");
-    assert!((100..300).contains(&until(&mut s, true)));
+fn calls_share_connections_only_while_these_are_reliable() {
+    let mut sharing = Sharing::default();
+    let until = |sharing: &mut Sharing, once| {
+        (0..).take_while(|_| (sharing.max_calls(once) == 1, sharing.on_answer()).0).count()
+    };
+    assert!(sharing.max_calls(false) > 1);
+    assert_eq!(sharing.max_calls(true), 1, "calls that must not run twice need more evidence");
+    assert!((70..80).contains(&until(&mut sharing, true)));
+    sharing.on_break();
+    assert_eq!((sharing.max_calls(false), sharing.max_calls(true)), (1, 1));
+    assert!((20..60).contains(&until(&mut sharing, false)));
+    sharing.on_break();
+    sharing.on_break();
+    assert!((200..400).contains(&until(&mut sharing, false)), "breaks add up");
+    assert!((100..300).contains(&until(&mut sharing, true)));
 }
 
 #[test]
-fn a_full_table_is_tried_ever_more_seldom_and_at_once_after_it_took_a_call() {
-    let mut r = Reach::new(500);
+fn pauses_grow_while_connections_are_rejected_and_end_once_a_call_is_accepted() {
+    let mut reachability = Reachability::new(500);
     let mut pauses = Vec::new();
     let mut now = 0;
     for _ in 0..6 {
-        assert!(r.opens(now));
-        r.turned_away(now, 1.0);
-        r.turned_away(now, 1.0); // one that knocked beside it
+        assert!(reachability.may_connect(now));
+        reachability.on_rejected(now, 1.0);
+        reachability.on_rejected(now, 1.0); // a connection opened at the same time
         let from = now;
-        while !r.opens(now) {
+        while !reachability.may_connect(now) {
             now += 1;
         }
         pauses.push(now - from);
     }
     assert_eq!(pauses, [500, 1000, 2000, 4000, 4000, 4000]);
-    r.taken_in();
-    r.turned_away(now, 0.0);
-    assert!(!r.opens(now + 249) && r.opens(now + 250), "front ends do not come back in step");
+    reachability.on_accepted();
+    reachability.on_rejected(now, 0.0);
+    assert!(
+        !reachability.may_connect(now + 249) && reachability.may_connect(now + 250),
+        "the jitter shortens the pause"
+    );
 }
