--- a/crates/badgerwind-gateway/src/platform/shell.rs
+++ b/crates/badgerwind-gateway/src/platform/shell.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use badgerwind::interface::*;
 use badgerwind_driver::Output;
-use badgerwind_freshness::{Freshness, Terms};
+use badgerwind_freshness::{Freshness, FreshnessSettings};
 use badgerwind_instance::{Names, Transport};
 use badgerwind_platform::config::Config;
 use badgerwind_platform::shares::Shares;
@@ -92,7 +92,7 @@
             names: config.names.clone(),
             set: config.router.clone(),
             transport: config.transport,
-            shares: Shares::of(&config.limits, config.transport.most_held),
+            shares: Shares::new(&config.limits, config.transport.most_held),
             inputs,
             tasks: LocalExecutor::new(),
             scratch: RefCell::new(vec![0; 64 * 1024]),
@@ -112,14 +112,14 @@
     }
 }
 
-fn freshness_terms(config: &Config) -> Terms {
-    Terms {
+fn freshness_terms(config: &Config) -> FreshnessSettings {
+    FreshnessSettings {
         drain_grace: config.router.drain_grace,
-        answer_within: config.transport.connect_timeout,
+        answer_timeout: config.transport.connect_timeout,
         may_probe: config.router.may_probe,
         may_order: config.router.may_order,
         front_ends: config.router.front_ends,
-        chance: fastrand::Rng::with_seed(config.seed).f64(),
+        jitter: fastrand::Rng::with_seed(config.seed).f64(),
     }
 }
 
@@ -160,8 +160,8 @@
             }
             if let Some(from) = number.filter(|&f| n <= MESSAGE && f != self.own) {
                 let bytes = buf[..n].to_vec();
-                if shell.inputs.len() < shell.shares.open {
-                    shell.tell(Input::Heard { from, bytes });
+                if shell.inputs.len() < shell.shares.open_requests {
+                    shell.tell(Input::Message { from, bytes });
                 }
             }
         }
@@ -207,20 +207,20 @@
     fn carry(&mut self, now: Time, output: OutputOf<Self>) {
         let shell = &self.0;
         match output {
-            Output::Final { id, origin, answer, attempts, lag, .. } => {
-                let served = matches!(answer, badgerwind_driver::Final::Served(_));
+            Output::Answer { id, origin, answer, attempts, lag, .. } => {
+                let served = matches!(answer, badgerwind_driver::FinalAnswer::Served(_));
                 tracing::debug!(request = %id, served, attempts, lag, "answered");
                 shell.clients.answer(shell, &origin, &answer);
             }
             Output::Stream { origin, reply, .. } => {
                 // No class of the platform streams; an answer begun is an answer.
-                shell.clients.answer(shell, &origin, &badgerwind_driver::Final::Served(reply));
+                shell.clients.answer(shell, &origin, &badgerwind_driver::FinalAnswer::Served(reply));
             }
             Output::Attempt { id, attempt, worker, content, limit } => {
                 tracing::debug!(request = %id, attempt, worker, function = %content.key, "attempt");
                 shell.executors.attempt(shell, now, worker, (id, attempt, content, limit));
             }
-            Output::CallOff { id, attempt, worker, why } => {
+            Output::Cancel { id, attempt, worker, reason: why } => {
                 shell.executors.call_off(shell, worker, &id, attempt, why);
             }
             Output::Withhold { id, attempt, worker } => {
@@ -233,13 +233,16 @@
             Output::Drop { worker, function } => shell.executors.unload(shell, now, worker, &function),
             Output::Probe { worker } => shell.executors.probe(shell, now, worker),
             Output::CloseIdle { worker } => shell.executors.close_idle(worker),
-            Output::Tell { to, bytes } => {
+            Output::SendMessage { to, bytes } => {
                 if let Some(peers) = &shell.peers {
                     peers.tell(to, &bytes);
                 }
             }
             // The notice board tells without being asked. Log and Broken are the engine's own.
-            Output::Subscribe { .. } | Output::FetchList | Output::Log { .. } | Output::Broken { .. } => {}
+            Output::Subscribe { .. }
+            | Output::FetchList
+            | Output::Log { .. }
+            | Output::ModuleFailed { .. } => {}
         }
     }
 
