--- a/crates/badgerwind-config/src/order_limit.rs
+++ b/crates/badgerwind-config/src/order_limit.rs
@@ -1,62 +1,63 @@
-//! Rule 5 over a change of settings. The module keeps the limit on load orders by what it remembers; a new one
-//! remembers nothing, and the old one goes on beside it until its calls are answered. Here the orders and calls of
-//! both are counted together, and an order beyond the limit is not let out.
+//! The limit on load orders (rule 5) across a change of settings. The decision module enforces the limit from its own
+//! history. After a change, a new module starts without history while the old one runs until its calls are answered.
+//! This limit counts the orders and calls of both together and holds back orders beyond it.
 
 use badgerwind::interface::{Span, Time};
 use std::collections::VecDeque;
 
-/// The limit on load orders of one front end, whichever module gives them.
+/// The limit on load orders of one front end, across all of its decision modules. Within a sliding window it allows
+/// `free` orders plus `share` orders per accepted call.
 #[derive(Debug)]
 pub struct OrderLimit {
     window: Span,
     free: f64,
     share: f64,
     orders: VecDeque<Time>,
-    taken: VecDeque<Time>,
+    calls: VecDeque<Time>,
 }
 
 impl OrderLimit {
-    /// A limit with nothing counted yet. A window of 0 is no limit.
+    /// Creates a limit with nothing counted. A window of 0 disables the limit.
     pub fn new(window: Span, free: f64, share: f64) -> Self {
-        OrderLimit { window, free, share, orders: VecDeque::new(), taken: VecDeque::new() }
+        OrderLimit { window, free, share, orders: VecDeque::new(), calls: VecDeque::new() }
     }
 
-    /// Another limit from now on. What was counted stays, and for one window of either the stricter figures hold:
-    /// what was ordered under the old ones still counts under the new.
-    pub fn change(&mut self, window: Span, free: f64, share: f64) {
+    /// Replaces the figures of the limit. Orders and calls counted so far still count: orders given under the old
+    /// figures use up the new limit.
+    pub fn set_limit(&mut self, window: Span, free: f64, share: f64) {
         (self.window, self.free, self.share) = (window, free, share);
     }
 
-    fn forget(&mut self, now: Time) {
+    fn expire(&mut self, now: Time) {
         let from = now.saturating_sub(self.window);
         while self.orders.front().is_some_and(|&t| t < from) {
             self.orders.pop_front();
         }
-        while self.taken.front().is_some_and(|&t| t <= from) {
-            self.taken.pop_front();
+        while self.calls.front().is_some_and(|&t| t <= from) {
+            self.calls.pop_front();
         }
     }
 
-    /// A call was taken.
+    /// Counts an accepted call.
     pub fn record_call(&mut self, now: Time) {
         if self.window > 0 {
-            self.taken.push_back(now);
-            self.forget(now);
+            self.calls.push_back(now);
+            self.expire(now);
         }
     }
 
-    /// Whether one more order may go out now; it is counted if so.
+    /// Counts one more order and returns true, or returns false if the limit is reached.
     pub fn try_order(&mut self, now: Time) -> bool {
         if self.window == 0 {
             return true;
         }
-        self.forget(now);
-        let most = self.free + self.share * self.taken.len() as f64;
-        let fits = self.orders.len() as f64 + 1.0 <= most;
-        if fits {
+        self.expire(now);
+        let limit = self.free + self.share * self.calls.len() as f64;
+        let allowed = self.orders.len() as f64 + 1.0 <= limit;
+        if allowed {
             self.orders.push_back(now);
         }
-        fits
+        allowed
     }
 }
 
--- a/crates/badgerwind-config/src/wire.rs
+++ b/crates/badgerwind-config/src/wire.rs
@@ -1,86 +1,86 @@
-//! The messages of the exchange: DiscoveryRequest and DiscoveryResponse of the xDS transport protocol, in the JSON
-//! mapping of protocol buffers; fields that we have no use for are left out and passed over.
+//! The messages of the exchange: DiscoveryRequest and DiscoveryResponse of the xDS transport protocol in the JSON
+//! mapping of protocol buffers. Unused fields are not sent, and are ignored when received.
 
 use crate::client::Report;
 use serde::{Deserialize, Serialize};
 
-/// Who asks.
+/// The front end that sends a request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Node {
     /// The front end's name.
     pub id: String,
-    /// Its fleet.
+    /// The fleet that it belongs to.
     #[serde(default)]
     pub cluster: String,
-    /// What it says of itself.
+    /// Its state and health.
     #[serde(default)]
     pub metadata: Metadata,
 }
 
-/// What a front end says of itself with each question.
+/// The state that a front end reports with each request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Metadata {
-    /// Where each type of resource stands.
+    /// The state of each type of resource.
     #[serde(default)]
     pub report: Vec<Report>,
-    /// Its calls since its start.
+    /// Calls since the front end started.
     #[serde(default)]
     pub health: Health,
 }
 
-/// Calls since the start, by their answer.
+/// Calls since the front end started, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
-    /// Served.
+    /// Calls that were served.
     pub served: u64,
-    /// Refused.
+    /// Calls that were refused.
     pub refused: u64,
-    /// Failed.
+    /// Calls that failed.
     pub failed: u64,
 }
 
-/// A question, which also answers the offer before it.
+/// A request for a type of resource, which also acknowledges or rejects the last offer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DiscoveryRequest {
-    /// The version that runs; empty: the file's own.
+    /// The version that runs; empty if the settings file's own content runs.
     #[serde(default)]
     pub version_info: String,
-    /// Who asks.
+    /// The front end that sends the request.
     pub node: Node,
-    /// What for; empty: all of the type.
+    /// The requested resources; empty for all of the type.
     #[serde(default)]
     pub resource_names: Vec<String>,
-    /// The type.
+    /// The type of resource.
     pub type_url: String,
-    /// The nonce of the offer that this answers; empty where it answers none.
+    /// The nonce of the acknowledged offer; empty if none.
     #[serde(default)]
     pub response_nonce: String,
-    /// Why the offer was turned down; absent where it was not.
+    /// Why the offer was rejected; absent if it was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error_detail: Option<Status>,
 }
 
-/// google.rpc.Status, as far as it is used.
+/// The fields of google.rpc.Status that are used.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The code; 3 is INVALID_ARGUMENT, 9 FAILED_PRECONDITION, 8 RESOURCE_EXHAUSTED.
+    /// The error code: 3 is INVALID_ARGUMENT, 8 RESOURCE_EXHAUSTED, 9 FAILED_PRECONDITION.
     pub code: u32,
-    /// In words.
+    /// The error in words.
     pub message: String,
 }
 
-/// An offer.
+/// An offered version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DiscoveryResponse {
-    /// Its version: a whole number.
+    /// The version: an integer in decimal digits.
     pub version_info: String,
-    /// One resource: the part's text.
+    /// A single resource that holds the part's text.
     pub resources: Vec<Resource>,
-    /// The type.
+    /// The type of resource.
     pub type_url: String,
-    /// Names this offer.
+    /// Identifies this offer.
     pub nonce: String,
-    /// Who offers.
+    /// The control service that makes the offer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub control_plane: Option<ControlPlane>,
 }
@@ -88,16 +88,16 @@
 /// A resource.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Resource {
-    /// Its type.
+    /// The type URL.
     #[serde(rename = "@type")]
     pub kind: String,
     /// A settings document.
     pub value: String,
 }
 
-/// Who offers.
+/// The control service that makes an offer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ControlPlane {
-    /// Its name.
+    /// The name of the service.
     pub identifier: String,
 }
--- a/crates/badgerwind-gateway/src/engine.rs
+++ b/crates/badgerwind-gateway/src/engine.rs
@@ -236,7 +236,7 @@
         let fresh = Driver::new(decider, terms.limits).numbered_from(self.number << NUMBERS);
         let old = std::mem::replace(&mut self.newest, fresh);
         self.leaving.push(Leaving { number: self.number - 1, driver: old, until: now + ON_THE_WAY });
-        self.order_limit.change(terms.load_window, terms.load_free, terms.load_share);
+        self.order_limit.set_limit(terms.load_window, terms.load_free, terms.load_share);
         let entries = self.workers.values().cloned().collect();
         let list = Input::List { kind: ListKind::Whole, entries };
         self.newest.on(now, self.parts.clone().map(Input::Parts).into_iter().chain([list]), out);
