--- a/crates/badgerwind-cli/benches/config.rs
+++ b/crates/badgerwind-cli/benches/config.rs
@@ -11,7 +11,7 @@
 
 use badgerwind_check::{Answer, What};
 use badgerwind_cli::day::{play, Args};
-use badgerwind_config::client::{Client, Do, Input, Times};
+use badgerwind_config::client::{Action, Client, Input, Timing};
 use badgerwind_config::wire::DiscoveryResponse;
 use badgerwind_config::Kind;
 use badgerwind_http::{Exchange, Pool, PoolBounds};
@@ -40,24 +40,25 @@
     sent: Arc<AtomicU64>,
 ) {
     let file = parse("file.xml", FILE).unwrap();
-    let times = Times { stage: 1_000_000, retry: 50_000, most_retry: 1_000_000 };
+    let times = Timing { stage_timeout: 1_000_000, min_backoff: 50_000, max_backoff: 1_000_000 };
     let (mut client, ..) = Client::new((name, "c".into()), file, vec![], times).unwrap();
     let time = Duration::from_secs(30);
     let pool =
         Pool::new(at, PoolBounds { most: 8, connect_time: time, idle_time: time, body_bytes: 1 << 20 });
     let (mut todo, mut out) = (Vec::new(), Vec::new());
-    client.begin(0, &mut out);
+    client.start(0, &mut out);
     loop {
         todo.append(&mut out);
         let now = began.elapsed().as_micros() as u64;
         // Only the kind that versions are published of is asked about.
-        let next = todo.iter().position(|d| !matches!(d, Do::Ask { kind, .. } if *kind != Kind::Limits));
+        let next =
+            todo.iter().position(|d| !matches!(d, Action::SendRequest { kind, .. } if *kind != Kind::Limits));
         let Some(n) = next else { return };
         let input = match todo.remove(n) {
-            Do::Prepare { ticket, .. } => Input::Prepared { ticket, result: Ok(()) },
-            Do::Store { ticket, .. } => Input::Stored { ticket, result: Ok(()) },
-            Do::Apply { ticket, .. } => Input::Applied { ticket },
-            Do::Ask { kind, ask, request } => {
+            Action::Prepare { ticket, .. } => Input::Prepared { ticket, result: Ok(()) },
+            Action::Store { ticket, .. } => Input::Stored { ticket, result: Ok(()) },
+            Action::Apply { ticket, .. } => Input::Applied { ticket },
+            Action::SendRequest { kind, request_id, request } => {
                 if let Ok(version) = request.version_info.parse() {
                     seen(version, began.elapsed());
                 }
@@ -70,13 +71,13 @@
                         sent.fetch_add(body.len() as u64, Ordering::Relaxed);
                         let response = (head.status == 200)
                             .then(|| serde_json::from_slice::<DiscoveryResponse>(&body).unwrap());
-                        Input::Offered { kind, ask, response }
+                        Input::Response { kind, request_id, response }
                     }
                     Err(_) => return,
                 }
             }
         };
-        client.on(now, input, &mut out);
+        client.handle(now, input, &mut out);
     }
 }
 
--- a/crates/badgerwind-cli/src/control.rs
+++ b/crates/badgerwind-cli/src/control.rs
@@ -2,7 +2,7 @@
 
 use crate::Stop;
 use badgerwind_config::parts::Kind;
-use badgerwind_config::waves::{Rules, Stage};
+use badgerwind_config::waves::{RolloutPolicy, Stage};
 use badgerwind_control::{folder, serve, Pin, Status};
 use badgerwind_http::{Exchange, Pool, PoolBounds};
 use clap::Subcommand;
@@ -101,7 +101,7 @@
 }
 
 fn kind(text: &str) -> Result<Kind, String> {
-    Kind::named(text).ok_or_else(|| {
+    Kind::from_name(text).ok_or_else(|| {
         let names: Vec<_> = Kind::ALL.iter().map(|k| k.name()).collect();
         format!("give one of {}", names.join(", "))
     })
@@ -138,12 +138,12 @@
     match command {
         Command::Serve { folder, listen, name, first, settle_ms, most_rejected, most_worse, ready_file } => {
             badgerwind_gateway::logging::start(true, "info");
-            let rules = Rules {
-                first: first.clamp(0.0, 1.0),
-                settle: settle_ms * 1000,
-                most_rejected: *most_rejected,
-                most_worse: *most_worse,
-                forget: 60_000_000,
+            let rules = RolloutPolicy {
+                first_share: first.clamp(0.0, 1.0),
+                soak_time: settle_ms * 1000,
+                max_rejected_share: *most_rejected,
+                max_failure_increase: *most_worse,
+                front_end_timeout: 60_000_000,
             };
             smol::block_on(async {
                 let failed = |e: std::io::Error| Stop::failed(format!("cannot listen on {listen}: {e}"));
--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -6,7 +6,7 @@
 
 use badgerwind_check::What;
 use badgerwind_config::client::Report;
-use badgerwind_config::waves::Rules;
+use badgerwind_config::waves::RolloutPolicy;
 use badgerwind_config::wire::{DiscoveryRequest, DiscoveryResponse, Resource};
 use badgerwind_config::Kind;
 use badgerwind_control::{folder, serve, Status};
@@ -20,8 +20,13 @@
 use std::sync::{Arc, Mutex};
 use truth::{behaves, routes, until_running};
 
-const AT_ONCE: Rules =
-    Rules { first: 1.0, settle: 0, most_rejected: 1.0, most_worse: 1.0, forget: 60_000_000 };
+const AT_ONCE: RolloutPolicy = RolloutPolicy {
+    first_share: 1.0,
+    soak_time: 0,
+    max_rejected_share: 1.0,
+    max_failure_increase: 1.0,
+    front_end_timeout: 60_000_000,
+};
 
 fn classes(deadline_ms: u64, more: &str) -> String {
     format!(
@@ -269,7 +274,7 @@
             while let Ok(Some(head)) = conn.head().await {
                 let body = conn.body(&head).await.unwrap();
                 let request: DiscoveryRequest = serde_json::from_slice(&body).unwrap();
-                let next = if request.type_url == Kind::Routes.url() {
+                let next = if request.type_url == Kind::Routes.type_url() {
                     heard.lock().unwrap().push(request);
                     let mut script = script.lock().unwrap();
                     if script.is_empty() {
@@ -285,8 +290,8 @@
                         let nonce = format!("n{}", heard.lock().unwrap().len());
                         let response = DiscoveryResponse {
                             version_info: version.to_string(),
-                            resources: vec![Resource { kind: Kind::Routes.url(), value }],
-                            type_url: Kind::Routes.url(),
+                            resources: vec![Resource { kind: Kind::Routes.type_url(), value }],
+                            type_url: Kind::Routes.type_url(),
                             nonce,
                             control_plane: None,
                         };
--- a/crates/badgerwind-config/src/client.rs
+++ b/crates/badgerwind-config/src/client.rs
@@ -1,8 +1,9 @@
-//! One front end's side of the stream: a state machine for each type of resource, and the one change that is under
-//! way. The whole table of its transitions stands in `docs/protocols/config-stream.md`.
+//! The front end's side of the configuration stream: a state machine for each type of resource, and the single change
+//! in progress. `docs/protocols/config-stream.md` lists all state transitions.
 //!
-//! What it promises, and is tested for by properties: a version that was turned down never runs; numbers only grow;
-//! the report says what runs, at every moment; every offer is answered once; what runs is what a restart would run.
+//! Invariants, checked by property tests: a rejected version never runs; version numbers only increase; the report
+//! always states the versions that run; every offer is acknowledged exactly once; a restart resumes with the versions
+//! that run.
 
 use crate::parts::{compose, Digest, Kind, Part};
 use crate::wire::*;
@@ -16,155 +17,160 @@
 /// Microseconds of a monotonic clock.
 pub type Time = u64;
 
-/// How far an offer has come.
+/// The progress of an offered version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It needs a version of another type that has not come; it waits until then.
+    /// It depends on a version of another type that has not arrived, or a change is in progress.
     Staged,
-    /// Its keys are read and it is tried in the shadow.
+    /// Its keys are read, and recorded calls are replayed under it.
     Preparing,
-    /// It is written down.
+    /// It is being written to disk.
     Storing,
-    /// It is about to run.
+    /// It is being put into force.
     Applying,
 }
 
-/// Where a type of resource stands, told truthfully.
+/// The state of one type of resource, as reported to the control service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The type.
+    /// The type of resource.
     pub kind: Kind,
-    /// The version that runs; absent: the file's own.
+    /// The version that runs; absent if the settings file's own content runs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u64>,
-    /// The version being considered, and how far it has come.
+    /// The version under consideration, and its progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub offered: Option<(u64, Phase)>,
-    /// The newest version turned down, and why.
+    /// The version rejected last, and the reason.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rejected: Option<(u64, String)>,
 }
 
-/// What happens.
+/// An event that the state machine handles.
 #[derive(Debug)]
 pub enum Input {
-    /// The service answered a question.
-    Offered {
-        /// The type asked about.
+    /// The control service answered a request.
+    Response {
+        /// The requested type.
         kind: Kind,
-        /// The question that this answers.
-        ask: u64,
-        /// The answer; `None`: nothing new within the time it may hold a question.
+        /// The request that this answers.
+        request_id: u64,
+        /// The response; `None` if the request timed out at the service without a new version.
         response: Option<DiscoveryResponse>,
     },
-    /// A question failed.
-    Failed {
-        /// The type asked about.
+    /// A request failed.
+    RequestFailed {
+        /// The requested type.
         kind: Kind,
-        /// The question that failed.
-        ask: u64,
-        /// Chance, from 0 to 1, for the pause.
-        draw: f64,
+        /// The request that failed.
+        request_id: u64,
+        /// A random number from 0 to 1, for the jitter of the backoff.
+        random: f64,
     },
-    /// A change was tried in the shadow, its keys read.
+    /// The keys of a change were read and recorded calls were replayed under it.
     Prepared {
-        /// Which.
+        /// The change, as named by [`Action`].
         ticket: u64,
-        /// Whether it may go on.
+        /// `Err` holds the reason to reject the change.
         result: Result<(), String>,
     },
-    /// A change was written down.
+    /// A change was written to disk.
     Stored {
-        /// Which.
+        /// The change, as named by [`Action`].
         ticket: u64,
-        /// Whether it was.
+        /// `Err` holds the reason why it could not be written.
         result: Result<(), String>,
     },
-    /// A change runs.
+    /// A change is in force.
     Applied {
-        /// Which.
+        /// The change, as named by [`Action`].
         ticket: u64,
     },
-    /// Time has passed.
+    /// The time of [`Client::next_wake`] has come.
     Tick,
 }
 
-/// What to do.
+/// An action that the caller carries out.
 #[derive(Debug)]
-pub enum Do {
-    /// Ask the service. An earlier question about the type that is still open is given up.
-    Ask {
-        /// About which type.
+pub enum Action {
+    /// Send a request to the control service and abandon an earlier open request for the same type.
+    SendRequest {
+        /// The requested type.
         kind: Kind,
-        /// Names the question.
-        ask: u64,
-        /// The question, without what the front end says of its health.
+        /// Identifies the request in [`Input::Response`] and [`Input::RequestFailed`].
+        request_id: u64,
+        /// The request; its health counters are left for the caller to fill in.
         request: Box<DiscoveryRequest>,
     },
-    /// Read the keys that these settings name, try them in the shadow, and say [`Input::Prepared`].
+    /// Read the keys that these settings name, replay recorded calls under them, and report [`Input::Prepared`].
     Prepare {
-        /// Which change.
+        /// Identifies the change.
         ticket: u64,
-        /// The settings to come.
+        /// The settings after the change.
         settings: Arc<Settings>,
     },
-    /// Write down the set that will run, all or nothing, and say [`Input::Stored`].
+    /// Write the set of parts that will run to disk atomically, and report [`Input::Stored`].
     Store {
-        /// Which change.
+        /// Identifies the change.
         ticket: u64,
-        /// The set.
+        /// All parts that will run.
         parts: Vec<Part>,
     },
-    /// Run these settings from now on, and say [`Input::Applied`].
+    /// Put these settings into force, and report [`Input::Applied`].
     Apply {
-        /// Which change.
+        /// Identifies the change.
         ticket: u64,
-        /// The settings.
+        /// The settings to run.
         settings: Arc<Settings>,
     },
 }
 
-/// Times of the machine.
+/// The timeouts and backoff of the state machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct Timing {
     /// How long an offer may wait for a version of another type.
-    pub stage: Time,
-    /// The first pause after a question that failed.
-    pub retry: Time,
-    /// The longest.
-    pub most_retry: Time,
+    pub stage_timeout: Time,
+    /// The first and shortest pause after a failed request.
+    pub min_backoff: Time,
+    /// The longest pause after a failed request.
+    pub max_backoff: Time,
 }
 
 #[derive(Debug)]
 struct Offer {
     part: Part,
-    /// Turned down then, unless a change is under way; not before it was found wanting.
-    until: Time,
-    why: Vec<Problem>,
+    /// When the offer is rejected, unless a change is in progress; `Time::MAX` until a validation has failed.
+    deadline: Time,
+    /// The problems found by the last validation.
+    problems: Vec<Problem>,
 }
 
+/// The state of one type of resource.
 #[derive(Debug, Default)]
-struct Line {
+struct KindState {
     running: Option<Part>,
     offer: Option<Offer>,
-    /// The newest number turned down, with why.
+    /// The version rejected last, with the reason, as reported.
     rejected: Option<(u64, String)>,
-    /// Versions turned down lately, which are not tried again.
-    refused: VecDeque<(u64, Digest, String)>,
-    /// The nonce to answer with the next question, and why that offer was turned down if it was.
-    answer: Option<(String, Option<Status>)>,
-    /// The question that is open.
-    asking: Option<u64>,
-    ask_at: Option<Time>,
-    pause: Time,
+    /// Recently rejected versions, which are not tried again.
+    rejected_versions: VecDeque<(u64, Digest, String)>,
+    /// The nonce that the next request acknowledges, and the error if that offer was rejected.
+    acknowledgement: Option<(String, Option<Status>)>,
+    /// The id of the open request.
+    open_request: Option<u64>,
+    /// When the request is sent again after a failure.
+    next_request_at: Option<Time>,
+    /// The last pause after a failure; 0 after a response.
+    backoff: Time,
 }
 
-/// Versions turned down that are remembered, for each type.
-const MOST_REFUSED: usize = 64;
-/// Of a reason, at the most: it travels with every question.
-const MOST_REASON: usize = 1_000;
+/// Number of rejected versions remembered per type.
+const MAX_REJECTED_VERSIONS: usize = 64;
+/// Longest reason of a rejection, in bytes; every request carries it.
+const MAX_REASON_BYTES: usize = 1_000;
 
+/// The change in progress.
 #[derive(Debug)]
 struct Change {
     ticket: u64,
@@ -173,105 +179,118 @@
     settings: Arc<Settings>,
 }
 
-/// The machine.
+/// The state machine.
 #[derive(Debug)]
 pub struct Client {
+    /// The front end's name and its cluster.
     node: (String, String),
+    /// The settings file.
     file: Document,
-    times: Times,
-    lines: BTreeMap<Kind, Line>,
+    timing: Timing,
+    kinds: BTreeMap<Kind, KindState>,
     change: Option<Change>,
     next_ticket: u64,
-    next_ask: u64,
+    next_request_id: u64,
 }
 
 fn status(code: u32, message: impl Into<String>) -> Status {
     let mut message: String = message.into();
-    if message.len() > MOST_REASON {
-        let at = (0..=MOST_REASON).rev().find(|&at| message.is_char_boundary(at)).unwrap_or(0);
+    if message.len() > MAX_REASON_BYTES {
+        let at = (0..=MAX_REASON_BYTES).rev().find(|&at| message.is_char_boundary(at)).unwrap_or(0);
         message.truncate(at);
         message.push_str(" ...");
     }
     Status { code, message }
 }
 
-fn told(problems: &[Problem]) -> String {
+fn join_problems(problems: &[Problem]) -> String {
     problems.iter().map(Problem::to_string).collect::<Vec<_>>().join("\n")
 }
 
 impl Client {
-    /// A machine that begins with what the file says and what was kept. Kept parts that do not fit the file any
-    /// more are left out, with the reason; the settings to begin with come back.
+    /// Creates a state machine from the settings file and the stored parts. Returns it with the initial settings. If
+    /// the stored parts no longer fit the file, they are all ignored and the problems are returned.
     pub fn new(
         (id, cluster): (String, String),
         file: Document,
-        kept: Vec<Part>,
-        times: Times,
+        stored: Vec<Part>,
+        timing: Timing,
     ) -> Result<(Client, Settings, Vec<Problem>), Vec<Problem>> {
-        let mut lines: BTreeMap<Kind, Line> = Kind::ALL.into_iter().map(|k| (k, Line::default())).collect();
-        let (settings, problems) = match read_tree(&compose(&file, &kept)) {
+        let mut kinds: BTreeMap<Kind, KindState> =
+            Kind::ALL.into_iter().map(|k| (k, KindState::default())).collect();
+        let (settings, problems) = match read_tree(&compose(&file, &stored)) {
             Ok(settings) => {
-                for part in kept {
-                    if let Some(line) = lines.get_mut(&part.kind) {
-                        line.running = Some(part);
+                for part in stored {
+                    if let Some(state) = kinds.get_mut(&part.kind) {
+                        state.running = Some(part);
                     }
                 }
                 (settings, Vec::new())
             }
             Err(problems) => (read_tree(&file)?, problems),
         };
-        let client =
-            Client { node: (id, cluster), file, times, lines, change: None, next_ticket: 0, next_ask: 0 };
+        let client = Client {
+            node: (id, cluster),
+            file,
+            timing,
+            kinds,
+            change: None,
+            next_ticket: 0,
+            next_request_id: 0,
+        };
         Ok((client, settings, problems))
     }
 
-    /// Begins: asks about every type.
-    pub fn begin(&mut self, now: Time, out: &mut Vec<Do>) {
+    /// Starts the exchange by requesting every type.
+    pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
         for kind in Kind::ALL {
-            self.ask(now, kind, out);
+            self.send_request(now, kind, out);
         }
     }
 
-    /// Where every type stands.
+    /// The state of every type.
     pub fn report(&self) -> Vec<Report> {
-        let one = |(&kind, line): (&Kind, &Line)| {
+        let report = |(&kind, state): (&Kind, &KindState)| {
             let changing = self
                 .change
                 .as_ref()
                 .and_then(|c| c.parts.iter().find(|p| p.kind == kind).map(|p| (p.version, c.phase)));
-            let staged = line.offer.as_ref().map(|o| (o.part.version, Phase::Staged));
+            let staged = state.offer.as_ref().map(|o| (o.part.version, Phase::Staged));
             Report {
                 kind,
-                running: line.running.as_ref().map(|p| p.version),
+                running: state.running.as_ref().map(|p| p.version),
                 offered: changing.or(staged),
-                rejected: line.rejected.clone(),
+                rejected: state.rejected.clone(),
             }
         };
-        self.lines.iter().map(one).collect()
+        self.kinds.iter().map(report).collect()
     }
 
-    /// When it wants [`Input::Tick`].
+    /// When the caller must deliver [`Input::Tick`].
     pub fn next_wake(&self) -> Option<Time> {
-        let asks = self.lines.values().filter_map(|l| l.ask_at);
-        let staged = self.lines.values().filter_map(|l| l.offer.as_ref().map(|o| o.until));
-        let stages = staged.filter(|until| self.change.is_none() && *until < Time::MAX);
-        asks.chain(stages).min()
+        let requests = self.kinds.values().filter_map(|s| s.next_request_at);
+        let offers = self.kinds.values().filter_map(|s| s.offer.as_ref().map(|o| o.deadline));
+        let deadlines = offers.filter(|deadline| self.change.is_none() && *deadline < Time::MAX);
+        requests.chain(deadlines).min()
     }
 
-    /// Takes in what happened.
-    pub fn on(&mut self, now: Time, input: Input, out: &mut Vec<Do>) {
+    /// Handles an event and appends the resulting actions to `out`.
+    pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Action>) {
         match input {
-            Input::Offered { kind, ask, response } => self.offered(now, (kind, ask), response, out),
-            Input::Failed { kind, ask, draw } => {
-                let (first, most) = (self.times.retry, self.times.most_retry);
-                let Some(line) = self.lines.get_mut(&kind).filter(|l| l.asking == Some(ask)) else { return };
-                line.asking = None;
-                // Decorrelated jitter: each pause is drawn between the first and thrice the last, so that front
-                // ends that lost the service together do not come back together.
-                let last = line.pause.max(first) as f64;
-                let span = first as f64 + draw.clamp(0.0, 1.0) * (3.0 * last - first as f64);
-                line.pause = (span as Time).clamp(first, most);
-                line.ask_at = Some(now + line.pause);
+            Input::Response { kind, request_id, response } => {
+                self.on_response(now, (kind, request_id), response, out)
+            }
+            Input::RequestFailed { kind, request_id, random } => {
+                let (min, max) = (self.timing.min_backoff, self.timing.max_backoff);
+                let open = |s: &&mut KindState| s.open_request == Some(request_id);
+                let Some(state) = self.kinds.get_mut(&kind).filter(open) else { return };
+                state.open_request = None;
+                // Decorrelated jitter: each pause is drawn between the minimum and three times the last one, so that
+                // front ends that lost the service at the same time do not reconnect at the same time.
+                let last = state.backoff.max(min) as f64;
+                let pause = min as f64 + random.clamp(0.0, 1.0) * (3.0 * last - min as f64);
+                state.backoff = (pause as Time).clamp(min, max);
+                state.next_request_at = Some(now + state.backoff);
             }
             Input::Prepared { ticket, result } => {
                 let Some(change) = self.change.take_if(|c| c.ticket == ticket && c.phase == Phase::Preparing)
@@ -280,7 +299,7 @@
                 };
                 match result {
                     Ok(()) => self.store(change, out),
-                    Err(why) => self.reject_change(now, change, status(9, why), out),
+                    Err(error) => self.reject_change(now, change, status(9, error), out),
                 }
             }
             Input::Stored { ticket, result } => {
@@ -292,12 +311,17 @@
                 match result {
                     Ok(()) => {
                         change.phase = Phase::Applying;
-                        out.push(Do::Apply { ticket, settings: change.settings.clone() });
+                        out.push(Action::Apply { ticket, settings: change.settings.clone() });
                         self.change = Some(change);
                     }
-                    // What cannot be kept does not run: a restart would fall back behind it.
-                    Err(why) => {
-                        self.reject_change(now, change, status(8, format!("it cannot be kept: {why}")), out);
+                    // A change that cannot be stored must not run: a restart would revert it.
+                    Err(error) => {
+                        self.reject_change(
+                            now,
+                            change,
+                            status(8, format!("it cannot be kept: {error}")),
+                            out,
+                        );
                     }
                 }
             }
@@ -308,92 +332,95 @@
                 };
                 for part in change.parts {
                     let kind = part.kind;
-                    if let Some(line) = self.lines.get_mut(&kind) {
-                        line.running = Some(part);
+                    if let Some(state) = self.kinds.get_mut(&kind) {
+                        state.running = Some(part);
                     }
-                    self.ask(now, kind, out);
+                    self.send_request(now, kind, out);
                 }
-                self.try_offers(now, out);
+                self.begin_next_change(now, out);
             }
             Input::Tick => self.tick(now, out),
         }
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<Do>) {
+    fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
         for kind in Kind::ALL {
-            if self.lines[&kind].ask_at.is_some_and(|at| at <= now) {
-                self.ask(now, kind, out);
+            if self.kinds[&kind].next_request_at.is_some_and(|at| at <= now) {
+                self.send_request(now, kind, out);
             }
-            // What waits behind a change has not been judged against it.
-            let late = |l: &mut Line| l.offer.take_if(|o| o.until <= now);
-            let lines = self.lines.get_mut(&kind).filter(|_| self.change.is_none());
-            if let Some(offer) = lines.and_then(late) {
-                let why = status(3, told(&offer.why));
-                self.reject(&offer.part, &why);
-                self.answer(now, kind, Some(why), out);
+            // While a change is in progress no offer expires: the offer has not been validated against that change.
+            let take_expired = |s: &mut KindState| s.offer.take_if(|o| o.deadline <= now);
+            let state = self.kinds.get_mut(&kind).filter(|_| self.change.is_none());
+            if let Some(offer) = state.and_then(take_expired) {
+                let error = status(3, join_problems(&offer.problems));
+                self.reject(&offer.part, &error);
+                self.acknowledge(now, kind, Some(error), out);
             }
         }
     }
 
-    fn offered(
+    fn on_response(
         &mut self,
         now: Time,
-        (kind, ask): (Kind, u64),
+        (kind, request_id): (Kind, u64),
         response: Option<DiscoveryResponse>,
-        out: &mut Vec<Do>,
+        out: &mut Vec<Action>,
     ) {
-        let Some(line) = self.lines.get_mut(&kind).filter(|l| l.asking == Some(ask)) else {
-            return; // an answer to a question that has failed or was given up
+        let open = |s: &&mut KindState| s.open_request == Some(request_id);
+        let Some(state) = self.kinds.get_mut(&kind).filter(open) else {
+            return; // a response to a request that failed or was abandoned
         };
-        (line.asking, line.pause) = (None, 0);
-        let Some(response) = response else { return self.ask(now, kind, out) };
-        line.answer = Some((response.nonce.clone(), None));
-        match self.judge(kind, &response) {
-            Ok(None) => self.ask(now, kind, out), // what runs, offered again
+        (state.open_request, state.backoff) = (None, 0);
+        let Some(response) = response else { return self.send_request(now, kind, out) };
+        state.acknowledgement = Some((response.nonce.clone(), None));
+        match self.validate_response(kind, &response) {
+            Ok(None) => self.send_request(now, kind, out), // already running or waiting
             Ok(Some(part)) => {
-                if let Some(line) = self.lines.get_mut(&kind) {
-                    line.offer = Some(Offer { part, until: Time::MAX, why: Vec::new() });
+                if let Some(state) = self.kinds.get_mut(&kind) {
+                    state.offer = Some(Offer { part, deadline: Time::MAX, problems: Vec::new() });
                 }
-                // A change of the same type that is only being tried gives way to the newer one.
+                // A newer version replaces a change of the same type that is still being prepared.
                 if self
                     .change
                     .as_ref()
                     .is_some_and(|c| c.phase == Phase::Preparing && c.parts.iter().any(|p| p.kind == kind))
                 {
-                    self.give_way(kind);
+                    self.supersede_change(kind);
                 }
-                self.try_offers(now, out);
+                self.begin_next_change(now, out);
             }
-            Err((part, why)) => {
+            Err((part, error)) => {
                 if let Some((version, digest)) = part {
-                    self.refuse(kind, version, digest, &why);
+                    self.record_rejection(kind, version, digest, &error);
                 }
-                self.answer(now, kind, Some(why), out);
+                self.acknowledge(now, kind, Some(error), out);
             }
         }
     }
 
-    /// The parts of other types in a change that gives way are offers again.
-    fn give_way(&mut self, newer: Kind) {
+    /// Abandons the change in progress for a newer version of `newer`. Its parts of other types become offers again.
+    fn supersede_change(&mut self, newer: Kind) {
         let Some(change) = self.change.take() else { return };
         for part in change.parts.into_iter().filter(|p| p.kind != newer) {
-            if let Some(line) = self.lines.get_mut(&part.kind) {
-                let until = Time::MAX; // it was fit before; it is judged anew at once
-                line.offer.get_or_insert(Offer { part, until, why: Vec::new() });
+            if let Some(state) = self.kinds.get_mut(&part.kind) {
+                // It was valid before, and is validated again at once.
+                let offer = Offer { part, deadline: Time::MAX, problems: Vec::new() };
+                state.offer.get_or_insert(offer);
             }
         }
     }
 
-    /// A fresh part; `None` where it runs already; or why it cannot be, with what names it if it has a number.
-    #[allow(clippy::type_complexity)] // one use
-    fn judge(
+    /// Validates a response by itself. Returns the new part, `None` if it runs or waits already, or the error, with
+    /// version and digest unless the error must not mark the version as rejected.
+    #[allow(clippy::type_complexity)] // the type is used only here
+    fn validate_response(
         &self,
         kind: Kind,
         response: &DiscoveryResponse,
     ) -> Result<Option<Part>, (Option<(u64, Digest)>, Status)> {
-        let line = &self.lines[&kind];
-        if response.type_url != kind.url() {
-            let text = format!("type_url is {}, asked was {}", response.type_url, kind.url());
+        let state = &self.kinds[&kind];
+        if response.type_url != kind.type_url() {
+            let text = format!("type_url is {}, asked was {}", response.type_url, kind.type_url());
             return Err((None, status(3, text)));
         }
         let Ok(version) = response.version_info.parse::<u64>() else {
@@ -405,15 +432,14 @@
         let [resource] = &response.resources[..] else {
             return Err((None, status(3, format!("{} resources, one was asked", response.resources.len()))));
         };
-        let part = Part::read(kind, version, &resource.value);
+        let part = Part::parse(kind, version, &resource.value);
         let digest = part.as_ref().map_or_else(|_| text_digest(&resource.value), |p| p.digest);
-        let named = Some((version, digest));
-        if line.offer.as_ref().is_some_and(|o| o.part.version == version && o.part.digest == digest) {
-            return Ok(None); // it waits already
+        if state.offer.as_ref().is_some_and(|o| o.part.version == version && o.part.digest == digest) {
+            return Ok(None); // already waiting
         }
-        // What is about to run counts as what runs: a question may have stayed open beside the change.
+        // A version being applied counts as running: a request may have stayed open during the change.
         let changing = self.change.as_ref().and_then(|c| c.parts.iter().find(|p| p.kind == kind));
-        if let Some(running) = changing.or(line.running.as_ref()) {
+        if let Some(running) = changing.or(state.running.as_ref()) {
             if version == running.version && digest == running.digest {
                 return Ok(None);
             }
@@ -431,138 +457,140 @@
                 return Err((None, status(9, text)));
             }
         }
-        if let Some((_, _, why)) = line.refused.iter().find(|(v, d, _)| *v == version && *d == digest) {
-            return Err((None, status(9, format!("turned down before: {why}"))));
+        if let Some((_, _, error)) =
+            state.rejected_versions.iter().find(|(v, d, _)| *v == version && *d == digest)
+        {
+            return Err((None, status(9, format!("turned down before: {error}"))));
         }
-        part.map(Some).map_err(|p| (named, status(3, told(&p))))
+        part.map(Some).map_err(|p| (Some((version, digest)), status(3, join_problems(&p))))
     }
 
-    /// Begins the next change that can be: one offer by itself, or all of them together.
-    fn try_offers(&mut self, now: Time, out: &mut Vec<Do>) {
+    /// Begins a change with the first offer that is valid by itself, or else with all offers if they are valid together.
+    fn begin_next_change(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.change.is_some() {
             return;
         }
         for kind in Kind::ALL {
-            let Some(offer) = self.lines[&kind].offer.as_ref() else { continue };
+            let Some(offer) = self.kinds[&kind].offer.as_ref() else { continue };
             let (part, running) = (offer.part.clone(), self.running());
             let others = running.iter().filter(|p| p.kind != kind);
-            let whole = compose(&self.file, others.chain([&part]));
-            let mut form = Vec::new();
-            check(&whole, &ROOT, &mut form);
-            if !form.is_empty() {
-                // What is malformed by itself no other part can mend.
-                if let Some(line) = self.lines.get_mut(&kind) {
-                    line.offer = None;
+            let document = compose(&self.file, others.chain([&part]));
+            let mut schema_problems = Vec::new();
+            check(&document, &ROOT, &mut schema_problems);
+            if !schema_problems.is_empty() {
+                // No other part can correct a violation of the schema.
+                if let Some(state) = self.kinds.get_mut(&kind) {
+                    state.offer = None;
                 }
-                let why = status(3, told(&form));
-                self.reject(&part, &why);
-                self.answer(now, kind, Some(why), out);
+                let error = status(3, join_problems(&schema_problems));
+                self.reject(&part, &error);
+                self.acknowledge(now, kind, Some(error), out);
                 continue;
             }
-            match read_tree(&whole) {
-                Ok(settings) => return self.start(vec![part], settings, out),
-                Err(why) => {
-                    if let Some(offer) = self.lines.get_mut(&kind).and_then(|l| l.offer.as_mut()) {
-                        offer.why = why;
-                        offer.until = offer.until.min(now + self.times.stage);
+            match read_tree(&document) {
+                Ok(settings) => return self.begin_change(vec![part], settings, out),
+                Err(problems) => {
+                    if let Some(offer) = self.kinds.get_mut(&kind).and_then(|s| s.offer.as_mut()) {
+                        offer.problems = problems;
+                        offer.deadline = offer.deadline.min(now + self.timing.stage_timeout);
                     }
                 }
             }
         }
         let offers: Vec<Part> =
-            self.lines.values().filter_map(|l| l.offer.as_ref().map(|o| o.part.clone())).collect();
+            self.kinds.values().filter_map(|s| s.offer.as_ref().map(|o| o.part.clone())).collect();
         if offers.len() > 1 {
             let running = self.running();
             let others = running.iter().filter(|p| offers.iter().all(|o| o.kind != p.kind));
             if let Ok(settings) = read_tree(&compose(&self.file, others.chain(&offers))) {
-                return self.start(offers, settings, out);
+                return self.begin_change(offers, settings, out);
             }
         }
-        // What waits for another type still asks, so that a newer version of its own can come.
+        // A type whose offer waits for another type still sends requests, so that a newer version can arrive.
         for kind in Kind::ALL {
-            let line = &self.lines[&kind];
-            if line.offer.is_some() && line.asking.is_none() {
-                self.ask(now, kind, out);
+            let state = &self.kinds[&kind];
+            if state.offer.is_some() && state.open_request.is_none() {
+                self.send_request(now, kind, out);
             }
         }
     }
 
     fn running(&self) -> Vec<Part> {
-        self.lines.values().filter_map(|l| l.running.clone()).collect()
+        self.kinds.values().filter_map(|s| s.running.clone()).collect()
     }
 
-    fn start(&mut self, parts: Vec<Part>, settings: Settings, out: &mut Vec<Do>) {
+    fn begin_change(&mut self, parts: Vec<Part>, settings: Settings, out: &mut Vec<Action>) {
         for part in &parts {
-            if let Some(line) = self.lines.get_mut(&part.kind) {
-                line.offer = None;
+            if let Some(state) = self.kinds.get_mut(&part.kind) {
+                state.offer = None;
             }
         }
         self.next_ticket += 1;
         let (ticket, settings) = (self.next_ticket, Arc::new(settings));
-        out.push(Do::Prepare { ticket, settings: settings.clone() });
+        out.push(Action::Prepare { ticket, settings: settings.clone() });
         self.change = Some(Change { ticket, phase: Phase::Preparing, parts, settings });
     }
 
-    fn store(&mut self, mut change: Change, out: &mut Vec<Do>) {
+    fn store(&mut self, mut change: Change, out: &mut Vec<Action>) {
         let mut parts = self.running();
         parts.retain(|p| change.parts.iter().all(|c| c.kind != p.kind));
         parts.extend(change.parts.iter().cloned());
         change.phase = Phase::Storing;
-        out.push(Do::Store { ticket: change.ticket, parts });
+        out.push(Action::Store { ticket: change.ticket, parts });
         self.change = Some(change);
     }
 
-    fn reject_change(&mut self, now: Time, change: Change, why: Status, out: &mut Vec<Do>) {
+    fn reject_change(&mut self, now: Time, change: Change, error: Status, out: &mut Vec<Action>) {
         for part in &change.parts {
-            self.reject(part, &why);
-            self.answer(now, part.kind, Some(why.clone()), out);
+            self.reject(part, &error);
+            self.acknowledge(now, part.kind, Some(error.clone()), out);
         }
-        self.try_offers(now, out);
+        self.begin_next_change(now, out);
     }
 
-    fn reject(&mut self, part: &Part, why: &Status) {
-        self.refuse(part.kind, part.version, part.digest, why);
+    fn reject(&mut self, part: &Part, error: &Status) {
+        self.record_rejection(part.kind, part.version, part.digest, error);
     }
 
-    fn refuse(&mut self, kind: Kind, version: u64, digest: Digest, why: &Status) {
-        let Some(line) = self.lines.get_mut(&kind) else { return };
-        line.rejected = Some((version, why.message.clone()));
-        line.refused.push_back((version, digest, why.message.clone()));
-        if line.refused.len() > MOST_REFUSED {
-            line.refused.pop_front();
+    fn record_rejection(&mut self, kind: Kind, version: u64, digest: Digest, error: &Status) {
+        let Some(state) = self.kinds.get_mut(&kind) else { return };
+        state.rejected = Some((version, error.message.clone()));
+        state.rejected_versions.push_back((version, digest, error.message.clone()));
+        if state.rejected_versions.len() > MAX_REJECTED_VERSIONS {
+            state.rejected_versions.pop_front();
         }
     }
 
-    /// Answers the offer of a type with the next question.
-    fn answer(&mut self, now: Time, kind: Kind, why: Option<Status>, out: &mut Vec<Do>) {
-        if let Some(line) = self.lines.get_mut(&kind) {
-            if let (Some(answer), Some(why)) = (&mut line.answer, why) {
-                answer.1 = Some(why);
+    /// Acknowledges the last response of a type with the next request; `error` rejects it.
+    fn acknowledge(&mut self, now: Time, kind: Kind, error: Option<Status>, out: &mut Vec<Action>) {
+        if let Some(state) = self.kinds.get_mut(&kind) {
+            if let (Some(acknowledgement), Some(error)) = (&mut state.acknowledgement, error) {
+                acknowledgement.1 = Some(error);
             }
         }
-        self.ask(now, kind, out);
+        self.send_request(now, kind, out);
     }
 
-    fn ask(&mut self, now: Time, kind: Kind, out: &mut Vec<Do>) {
+    fn send_request(&mut self, now: Time, kind: Kind, out: &mut Vec<Action>) {
         let report = self.report();
-        let Some(line) = self.lines.get_mut(&kind) else { return };
-        if line.ask_at.is_some_and(|at| at > now) {
-            return; // the pause after a failure holds for answers too
+        let Some(state) = self.kinds.get_mut(&kind) else { return };
+        if state.next_request_at.is_some_and(|at| at > now) {
+            return; // the backoff after a failure delays acknowledgements too
         }
-        self.next_ask += 1;
-        let ask = self.next_ask;
-        (line.asking, line.ask_at) = (Some(ask), None);
-        let (response_nonce, error_detail) = line.answer.clone().unwrap_or_default();
+        self.next_request_id += 1;
+        let request_id = self.next_request_id;
+        (state.open_request, state.next_request_at) = (Some(request_id), None);
+        let (response_nonce, error_detail) = state.acknowledgement.clone().unwrap_or_default();
         let metadata = Metadata { report, health: Health::default() };
         let request = DiscoveryRequest {
-            version_info: line.running.as_ref().map_or_else(String::new, |p| p.version.to_string()),
+            version_info: state.running.as_ref().map_or_else(String::new, |p| p.version.to_string()),
             node: Node { id: self.node.0.clone(), cluster: self.node.1.clone(), metadata },
             resource_names: vec![],
-            type_url: kind.url(),
+            type_url: kind.type_url(),
             response_nonce,
             error_detail,
         };
-        out.push(Do::Ask { kind, ask, request: Box::new(request) });
+        out.push(Action::SendRequest { kind, request_id, request: Box::new(request) });
     }
 }
 
--- a/crates/badgerwind-config/src/lib.rs
+++ b/crates/badgerwind-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Configuration in numbered versions: what a front end makes of each offer, what it stores over a restart, how a
-//! change is tried without effects first, and how a control service lets one out in waves. No I/O; time and chance
-//! come in as arguments.
+//! Versioned configuration: the front end's state machine for offered versions, the stored form that survives a
+//! restart, the replay of recorded calls that tries a change without effects, and the rollout in waves by the control
+//! service. The crate does no I/O; time and random numbers are arguments.
 //!
-//! The exchange is the state-of-the-world variant of the xDS transport in its JSON mapping, long-polled
+//! The exchange is the state-of-the-world variant of the xDS transport in its JSON mapping, with long polling
 //! (`docs/protocols/config-stream.md`).
 
 pub mod client;
@@ -13,5 +13,5 @@
 pub mod waves;
 pub mod wire;
 
-pub use client::{Client, Do, Input, Report};
+pub use client::{Action, Client, Input, Report};
 pub use parts::{Kind, Part};
--- a/crates/badgerwind-config/src/parts.rs
+++ b/crates/badgerwind-config/src/parts.rs
@@ -1,7 +1,7 @@
-//! The parts of the settings that change apart from each other, and the whole put together from them.
+//! The parts of the settings that change independently, and the document composed from them.
 //!
-//! A part is a settings document of the same form and schema that holds only its own elements. What is a machine's
-//! own stays in the file: where it listens, its number and zone, its key files.
+//! A part is a settings document of the same form and schema that contains only the elements of its kind. Settings of
+//! the single machine stay in its settings file: its listen address, number, zone and key files.
 
 use badgerwind_settings::document::{parse, Node};
 use badgerwind_settings::Problem;
@@ -13,21 +13,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Fleet figures, rules, prices, what is allowed.
+    /// Figures of the fleet, rules, prices and permissions.
     Fleet,
     /// Classes, tenants, functions.
     Classes,
-    /// Senders and routes; secrets by reference only.
+    /// Senders and routes. Secrets are references to files.
     Routes,
-    /// Bounds of the webhook front and of connections to runners.
+    /// Limits of the webhook front and of connections to runners.
     Limits,
 }
 
 impl Kind {
-    /// All, in the order in which a change of several is best sent: what is referred to comes first.
+    /// All kinds. Kinds that others refer to come first, which is the best order to publish a change of several kinds.
     pub const ALL: [Kind; 4] = [Kind::Fleet, Kind::Classes, Kind::Routes, Kind::Limits];
 
-    /// Its name in paths and reports.
+    /// The name in paths and reports.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Fleet => "fleet",
@@ -36,16 +36,16 @@
             Kind::Limits => "limits",
         }
     }
-    /// The kind of a name.
-    pub fn named(name: &str) -> Option<Kind> {
+    /// The kind with this name.
+    pub fn from_name(name: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|k| k.name() == name)
     }
-    /// Its `type_url`.
-    pub fn url(self) -> String {
+    /// The `type_url` of the exchange.
+    pub fn type_url(self) -> String {
         format!("type.badgerwind/settings.{}", self.name())
     }
 
-    /// The outermost elements that a part of this kind may hold.
+    /// The top-level elements that a part of this kind may contain.
     fn elements(self) -> &'static [&'static str] {
         match self {
             Kind::Fleet => &["fleet", "rules", "prices", "allow", "report"],
@@ -56,61 +56,61 @@
     }
 }
 
-/// What stays each machine's own, whatever a part says.
-const OWN: [(&str, &[&str]); 4] = [
+/// Attributes that belong to the single machine, by element; a part never changes them.
+const LOCAL_ATTRS: [(&str, &[&str]); 4] = [
     ("fleet", &["number", "zone", "seed"]),
     ("webhook", &["listen"]),
     ("runners", &["key-file"]),
     ("stop", &[]),
 ];
 
-/// What a part may hold in its webhook element; all else there is a machine's own.
-const ROUTES: [&str; 2] = ["sender", "route"];
+/// The children that a part's `<webhook>` may contain; all others belong to the single machine.
+const ROUTE_ELEMENTS: [&str; 2] = ["sender", "route"];
 
-/// SHA-256 of a part's text, by which the same number with other content is told.
+/// SHA-256 of a part's text; detects a version number that is reused with other content.
 pub type Digest = [u8; 32];
 
 /// A version of a part.
 #[derive(Clone, Debug)]
 pub struct Part {
-    /// Its kind.
+    /// The type of resource.
     pub kind: Kind,
-    /// Its number; numbers only grow.
+    /// The version number; numbers only increase.
     pub version: u64,
-    /// Its text.
+    /// The text as published.
     pub text: Arc<str>,
-    /// Of the text.
+    /// The digest of the text.
     pub digest: Digest,
     node: Node,
 }
 
-/// The longest text of a part.
-pub const MOST_BYTES: usize = 4 * 1024 * 1024;
+/// Longest text of a part, in bytes.
+pub const MAX_PART_BYTES: usize = 4 * 1024 * 1024;
 
 impl Part {
-    /// Reads a part; what is not XML, or not of its kind, is told by line.
-    pub fn read(kind: Kind, version: u64, text: &str) -> Result<Part, Vec<Problem>> {
+    /// Parses a part. Returns the problems, with their lines, if the text is not XML or has elements of another kind.
+    pub fn parse(kind: Kind, version: u64, text: &str) -> Result<Part, Vec<Problem>> {
         let file = format!("{}:{version}", kind.name());
-        let whole = |what: String, right: &str| Problem {
+        let document_problem = |what: String, right: &str| Problem {
             file: file.clone(),
             line: 1,
             element: "badgerwind".into(),
             what,
             right: right.into(),
         };
-        if text.len() > MOST_BYTES {
-            return Err(vec![whole(format!("{} bytes", text.len()), "a part is smaller")]);
+        if text.len() > MAX_PART_BYTES {
+            return Err(vec![document_problem(format!("{} bytes", text.len()), "a part is smaller")]);
         }
         let node = parse(&file, text).map_err(|p| vec![p])?;
         if node.name != "badgerwind" || node.attr("version") != Some("1") {
-            return Err(vec![whole(
+            return Err(vec![document_problem(
                 "not a settings document".into(),
                 "its root is <badgerwind version=\"1\">",
             )]);
         }
         let names = kind.elements();
-        let strange = node.children.iter().filter(|c| !names.contains(&c.name.as_str()));
-        let strange: Vec<Problem> = strange
+        let unexpected = node.children.iter().filter(|c| !names.contains(&c.name.as_str()));
+        let unexpected: Vec<Problem> = unexpected
             .map(|c| Problem {
                 file: file.clone(),
                 line: c.line,
@@ -119,17 +119,18 @@
                 right: format!("it may hold {}", names.join(", ")),
             })
             .collect();
-        if !strange.is_empty() {
-            return Err(strange);
+        if !unexpected.is_empty() {
+            return Err(unexpected);
         }
-        let own = node.all("webhook").flat_map(|w| &w.children).find(|c| !ROUTES.contains(&c.name.as_str()));
-        if let Some(own) = own {
+        let is_local = |c: &&Node| !ROUTE_ELEMENTS.contains(&c.name.as_str());
+        let local = node.all("webhook").flat_map(|w| &w.children).find(is_local);
+        if let Some(local) = local {
             return Err(vec![Problem {
                 file,
-                line: own.line,
-                element: own.name.clone(),
+                line: local.line,
+                element: local.name.clone(),
                 what: "is each machine's own, and stays in its file".into(),
-                right: format!("a part's webhook holds {}", ROUTES.join(", ")),
+                right: format!("a part's webhook holds {}", ROUTE_ELEMENTS.join(", ")),
             }]);
         }
         let digest = Sha256::digest(text.as_bytes()).into();
@@ -137,24 +138,24 @@
     }
 }
 
-/// The whole document: the file's, with each part in its place.
+/// Composes the settings document from the file and the parts; a part replaces the file's elements of its kind.
 pub fn compose<'a>(file: &Node, parts: impl IntoIterator<Item = &'a Part>) -> Node {
-    let mut whole = file.clone();
+    let mut document = file.clone();
     for part in parts {
         match part.kind {
             Kind::Fleet | Kind::Classes => {
                 let names = part.kind.elements();
-                let own = whole.children.iter().find(|c| c.name == "fleet").cloned();
-                whole.children.retain(|c| !names.contains(&c.name.as_str()));
-                whole.children.extend(part.node.children.iter().cloned());
-                if let (Kind::Fleet, Some(own)) = (part.kind, own) {
-                    keep_own(&mut whole, &own);
+                let old_fleet = document.children.iter().find(|c| c.name == "fleet").cloned();
+                document.children.retain(|c| !names.contains(&c.name.as_str()));
+                document.children.extend(part.node.children.iter().cloned());
+                if let (Kind::Fleet, Some(old_fleet)) = (part.kind, old_fleet) {
+                    restore_local_attrs(&mut document, &old_fleet);
                 }
             }
             Kind::Routes => {
-                let Some(to) = whole.children.iter_mut().find(|c| c.name == "webhook") else { continue };
-                // Budgets and certificates stand in the same element and are the machine's own.
-                let routes = |c: &&Node| ROUTES.contains(&c.name.as_str());
+                let Some(to) = document.children.iter_mut().find(|c| c.name == "webhook") else { continue };
+                // The same element also contains budgets and certificates, which belong to the single machine.
+                let routes = |c: &&Node| ROUTE_ELEMENTS.contains(&c.name.as_str());
                 to.children.retain(|c| !routes(&c));
                 for from in part.node.all("webhook") {
                     to.children.extend(from.children.iter().filter(routes).cloned());
@@ -162,29 +163,30 @@
             }
             Kind::Limits => {
                 for from in &part.node.children {
-                    match whole.children.iter_mut().find(|c| c.name == from.name) {
+                    match document.children.iter_mut().find(|c| c.name == from.name) {
                         Some(to) => {
-                            let own = own_names(&to.name);
-                            to.attrs.retain(|(n, _)| own.contains(&n.as_str()));
-                            let given = from.attrs.iter().filter(|(n, _)| !own.contains(&n.as_str()));
-                            to.attrs.extend(given.cloned());
+                            let local = local_attrs(&to.name);
+                            to.attrs.retain(|(n, _)| local.contains(&n.as_str()));
+                            let shared = from.attrs.iter().filter(|(n, _)| !local.contains(&n.as_str()));
+                            to.attrs.extend(shared.cloned());
                         }
-                        None => whole.children.push(from.clone()),
+                        None => document.children.push(from.clone()),
                     }
                 }
             }
         }
     }
-    whole
+    document
 }
 
-fn own_names(element: &str) -> &'static [&'static str] {
-    OWN.iter().find(|(e, _)| *e == element).map_or(&[], |(_, names)| names)
+fn local_attrs(element: &str) -> &'static [&'static str] {
+    LOCAL_ATTRS.iter().find(|(e, _)| *e == element).map_or(&[], |(_, names)| names)
 }
 
-fn keep_own(whole: &mut Node, own: &Node) {
-    let names = own_names(&own.name);
-    let Some(to) = whole.children.iter_mut().find(|c| c.name == own.name) else { return };
+/// Copies the machine's own attributes of an element back into the document.
+fn restore_local_attrs(document: &mut Node, old: &Node) {
+    let names = local_attrs(&old.name);
+    let Some(to) = document.children.iter_mut().find(|c| c.name == old.name) else { return };
     to.attrs.retain(|(n, _)| !names.contains(&n.as_str()));
-    to.attrs.extend(own.attrs.iter().filter(|(n, _)| names.contains(&n.as_str())).cloned());
+    to.attrs.extend(old.attrs.iter().filter(|(n, _)| names.contains(&n.as_str())).cloned());
 }
--- a/crates/badgerwind-config/src/shadow.rs
+++ b/crates/badgerwind-config/src/shadow.rs
@@ -1,55 +1,66 @@
-//! A change tried without effects: recorded calls run through a new driver with the new settings, against runners
-//! that answer as the recorded ones did on average. It finds a module that panics under the new settings, and
-//! settings under which nothing is served that was served before.
+//! Tries a change without effects: recorded calls are replayed through a new driver with the new settings. Simulated
+//! runners answer a served call after its recorded latency, and everything else after the average one. This detects a
+//! decision module that panics under the new settings, and settings under which no call is served although calls were
+//! served before.
 
 use badgerwind::interface::*;
 use badgerwind::Router;
 use badgerwind_driver::{AttemptEnd, Call, Driver, Final, Input, Limits, OrderId, Output};
-use badgerwind_settings::Settings;
+use badgerwind_settings::{Function, Settings};
 use std::collections::BTreeMap;
 
-/// A call as it was recorded: names, since places differ between settings.
+/// A recorded call. It refers to class, tenant and function by name, since indices differ between settings.
 #[derive(Clone, Debug)]
-pub struct Recorded {
-    /// When it came.
-    pub at: Time,
-    /// Its class's name.
+pub struct RecordedCall {
+    /// The time of arrival.
+    pub arrived_at: Time,
+    /// The name of its class.
     pub class: String,
-    /// Its tenant's name.
+    /// The name of its tenant.
     pub tenant: String,
-    /// Its function's name.
+    /// The name of its function.
     pub function: String,
-    /// How long its sender would wait.
-    pub waits: Span,
-    /// It was served.
+    /// How long its sender waits for the answer.
+    pub sender_timeout: Span,
+    /// Whether it was served.
     pub served: bool,
-    /// How long that took.
-    pub lag: Span,
+    /// The time from arrival to the answer.
+    pub latency: Span,
 }
 
-/// What the shadow showed.
+/// The result of a replay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Shown {
-    /// Calls replayed: those that the new settings know.
+pub struct ReplayResult {
+    /// Replayed calls: those whose class, tenant and function the new settings declare.
     pub calls: usize,
-    /// Served when recorded.
+    /// Replayed calls that were served when recorded.
     pub served_before: usize,
-    /// Served in the shadow.
+    /// Replayed calls that were served in the replay.
     pub served: usize,
 }
 
-/// Calls that were served before, from which on none served is a verdict.
-const FEW: usize = 5;
+/// Number of calls served before, from which on a replay without any served call rejects the change.
+const MIN_SERVED_CALLS: usize = 5;
 
+/// A recorded call with the indices and the function of the new settings.
+#[derive(Clone, Copy)]
+struct ReplayedCall<'a> {
+    call: &'a RecordedCall,
+    class: usize,
+    tenant: usize,
+    function: &'a Function,
+}
+
+/// A scheduled event of the replay.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Scheduled {
     Call(usize),
     Attempt(RequestId, u32),
     Order(OrderId, u32),
 }
 
-/// The bounds of a driver, from the settings: the daemon's and the shadow's alike.
-pub fn limits(settings: &Settings) -> Limits {
+/// The limits of a driver according to the settings, for the daemon and for replays.
+pub fn driver_limits(settings: &Settings) -> Limits {
     Limits {
         most_held: settings.most_held,
         max_attempts: settings.router.max_attempts,
@@ -60,66 +71,72 @@
     }
 }
 
-/// Replays recorded calls through new settings. `entries`: the runners, as listed. The error is why the change
-/// should be turned down.
-pub fn shadow(settings: &Settings, entries: &[WorkerEntry], calls: &[Recorded]) -> Result<Shown, String> {
-    let limits = limits(settings);
+/// Replays recorded calls under new settings. `entries` are the listed runners. The error is the reason to reject the
+/// change.
+pub fn replay(
+    settings: &Settings,
+    entries: &[WorkerEntry],
+    calls: &[RecordedCall],
+) -> Result<ReplayResult, String> {
+    let limits = driver_limits(settings);
     let mut driver = Driver::new(Router::new(1, settings.router.clone()), limits);
-    let start = calls.first().map_or(1, |c| c.at.max(1));
-    let (mut out, mut shown) = (Vec::new(), Shown::default());
+    let start = calls.first().map_or(1, |c| c.arrived_at.max(1));
+    let (mut out, mut result) = (Vec::new(), ReplayResult::default());
     let list = Input::List { kind: ListKind::Whole, entries: entries.to_vec() };
     driver.on(start, [list], &mut out);
-    let mut due: BTreeMap<(Time, u64), Due> = BTreeMap::new();
+    let mut events: BTreeMap<(Time, u64), Scheduled> = BTreeMap::new();
     let mut seq = 0;
-    let mut set = |due: &mut BTreeMap<_, _>, at: Time, what: Due| {
+    let mut schedule = |events: &mut BTreeMap<_, _>, at: Time, event: Scheduled| {
         seq += 1;
-        due.insert((at, seq), what);
+        events.insert((at, seq), event);
     };
-    let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-    let mut known = Vec::new();
+    let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
+    let mut replayed = Vec::new();
     for call in calls {
-        let class = place(&settings.classes, &call.class);
-        let tenant = place(&settings.tenants, &call.tenant);
+        let class = index_of(&settings.classes, &call.class);
+        let tenant = index_of(&settings.tenants, &call.tenant);
         let function = settings.functions.iter().find(|f| f.name == call.function);
         if let (Some(class), Some(tenant), Some(function)) = (class, tenant, function) {
-            set(&mut due, call.at, Due::Call(known.len()));
-            known.push((call, class, tenant, function));
-            shown.calls += 1;
-            shown.served_before += usize::from(call.served);
+            schedule(&mut events, call.arrived_at, Scheduled::Call(replayed.len()));
+            replayed.push(ReplayedCall { call, class, tenant, function });
+            result.calls += 1;
+            result.served_before += usize::from(call.served);
         }
     }
-    let served = known.iter().filter(|k| k.0.served);
-    let (sum, n) = served.fold((0u64, 0u64), |(s, n), k| (s + k.0.lag, n + 1));
-    let mean = (sum / n.max(1)).max(1);
-    // Every call ends by its due time, every alarm beyond that changes nothing that counts.
-    let end = known.iter().map(|k| k.0.at + k.0.waits).max().unwrap_or(start) + limits.answer_slack + 1;
+    let served = replayed.iter().filter(|k| k.call.served);
+    let (sum, count) = served.fold((0u64, 0u64), |(sum, count), k| (sum + k.call.latency, count + 1));
+    let mean_latency = (sum / count.max(1)).max(1);
+    // Every call ends by its due time; timers after that do not affect the result.
+    let end = replayed.iter().map(|k| k.call.arrived_at + k.call.sender_timeout).max().unwrap_or(start)
+        + limits.answer_slack
+        + 1;
     loop {
-        let next = due.first_key_value().map(|(&(at, _), _)| at);
+        let next = events.first_key_value().map(|(&(at, _), _)| at);
         let Some(at) = next.into_iter().chain(driver.next_wake()).min().filter(|&at| at <= end) else {
             break;
         };
         let mut inputs: Vec<Input<(), u64, ()>> = Vec::new();
-        while let Some(entry) = due.first_entry().filter(|e| e.key().0 <= at) {
+        while let Some(entry) = events.first_entry().filter(|e| e.key().0 <= at) {
             inputs.push(match entry.remove() {
-                Due::Call(n) => {
-                    let (call, class, tenant, f) = known[n];
+                Scheduled::Call(n) => {
+                    let ReplayedCall { call, class, tenant, function } = replayed[n];
                     let deadline = settings.router.classes[class].deadline;
                     let request = Request {
                         id: format!("shadow-{n}").into(),
                         retry: false,
                         tenant,
                         hint: None,
-                        function: f.name.as_str().into(),
-                        memory_mb: f.memory_mb,
-                        lanes: f.lanes,
+                        function: function.name.as_str().into(),
+                        memory_mb: function.memory_mb,
+                        lanes: function.lanes,
                         class,
-                        due: call.at + call.waits.min(deadline),
-                        load_time: f.load_time,
+                        due: call.arrived_at + call.sender_timeout.min(deadline),
+                        load_time: function.load_time,
                     };
-                    let lag = if call.served { call.lag } else { mean };
-                    Input::Call(Call { request, origin: (), content: lag })
+                    let latency = if call.served { call.latency } else { mean_latency };
+                    Input::Call(Call { request, origin: (), content: latency })
                 }
-                Due::Attempt(id, attempt) => {
+                Scheduled::Attempt(id, attempt) => {
                     let end = AttemptEnd {
                         reply: Some(()),
                         mark: CopyMark::Warm,
@@ -127,17 +144,19 @@
                     };
                     Input::AttemptEnded { id, attempt, end }
                 }
-                Due::Order(order, copies) => Input::OrderEnded { order, outcome: Outcome::Ok, copies },
+                Scheduled::Order(order, copies) => Input::OrderEnded { order, outcome: Outcome::Ok, copies },
             });
         }
         driver.on(at, inputs, &mut out);
-        for o in out.drain(..) {
-            match o {
+        for output in out.drain(..) {
+            match output {
                 Output::Attempt { id, attempt, content, .. } => {
-                    set(&mut due, at + content.max(1), Due::Attempt(id, attempt));
+                    schedule(&mut events, at + content.max(1), Scheduled::Attempt(id, attempt));
+                }
+                Output::Order { order, copies, .. } => {
+                    schedule(&mut events, at + mean_latency, Scheduled::Order(order, copies))
                 }
-                Output::Order { order, copies, .. } => set(&mut due, at + mean, Due::Order(order, copies)),
-                Output::Final { answer: Final::Served(()), .. } => shown.served += 1,
+                Output::Final { answer: Final::Served(()), .. } => result.served += 1,
                 Output::Broken { text } => {
                     return Err(format!("the decision module failed in the shadow: {text}"))
                 }
@@ -145,14 +164,14 @@
             }
         }
     }
-    if shown.served_before >= FEW && shown.served == 0 {
+    if result.served_before >= MIN_SERVED_CALLS && result.served == 0 {
         return Err(format!(
             "in the shadow none of {} calls was served; {} of them were when they came",
-            shown.calls, shown.served_before
+            result.calls, result.served_before
         ));
     }
-    if shown.calls == 0 && calls.iter().filter(|c| c.served).count() >= FEW {
+    if result.calls == 0 && calls.iter().filter(|c| c.served).count() >= MIN_SERVED_CALLS {
         return Err(format!("none of the {} calls of the last while would be known any more", calls.len()));
     }
-    Ok(shown)
+    Ok(result)
 }
--- a/crates/badgerwind-config/src/storage.rs
+++ b/crates/badgerwind-config/src/storage.rs
@@ -1,33 +1,33 @@
-//! The set that runs, as it is stored on disk: one file for all types, so that a change of two is stored whole or not
-//! at all. A file that is torn, cut or foreign is told apart by its sum.
+//! The stored form of the parts that run: a single file for all types, so that a change of several types is stored
+//! atomically. A checksum detects files that are truncated, corrupted or of another format.
 
-use crate::parts::{Kind, Part, MOST_BYTES};
+use crate::parts::{Kind, Part, MAX_PART_BYTES};
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 
-const FIRST: &str = "badgerwind-config 1";
+const HEADER: &str = "badgerwind-config 1";
 
-/// Why a file cannot be used.
+/// Why a stored file cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StorageError {
-    /// Not such a file, or of another form.
-    #[error("it does not begin with \"{FIRST}\"")]
-    Foreign,
-    /// Cut, torn or changed.
-    #[error("its sum does not match: it was cut or changed")]
-    Sum,
-    /// The sum matches and the content is not as it should be.
-    #[error("it cannot be read: {0}")]
-    Content(String),
+    /// The file has another format or version.
+    #[error("the file does not begin with \"{HEADER}\"")]
+    UnknownFormat,
+    /// The file was truncated or changed.
+    #[error("the checksum does not match: the file was truncated or changed")]
+    ChecksumMismatch,
+    /// The checksum matches, but the content is invalid.
+    #[error("the content is invalid: {0}")]
+    InvalidContent(String),
 }
 
-/// A set as bytes.
+/// Encodes a set of parts.
 pub fn encode(parts: &[Part]) -> Vec<u8> {
-    let mut text = format!("{FIRST}\n");
-    for p in parts {
+    let mut text = format!("{HEADER}\n");
+    for part in parts {
         // Writing to a `String` cannot fail.
-        let _ = writeln!(text, "{} {} {}", p.kind.name(), p.version, p.text.len());
-        text.push_str(&p.text);
+        let _ = writeln!(text, "{} {} {}", part.kind.name(), part.version, part.text.len());
+        text.push_str(&part.text);
         text.push('\n');
     }
     let sum = Sha256::digest(text.as_bytes());
@@ -37,37 +37,38 @@
     text.into_bytes()
 }
 
-/// A set from bytes.
+/// Decodes a set of parts.
 pub fn decode(bytes: &[u8]) -> Result<Vec<Part>, StorageError> {
-    if !bytes.starts_with(FIRST.as_bytes()) {
-        return Err(StorageError::Foreign);
+    if !bytes.starts_with(HEADER.as_bytes()) {
+        return Err(StorageError::UnknownFormat);
     }
-    const TAIL: usize = "sha256 ".len() + 64 + 1;
-    let at = bytes.len().checked_sub(TAIL).ok_or(StorageError::Sum)?;
-    let mut want = String::from("sha256 ");
-    Sha256::digest(&bytes[..at]).iter().for_each(|b| _ = write!(want, "{b:02x}"));
-    want.push('\n');
-    if want.as_bytes() != &bytes[at..] {
-        return Err(StorageError::Sum);
+    const TRAILER_BYTES: usize = "sha256 ".len() + 64 + 1;
+    let body_len = bytes.len().checked_sub(TRAILER_BYTES).ok_or(StorageError::ChecksumMismatch)?;
+    let mut expected = String::from("sha256 ");
+    Sha256::digest(&bytes[..body_len]).iter().for_each(|b| _ = write!(expected, "{b:02x}"));
+    expected.push('\n');
+    if expected.as_bytes() != &bytes[body_len..] {
+        return Err(StorageError::ChecksumMismatch);
     }
-    let content = |what: &str| StorageError::Content(what.into());
-    let text = std::str::from_utf8(&bytes[..at]).map_err(|_| content("not UTF-8"))?;
+    let content = |what: &str| StorageError::InvalidContent(what.into());
+    let text = std::str::from_utf8(&bytes[..body_len]).map_err(|_| content("not UTF-8"))?;
     let mut rest =
-        text.strip_prefix(FIRST).and_then(|t| t.strip_prefix('\n')).ok_or(StorageError::Foreign)?;
+        text.strip_prefix(HEADER).and_then(|t| t.strip_prefix('\n')).ok_or(StorageError::UnknownFormat)?;
     let mut parts = Vec::new();
     while !rest.is_empty() {
-        let (line, after) = rest.split_once('\n').ok_or_else(|| content("half a line"))?;
+        let (line, after) =
+            rest.split_once('\n').ok_or_else(|| content("incomplete header line of a part"))?;
         let [kind, version, length] = line.split(' ').collect::<Vec<_>>()[..] else {
-            return Err(content("a part's first line"));
+            return Err(content("malformed header line of a part"));
         };
-        let kind = Kind::named(kind).ok_or_else(|| content("an unknown kind"))?;
-        let version = version.parse().map_err(|_| content("a part's number"))?;
-        let length = length.parse().ok().filter(|&n: &usize| n <= MOST_BYTES && n < after.len());
-        let length = length.ok_or_else(|| content("a part's length"))?;
-        let body = after.get(..length).ok_or_else(|| content("a part's length"))?;
-        let part = Part::read(kind, version, body).map_err(|p| content(&p[0].to_string()))?;
+        let kind = Kind::from_name(kind).ok_or_else(|| content("unknown kind"))?;
+        let version = version.parse().map_err(|_| content("malformed version number of a part"))?;
+        let length = length.parse().ok().filter(|&n: &usize| n <= MAX_PART_BYTES && n < after.len());
+        let length = length.ok_or_else(|| content("wrong length of a part"))?;
+        let body = after.get(..length).ok_or_else(|| content("wrong length of a part"))?;
+        let part = Part::parse(kind, version, body).map_err(|p| content(&p[0].to_string()))?;
         parts.push(part);
-        rest = after[length..].strip_prefix('\n').ok_or_else(|| content("a part's end"))?;
+        rest = after[length..].strip_prefix('\n').ok_or_else(|| content("no line break after a part"))?;
     }
     Ok(parts)
 }
--- a/crates/badgerwind-config/src/waves.rs
+++ b/crates/badgerwind-config/src/waves.rs
@@ -1,9 +1,9 @@
-//! The control service's side: who is offered which version, and when a wave stops by itself.
+//! The control service's side: which front end is offered which version, and when a wave stops by itself.
 //!
-//! A version goes to a first share of the front ends. Once all of those run it, and have for a while without
-//! getting worse, it goes to the rest. It stops where more than a share of those offered it turn it down, or where
-//! those that run it serve worse than before; then nobody else is offered it. Going back is publishing the old
-//! content under a new number.
+//! A version is offered to a first share of the front ends. When all of these have run it for the soak time without
+//! failing more calls, it is offered to the rest. The wave stops if too large a share of the front ends that answered
+//! reject the version, or if a front end that runs it fails more calls than before; then no other front end is offered
+//! it. To roll back, publish the old content under a new number.
 
 use crate::client::Report;
 use crate::parts::Kind;
@@ -16,95 +16,100 @@
 /// Microseconds of a monotonic clock.
 pub type Time = u64;
 
-/// How waves go.
+/// How a version is rolled out.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
-    /// Share of the front ends in the first wave; one at the least.
-    pub first: f64,
-    /// How long all of the first must run it before the rest are offered it.
-    pub settle: Time,
-    /// A wave stops when more than this share of those that answered turned it down.
-    pub most_rejected: f64,
-    /// Or when the share of calls not served rose by more than this at those that run it.
-    pub most_worse: f64,
-    /// A front end not heard of for this long is not waited for.
-    pub forget: Time,
+pub struct RolloutPolicy {
+    /// Share of the front ends that are offered a version first; at least one front end.
+    pub first_share: f64,
+    /// How long all of the first share must run a version before the rest are offered it.
+    pub soak_time: Time,
+    /// A wave stops if more than this share of the front ends that answered reject the version.
+    pub max_rejected_share: f64,
+    /// A wave stops if the share of calls not served rises by more than this at a front end that runs the version.
+    pub max_failure_increase: f64,
+    /// A front end without a request for this long does not hold up a wave.
+    pub front_end_timeout: Time,
 }
 
-/// Where a wave stands.
+/// The stage of a wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "stage", content = "why")]
 pub enum Stage {
-    /// The first share is offered it.
+    /// The first share of the front ends is offered the version.
     First,
-    /// All are.
+    /// All front ends are offered the version.
     All,
-    /// Nobody more is.
+    /// No further front end is offered the version, for this reason.
     Stopped(String),
 }
 
+/// The rollout of one version.
 #[derive(Debug)]
 struct Wave {
     version: u64,
     stage: Stage,
+    /// The front ends of the first share.
     first: BTreeSet<String>,
-    /// Since when all of the first run it.
-    settled: Option<Time>,
-    /// Calls of each front end when it began to run it.
-    began: BTreeMap<String, Health>,
+    /// Since when all of the first share run the version.
+    soaking_since: Option<Time>,
+    /// The call counters of each front end when it began to run the version.
+    baselines: BTreeMap<String, Health>,
+    /// The front ends that rejected the version.
     rejected: BTreeSet<String>,
 }
 
-/// A front end as last heard of.
+/// The last reported state of a front end.
 #[derive(Clone, Debug, Default)]
-pub struct Front {
-    /// When.
-    pub heard: Time,
-    /// Where its types stand.
+pub struct FrontEnd {
+    /// When it sent its last request.
+    pub last_seen: Time,
+    /// The state of its types of resource.
     pub report: Vec<Report>,
-    /// Its calls since its start.
+    /// Its calls since it started.
     pub health: Health,
-    /// It is offered nothing.
+    /// Whether it is pinned to the versions that it runs, and offered nothing.
     pub pinned: bool,
 }
 
-/// Published versions and the waves that bring them out.
+/// The published versions and the waves that roll them out.
 #[derive(Debug)]
 pub struct Waves {
-    rules: Rules,
+    policy: RolloutPolicy,
     published: BTreeMap<Kind, BTreeMap<u64, Arc<str>>>,
     waves: BTreeMap<Kind, Wave>,
-    /// The last version of each kind that a wave brought to all.
-    good: BTreeMap<Kind, u64>,
-    fronts: BTreeMap<String, Front>,
+    /// The last version of each kind that was offered to all front ends.
+    last_good: BTreeMap<Kind, u64>,
+    front_ends: BTreeMap<String, FrontEnd>,
 }
 
-/// Versions kept of each kind.
-pub const MOST_VERSIONS: usize = 1_000;
-/// Front ends remembered.
-const MOST_FRONTS: usize = 100_000;
-/// Calls from which on a share of them says something.
-const ENOUGH_CALLS: u64 = 20;
+/// Number of versions kept per kind.
+pub const MAX_VERSIONS: usize = 1_000;
+/// Number of front ends remembered.
+const MAX_FRONT_ENDS: usize = 100_000;
+/// Number of calls from which on the failure rate is evaluated; fewer are mostly chance.
+const MIN_CALLS: u64 = 20;
 
-fn bad_share(from: Health, to: Health) -> Option<f64> {
-    let bad = (to.refused + to.failed).saturating_sub(from.refused + from.failed);
-    let all = bad + to.served.saturating_sub(from.served);
-    (all >= ENOUGH_CALLS).then(|| bad as f64 / all as f64)
+/// The share of calls between two reports that were refused or failed; `None` for too few calls.
+fn failure_rate(from: Health, to: Health) -> Option<f64> {
+    let unserved = (to.refused + to.failed).saturating_sub(from.refused + from.failed);
+    let all = unserved + to.served.saturating_sub(from.served);
+    (all >= MIN_CALLS).then(|| unserved as f64 / all as f64)
 }
 
 impl Waves {
-    /// Nothing published, nobody known.
-    pub fn new(rules: Rules) -> Self {
+    /// Creates an empty state: no version is published and no front end is known.
+    pub fn new(policy: RolloutPolicy) -> Self {
         Waves {
-            rules,
+            policy,
             published: BTreeMap::new(),
             waves: BTreeMap::new(),
-            good: BTreeMap::new(),
-            fronts: BTreeMap::new(),
+            last_good: BTreeMap::new(),
+            front_ends: BTreeMap::new(),
         }
     }
 
-    /// Publishes a version. A number once used keeps its content, and a number below the newest is no news.
+    /// Publishes a version and starts its wave. Reusing a number with other content is an error. A version below the
+    /// newest one is stored and not rolled out.
     pub fn publish(&mut self, kind: Kind, version: u64, text: Arc<str>) -> Result<(), String> {
         let versions = self.published.entry(kind).or_default();
         if let Some(old) = versions.get(&version) {
@@ -115,93 +120,96 @@
         }
         let newest = versions.last_key_value().map(|(v, _)| *v);
         versions.insert(version, text);
-        while versions.len() > MOST_VERSIONS {
+        while versions.len() > MAX_VERSIONS {
             versions.pop_first();
         }
         if newest.is_some_and(|n| version < n) {
             return Ok(());
         }
-        // Of the wave before, those that run it stay; it is good where it had reached all.
+        // Front ends that run the version of the previous wave keep it. That version counts as good if it was offered
+        // to all.
         if let Some(wave) = self.waves.remove(&kind).filter(|w| w.stage == Stage::All) {
-            self.good.insert(kind, wave.version);
+            self.last_good.insert(kind, wave.version);
         }
-        let mut fronts: Vec<&String> = self.fronts.keys().collect();
-        fronts.sort_by_key(|id| mix(id, version));
-        let share = (self.rules.first * fronts.len() as f64).ceil().max(1.0) as usize;
-        let first = fronts.into_iter().take(share).cloned().collect();
+        let mut front_ends: Vec<&String> = self.front_ends.keys().collect();
+        front_ends.sort_by_key(|id| wave_hash(id, version));
+        let count = (self.policy.first_share * front_ends.len() as f64).ceil().max(1.0) as usize;
+        let first = front_ends.into_iter().take(count).cloned().collect();
         let stage = Stage::First;
-        let (settled, began, rejected) = (None, BTreeMap::new(), BTreeSet::new());
-        self.waves.insert(kind, Wave { version, stage, first, settled, began, rejected });
+        let (soaking_since, baselines, rejected) = (None, BTreeMap::new(), BTreeSet::new());
+        self.waves.insert(kind, Wave { version, stage, first, soaking_since, baselines, rejected });
         Ok(())
     }
 
-    /// The versions of a kind.
+    /// The published versions of a kind.
     pub fn versions(&self, kind: Kind) -> impl Iterator<Item = (u64, &Arc<str>)> {
         self.published.get(&kind).into_iter().flatten().map(|(v, t)| (*v, t))
     }
 
-    /// Front ends heard of.
-    pub fn fronts(&self) -> impl Iterator<Item = (&String, &Front)> {
-        self.fronts.iter()
+    /// The known front ends.
+    pub fn front_ends(&self) -> impl Iterator<Item = (&String, &FrontEnd)> {
+        self.front_ends.iter()
     }
 
-    /// Where the wave of a kind stands.
+    /// The version and stage of a kind's wave.
     pub fn stage(&self, kind: Kind) -> Option<(u64, &Stage)> {
         self.waves.get(&kind).map(|w| (w.version, &w.stage))
     }
 
-    /// Holds a front end at what it runs, or lets it go on. False where it is not known.
+    /// Pins a front end to the versions that it runs, or unpins it. Returns false if the front end is unknown.
     pub fn pin(&mut self, id: &str, pinned: bool) -> bool {
-        self.fronts.get_mut(id).map(|f| f.pinned = pinned).is_some()
+        self.front_ends.get_mut(id).map(|f| f.pinned = pinned).is_some()
     }
 
-    /// A front end's word about itself.
-    pub fn heard(&mut self, now: Time, id: &str, report: &[Report], health: Health) {
-        if !self.fronts.contains_key(id) && self.fronts.len() >= MOST_FRONTS {
+    /// Records the state that a front end reports, and advances the waves.
+    pub fn record_report(&mut self, now: Time, id: &str, report: &[Report], health: Health) {
+        if !self.front_ends.contains_key(id) && self.front_ends.len() >= MAX_FRONT_ENDS {
             return;
         }
-        let front = self.fronts.entry(id.to_owned()).or_default();
+        let front = self.front_ends.entry(id.to_owned()).or_default();
         let restarted = health.served < front.health.served;
-        (front.heard, front.health, front.report) = (now, health, report.to_vec());
+        (front.last_seen, front.health, front.report) = (now, health, report.to_vec());
         for r in report {
             let Some(wave) = self.waves.get_mut(&r.kind) else { continue };
             if r.running == Some(wave.version) {
-                let began = wave.began.entry(id.to_owned()).or_insert(health);
-                // One that restarted counts anew.
-                *began = if restarted { Health::default() } else { *began };
+                let baseline = wave.baselines.entry(id.to_owned()).or_insert(health);
+                // The counters of a restarted front end begin at 0.
+                *baseline = if restarted { Health::default() } else { *baseline };
                 wave.rejected.remove(id);
             } else if r.rejected.as_ref().is_some_and(|(v, _)| *v == wave.version) {
                 wave.rejected.insert(id.to_owned());
             }
         }
         for kind in Kind::ALL {
-            self.step(now, kind);
+            self.advance(now, kind);
         }
     }
 
-    fn step(&mut self, now: Time, kind: Kind) {
+    /// Advances the wave of a kind, or stops it.
+    fn advance(&mut self, now: Time, kind: Kind) {
         let Some(wave) = self.waves.get_mut(&kind) else { return };
         if matches!(wave.stage, Stage::Stopped(_)) {
             return;
         }
-        let answered = wave.began.len() + wave.rejected.len();
+        let answered = wave.baselines.len() + wave.rejected.len();
         let share = wave.rejected.len() as f64 / answered.max(1) as f64;
-        if !wave.rejected.is_empty() && share > self.rules.most_rejected {
+        if !wave.rejected.is_empty() && share > self.policy.max_rejected_share {
             let why =
                 format!("{} of {answered} front ends that answered turned it down", wave.rejected.len());
             wave.stage = Stage::Stopped(why);
             return;
         }
-        for (id, began) in &wave.began {
-            let Some(front) = self.fronts.get(id) else { continue };
-            // Against what it was since its start: a short while before would be mostly chance.
-            let was = bad_share(Health::default(), *began).unwrap_or(0.0);
-            let worse = bad_share(*began, front.health).filter(|is| *is > was + self.rules.most_worse);
-            if let Some(is) = worse {
+        for (id, baseline) in &wave.baselines {
+            let Some(front) = self.front_ends.get(id) else { continue };
+            // Compares with the rate since the front end's start; a shorter period would be mostly chance.
+            let before = failure_rate(Health::default(), *baseline).unwrap_or(0.0);
+            let worse = failure_rate(*baseline, front.health)
+                .filter(|rate| *rate > before + self.policy.max_failure_increase);
+            if let Some(rate) = worse {
                 let why = format!(
                     "{id} runs it and leaves {:.0}% of its calls unserved, {:.0}% before",
-                    is * 100.0,
-                    was * 100.0
+                    rate * 100.0,
+                    before * 100.0
                 );
                 wave.stage = Stage::Stopped(why);
                 return;
@@ -209,36 +217,38 @@
         }
         if wave.stage == Stage::First {
             let alive = |id: &&String| {
-                self.fronts.get(*id).is_some_and(|f| !f.pinned && f.heard + self.rules.forget > now)
+                self.front_ends
+                    .get(*id)
+                    .is_some_and(|f| !f.pinned && f.last_seen + self.policy.front_end_timeout > now)
             };
-            let done = wave.first.iter().filter(alive).all(|id| wave.began.contains_key(id));
-            let any = !wave.began.is_empty();
-            match (done && any, wave.settled) {
-                (false, _) => wave.settled = None,
-                (true, None) => wave.settled = Some(now),
-                (true, Some(at)) if at + self.rules.settle <= now => wave.stage = Stage::All,
+            let all_run = wave.first.iter().filter(alive).all(|id| wave.baselines.contains_key(id));
+            let any_runs = !wave.baselines.is_empty();
+            match (all_run && any_runs, wave.soaking_since) {
+                (false, _) => wave.soaking_since = None,
+                (true, None) => wave.soaking_since = Some(now),
+                (true, Some(at)) if at + self.policy.soak_time <= now => wave.stage = Stage::All,
                 _ => {}
             }
-            if done && any && self.rules.settle == 0 {
+            if all_run && any_runs && self.policy.soak_time == 0 {
                 wave.stage = Stage::All;
             }
         }
     }
 
-    /// Time has passed: a wave that has settled goes on.
+    /// Advances the waves whose soak time has passed.
     pub fn tick(&mut self, now: Time) {
         for kind in Kind::ALL {
-            self.step(now, kind);
+            self.advance(now, kind);
         }
     }
 
-    /// What to offer a front end that runs this version, if anything.
+    /// The version to offer to a front end that runs `running`, if any.
     pub fn offer(&mut self, id: &str, kind: Kind, running: Option<u64>) -> Option<(u64, Arc<str>)> {
-        let front = self.fronts.get(id)?;
+        let front = self.front_ends.get(id)?;
         if front.pinned {
             return None;
         }
-        // What waits at the front end for another part is not offered anew.
+        // A version that was rejected, or that the front end is still considering, is not offered again.
         let known = |version: u64| {
             front.report.iter().filter(|r| r.kind == kind).any(|r| {
                 r.rejected.as_ref().is_some_and(|(v, _)| *v == version)
@@ -248,7 +258,7 @@
         let wave = self.waves.get_mut(&kind);
         let wanted = match wave {
             Some(wave) => {
-                // A front end that appears while nobody else is in the first wave is the first wave.
+                // If no front end was known when the version was published, the first one to ask is the first share.
                 if wave.first.is_empty() && wave.stage == Stage::First {
                     wave.first.insert(id.to_owned());
                 }
@@ -257,10 +267,10 @@
                 if in_wave {
                     Some(wave.version)
                 } else {
-                    self.good.get(&kind).copied()
+                    self.last_good.get(&kind).copied()
                 }
             }
-            None => self.good.get(&kind).copied(),
+            None => self.last_good.get(&kind).copied(),
         };
         let version = wanted.filter(|&v| running.is_none_or(|r| v > r) && !known(v))?;
         let text = self.published.get(&kind)?.get(&version)?.clone();
@@ -268,10 +278,11 @@
     }
 }
 
-/// FNV-1a of a name and a number: another first share for each version, and the same one after a restart.
-fn mix(id: &str, version: u64) -> u64 {
-    let mut h = fnv::FnvHasher::default();
-    h.write(id.as_bytes());
-    h.write(&version.to_le_bytes());
-    h.finish()
+/// FNV-1a hash of a front end's name and a version. Each version gets a different first share, which stays the same
+/// after a restart of the service.
+fn wave_hash(id: &str, version: u64) -> u64 {
+    let mut hasher = fnv::FnvHasher::default();
+    hasher.write(id.as_bytes());
+    hasher.write(&version.to_le_bytes());
+    hasher.finish()
 }
--- a/crates/badgerwind-config/tests/waves.rs
+++ b/crates/badgerwind-config/tests/waves.rs
@@ -1,131 +1,139 @@
-//! Waves, and the shadow.
+//! Rollout in waves, and the replay of recorded calls.
 
 use badgerwind::interface::{Availability, WorkerEntry};
 use badgerwind_config::client::Report;
 use badgerwind_config::parts::Kind;
-use badgerwind_config::shadow::{shadow, Recorded};
-use badgerwind_config::waves::{Rules, Stage, Waves};
+use badgerwind_config::shadow::{replay, RecordedCall};
+use badgerwind_config::waves::{RolloutPolicy, Stage, Waves};
 use badgerwind_config::wire::Health;
 use badgerwind_settings::read;
 
-const RULES: Rules = Rules { first: 0.2, settle: 100, most_rejected: 0.3, most_worse: 0.2, forget: 1_000 };
-const K: Kind = Kind::Classes;
+const POLICY: RolloutPolicy = RolloutPolicy {
+    first_share: 0.2,
+    soak_time: 100,
+    max_rejected_share: 0.3,
+    max_failure_increase: 0.2,
+    front_end_timeout: 1_000,
+};
+const KIND: Kind = Kind::Classes;
 
 fn report(running: Option<u64>, rejected: Option<u64>) -> Vec<Report> {
-    vec![Report { kind: K, running, offered: None, rejected: rejected.map(|v| (v, "no".into())) }]
+    vec![Report { kind: KIND, running, offered: None, rejected: rejected.map(|v| (v, "no".into())) }]
 }
 
 fn calls(served: u64, failed: u64) -> Health {
     Health { served, refused: 0, failed }
 }
 
-/// Ten front ends that run version 1, which is good, and version 2 just published.
-fn rig() -> Waves {
-    let mut w = Waves::new(RULES);
-    w.publish(K, 1, "one".into()).unwrap();
+/// Ten front ends run version 1, which was offered to all; version 2 has just been published.
+fn second_version_published() -> Waves {
+    let mut waves = Waves::new(POLICY);
+    waves.publish(KIND, 1, "one".into()).unwrap();
     for n in 0..10 {
-        w.heard(0, &id(n), &report(None, None), calls(100, 0));
+        waves.record_report(0, &id(n), &report(None, None), calls(100, 0));
     }
-    w.heard(0, &id(0), &report(Some(1), None), calls(100, 0));
-    w.tick(100);
+    waves.record_report(0, &id(0), &report(Some(1), None), calls(100, 0));
+    waves.tick(100);
     for n in 0..10 {
-        w.heard(100, &id(n), &report(Some(1), None), calls(100, 0));
+        waves.record_report(100, &id(n), &report(Some(1), None), calls(100, 0));
     }
-    assert_eq!(w.stage(K), Some((1, &Stage::All)));
-    w.publish(K, 2, "two".into()).unwrap();
-    w
+    assert_eq!(waves.stage(KIND), Some((1, &Stage::All)));
+    waves.publish(KIND, 2, "two".into()).unwrap();
+    waves
 }
 
 fn id(n: u32) -> String {
     format!("front-{n}")
 }
 
-fn offered(w: &mut Waves) -> Vec<String> {
-    (0..10).map(id).filter(|f| w.offer(f, K, Some(1)).is_some_and(|(v, _)| v == 2)).collect()
+fn offered_version_2(waves: &mut Waves) -> Vec<String> {
+    (0..10).map(id).filter(|f| waves.offer(f, KIND, Some(1)).is_some_and(|(v, _)| v == 2)).collect()
 }
 
 #[test]
-fn a_first_share_then_after_it_has_settled_the_rest() {
-    let mut w = rig();
-    let first = offered(&mut w);
+fn the_rest_is_offered_a_version_after_the_first_share_has_soaked() {
+    let mut waves = second_version_published();
+    let first = offered_version_2(&mut waves);
     assert_eq!(first.len(), 2);
-    w.heard(200, &first[0], &report(Some(2), None), calls(110, 0));
-    w.tick(290);
-    assert_eq!(offered(&mut w).len(), 2, "not all of the first run it");
-    w.heard(300, &first[1], &report(Some(2), None), calls(110, 0));
-    w.tick(399);
-    assert_eq!(w.stage(K), Some((2, &Stage::First)));
-    w.tick(400);
-    assert_eq!(w.stage(K), Some((2, &Stage::All)));
-    assert_eq!(offered(&mut w).len(), 10);
+    waves.record_report(200, &first[0], &report(Some(2), None), calls(110, 0));
+    waves.tick(290);
+    assert_eq!(offered_version_2(&mut waves).len(), 2, "not all of the first share run it");
+    waves.record_report(300, &first[1], &report(Some(2), None), calls(110, 0));
+    waves.tick(399);
+    assert_eq!(waves.stage(KIND), Some((2, &Stage::First)));
+    waves.tick(400);
+    assert_eq!(waves.stage(KIND), Some((2, &Stage::All)));
+    assert_eq!(offered_version_2(&mut waves).len(), 10);
 }
 
 #[test]
-fn one_that_is_not_heard_of_or_is_pinned_holds_nothing_up() {
+fn a_silent_or_pinned_front_end_does_not_hold_up_a_wave() {
     for pinned in [false, true] {
-        let mut w = rig();
-        let first = offered(&mut w);
+        let mut waves = second_version_published();
+        let first = offered_version_2(&mut waves);
         let (alive, other) = (&first[0], &first[1]);
         if pinned {
-            assert!(w.pin(other, true));
+            assert!(waves.pin(other, true));
         }
-        w.heard(1_200, alive, &report(Some(2), None), calls(110, 0));
-        w.tick(1_300);
-        assert_eq!(w.stage(K), Some((2, &Stage::All)), "pinned: {pinned}");
-        assert_eq!(w.offer(other, K, Some(1)).is_none(), pinned);
+        waves.record_report(1_200, alive, &report(Some(2), None), calls(110, 0));
+        waves.tick(1_300);
+        assert_eq!(waves.stage(KIND), Some((2, &Stage::All)), "pinned: {pinned}");
+        assert_eq!(waves.offer(other, KIND, Some(1)).is_none(), pinned);
     }
-    assert!(!rig().pin("nobody", true));
+    assert!(!second_version_published().pin("nobody", true));
 }
 
 #[test]
-fn a_wave_that_is_turned_down_or_does_harm_stops_by_itself() {
-    let mut w = rig();
-    let first = offered(&mut w);
-    w.heard(200, &first[0], &report(Some(1), Some(2)), calls(110, 0));
-    assert!(matches!(w.stage(K), Some((2, Stage::Stopped(why))) if why.contains("1 of 1")));
-    assert!(offered(&mut w).is_empty(), "nobody more is offered it");
-
-    let mut w = rig();
-    let first = offered(&mut w);
-    w.heard(200, &first[0], &report(Some(2), None), calls(110, 2));
-    w.heard(250, &first[0], &report(Some(2), None), calls(113, 12));
-    assert_eq!(w.stage(K), Some((2, &Stage::First)), "13 calls say nothing yet");
-    w.heard(260, &first[0], &report(Some(2), None), calls(116, 20));
+fn a_wave_stops_if_it_is_rejected_or_fails_calls() {
+    let mut waves = second_version_published();
+    let first = offered_version_2(&mut waves);
+    waves.record_report(200, &first[0], &report(Some(1), Some(2)), calls(110, 0));
+    assert!(matches!(waves.stage(KIND), Some((2, Stage::Stopped(why))) if why.contains("1 of 1")));
+    assert!(offered_version_2(&mut waves).is_empty(), "no further front end is offered it");
+
+    let mut waves = second_version_published();
+    let first = offered_version_2(&mut waves);
+    waves.record_report(200, &first[0], &report(Some(2), None), calls(110, 2));
+    waves.record_report(250, &first[0], &report(Some(2), None), calls(113, 12));
+    assert_eq!(waves.stage(KIND), Some((2, &Stage::First)), "13 calls are too few");
+    waves.record_report(260, &first[0], &report(Some(2), None), calls(116, 20));
     assert!(
-        matches!(w.stage(K), Some((2, Stage::Stopped(why))) if why.contains("75% of its calls unserved, 2% before"))
+        matches!(waves.stage(KIND), Some((2, Stage::Stopped(why))) if why.contains("75% of its calls unserved, 2% before"))
     );
-    // A new front end gets the last good one.
-    w.heard(300, "new", &report(None, None), calls(0, 0));
-    assert_eq!(w.offer("new", K, None).unwrap().0, 1);
-    // Back is forth: the old content under a new number.
-    w.publish(K, 3, "one".into()).unwrap();
-    assert_eq!(w.stage(K), Some((3, &Stage::First)));
+    // A new front end is offered the last good version.
+    waves.record_report(300, "new", &report(None, None), calls(0, 0));
+    assert_eq!(waves.offer("new", KIND, None).unwrap().0, 1);
+    // A rollback publishes the old content under a new number.
+    waves.publish(KIND, 3, "one".into()).unwrap();
+    assert_eq!(waves.stage(KIND), Some((3, &Stage::First)));
 }
 
 #[test]
-fn a_number_keeps_its_content_and_an_older_one_is_no_news() {
-    let mut w = rig();
-    assert!(w.publish(K, 2, "other".into()).is_err());
-    w.publish(K, 2, "two".into()).unwrap();
-    let before = offered(&mut w);
-    w.publish(K, 0, "zero".into()).unwrap();
-    assert_eq!(offered(&mut w), before);
-    assert!(w.offer(&before[0], K, Some(2)).is_none() && w.offer(&before[0], K, Some(7)).is_none());
+fn a_number_keeps_its_content_and_an_older_version_is_not_rolled_out() {
+    let mut waves = second_version_published();
+    assert!(waves.publish(KIND, 2, "other".into()).is_err());
+    waves.publish(KIND, 2, "two".into()).unwrap();
+    let before = offered_version_2(&mut waves);
+    waves.publish(KIND, 0, "zero".into()).unwrap();
+    assert_eq!(offered_version_2(&mut waves), before);
+    assert!(
+        waves.offer(&before[0], KIND, Some(2)).is_none() && waves.offer(&before[0], KIND, Some(7)).is_none()
+    );
 }
 
-// ---- The shadow. ----
+// ---- Replay of recorded calls. ----
 
 const FILE: &str = include_str!("../../badgerwind-settings/tests/example.xml");
 
-fn recorded(n: u64, class: &str) -> Vec<Recorded> {
-    let one = |i: u64| Recorded {
-        at: 1_000_000 + i * 20_000,
+fn recorded(n: u64, class: &str) -> Vec<RecordedCall> {
+    let one = |i: u64| RecordedCall {
+        arrived_at: 1_000_000 + i * 20_000,
         class: class.into(),
         tenant: "brolga-shire".into(),
         function: "check-household".into(),
-        waits: 3_000_000,
+        sender_timeout: 3_000_000,
         served: true,
-        lag: 80_000,
+        latency: 80_000,
     };
     (0..n).map(one).collect()
 }
@@ -136,29 +144,29 @@
 }
 
 #[test]
-fn settings_that_serve_what_was_served_pass() {
-    let s = read("f", FILE).unwrap();
-    let shown = shadow(&s, &entries(Availability::Ready), &recorded(200, "check-answers")).unwrap();
-    assert_eq!((shown.calls, shown.served_before), (200, 200));
-    assert!(shown.served >= 190, "{shown:?}");
-    let none = shadow(&s, &entries(Availability::Ready), &[]).unwrap();
-    assert_eq!(none.calls, 0, "nothing recorded says nothing");
+fn settings_that_serve_the_recorded_calls_pass() {
+    let settings = read("f", FILE).unwrap();
+    let result = replay(&settings, &entries(Availability::Ready), &recorded(200, "check-answers")).unwrap();
+    assert_eq!((result.calls, result.served_before), (200, 200));
+    assert!(result.served >= 190, "{result:?}");
+    let none = replay(&settings, &entries(Availability::Ready), &[]).unwrap();
+    assert_eq!(none.calls, 0, "nothing recorded, nothing replayed");
 }
 
 #[test]
-fn settings_under_which_nothing_is_served_are_turned_down() {
-    // Every attempt needs a worker that is warm within a window that none can meet.
+fn settings_under_which_nothing_is_served_are_rejected() {
+    // The recorded calls took 80 ms, and the new deadline is 50 ms.
     let text = FILE
         .replace("deadline=\"3s\" effect=\"repeatable\"", "deadline=\"50ms\" effect=\"repeatable\"")
         .replace("aim=\"1.2s\" deadline=\"50ms\"", "aim=\"40ms\" deadline=\"50ms\"");
-    let s = read("f", &text).unwrap();
-    let why = shadow(&s, &entries(Availability::Ready), &recorded(50, "check-answers")).unwrap_err();
+    let settings = read("f", &text).unwrap();
+    let why = replay(&settings, &entries(Availability::Ready), &recorded(50, "check-answers")).unwrap_err();
     assert!(why.contains("none of 50 calls was served; 50 of them were"), "{why}");
     let why =
-        shadow(&read("f", FILE).unwrap(), &entries(Availability::Ready), &recorded(50, "gone")).unwrap_err();
+        replay(&read("f", FILE).unwrap(), &entries(Availability::Ready), &recorded(50, "gone")).unwrap_err();
     assert!(why.contains("none of the 50 calls"), "{why}");
     assert!(
-        shadow(&s, &entries(Availability::Ready), &recorded(4, "check-answers")).is_ok(),
-        "few say nothing"
+        replay(&settings, &entries(Availability::Ready), &recorded(4, "check-answers")).is_ok(),
+        "too few calls for a result"
     );
 }
--- a/crates/badgerwind-control/src/folder.rs
+++ b/crates/badgerwind-control/src/folder.rs
@@ -1,6 +1,6 @@
 //! The folder of versions.
 
-use badgerwind_config::parts::{Kind, Part, MOST_BYTES};
+use badgerwind_config::parts::{Kind, Part, MAX_PART_BYTES};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -55,10 +55,10 @@
 /// end to say.
 pub fn publish(folder: &Path, kind: Kind, text: &str) -> Result<u64, FolderError> {
     let next = versions(folder, kind)?.last_key_value().map_or(1, |(n, _)| n + 1);
-    if text.len() > MOST_BYTES {
-        return Err(FolderError::Unfit(format!("{} bytes, {MOST_BYTES} at most", text.len())));
+    if text.len() > MAX_PART_BYTES {
+        return Err(FolderError::Unfit(format!("{} bytes, {MAX_PART_BYTES} at most", text.len())));
     }
-    Part::read(kind, next, text)
+    Part::parse(kind, next, text)
         .map_err(|p| FolderError::Unfit(p.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))?;
     let path = folder.join(kind.name());
     std::fs::create_dir_all(&path).map_err(io(&path))?;
--- a/crates/badgerwind-control/src/question.rs
+++ b/crates/badgerwind-control/src/question.rs
@@ -46,8 +46,8 @@
     pub fn response(&self, version: u64, text: &str, service: &str, nonce: u64) -> DiscoveryResponse {
         DiscoveryResponse {
             version_info: version.to_string(),
-            resources: vec![Resource { kind: self.kind.url(), value: text.to_owned() }],
-            type_url: self.kind.url(),
+            resources: vec![Resource { kind: self.kind.type_url(), value: text.to_owned() }],
+            type_url: self.kind.type_url(),
             nonce: format!("{service}-{nonce}"),
             control_plane: Some(ControlPlane { identifier: service.to_owned() }),
         }
--- a/crates/badgerwind-control/src/service.rs
+++ b/crates/badgerwind-control/src/service.rs
@@ -4,7 +4,7 @@
 use crate::question::Question;
 use badgerwind_config::client::Report;
 use badgerwind_config::parts::Kind;
-use badgerwind_config::waves::{Rules, Stage, Waves};
+use badgerwind_config::waves::{RolloutPolicy, Stage, Waves};
 use badgerwind_config::wire::{DiscoveryRequest, Health};
 use badgerwind_http::{Conn, Limits, Response};
 use serde::{Deserialize, Serialize};
@@ -141,11 +141,11 @@
                     }
                     Err(e) => bad(&e.to_string()),
                 },
-                ("POST", path) => match path.strip_prefix("/v3/discovery:").and_then(Kind::named) {
+                ("POST", path) => match path.strip_prefix("/v3/discovery:").and_then(Kind::from_name) {
                     Some(kind) => {
                         let asked = serde_json::from_slice::<DiscoveryRequest>(&body);
                         match asked {
-                            Ok(request) if request.type_url == kind.url() => {
+                            Ok(request) if request.type_url == kind.type_url() => {
                                 // A front end that has gone holds no question open.
                                 let gone = async {
                                     conn.gone().await;
@@ -188,7 +188,7 @@
             Some(None) => tracing::debug!(front = %node.id, kind = kind.name(), ?running, "answered"),
             None => {}
         }
-        self.lock().waves.heard(self.now(), &node.id, &node.metadata.report, node.metadata.health);
+        self.lock().waves.record_report(self.now(), &node.id, &node.metadata.report, node.metadata.health);
         self.changed();
         let until = Instant::now() + wait.min(MOST_WAIT);
         let mut seen = None;
@@ -216,9 +216,9 @@
             wave: inner.waves.stage(kind).map(|(v, s)| (v, s.clone())),
             unfit: inner.unfit.get(&kind).cloned().unwrap_or_default(),
         };
-        let fronts = inner.waves.fronts().map(|(id, f)| FrontStatus {
+        let fronts = inner.waves.front_ends().map(|(id, f)| FrontStatus {
             id: id.clone(),
-            heard_ms_ago: now.saturating_sub(f.heard) / 1000,
+            heard_ms_ago: now.saturating_sub(f.last_seen) / 1000,
             pinned: f.pinned,
             report: f.report.clone(),
             health: f.health,
@@ -243,7 +243,7 @@
 }
 
 /// Serves for ever. `name` tells one service from another.
-pub async fn serve(listener: TcpListener, folder: &Path, name: &str, rules: Rules) {
+pub async fn serve(listener: TcpListener, folder: &Path, name: &str, rules: RolloutPolicy) {
     let service = Arc::new(Service {
         folder: folder.to_owned(),
         name: name.to_owned(),
--- a/crates/badgerwind-gateway/src/control.rs
+++ b/crates/badgerwind-gateway/src/control.rs
@@ -13,9 +13,9 @@
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::WorkerEntry;
 use badgerwind::Router;
-use badgerwind_config::client::{Client, Do, Input, Times};
+use badgerwind_config::client::{Action, Client, Input, Timing};
 use badgerwind_config::parts::{Kind, Part};
-use badgerwind_config::shadow::{limits, shadow, Recorded};
+use badgerwind_config::shadow::{driver_limits, replay, RecordedCall};
 use badgerwind_config::wire::{DiscoveryRequest, DiscoveryResponse, Health};
 use badgerwind_config::{storage, Report};
 use badgerwind_http::{Exchange, Pool, PoolBounds};
@@ -104,8 +104,8 @@
 }
 
 impl Follower {
-    pub(crate) fn times(c: &ControlSettings) -> Times {
-        Times { stage: c.stage, retry: c.retry, most_retry: c.most_retry }
+    pub(crate) fn times(c: &ControlSettings) -> Timing {
+        Timing { stage_timeout: c.stage, min_backoff: c.retry, max_backoff: c.most_retry }
     }
 
     /// Follows the service for ever.
@@ -123,17 +123,18 @@
         let next = Arc::new(AtomicUsize::new(0));
         let mut settings_of: HashMap<u64, Box<Ready>> = HashMap::new();
         let (mut out, mut questions) = (Vec::new(), HashMap::new());
-        client.begin(me.clock.now(), &mut out);
+        client.start(me.clock.now(), &mut out);
         loop {
             *me.report.lock().unwrap_or_else(PoisonError::into_inner) = client.report();
             for d in out.drain(..) {
                 match d {
-                    Do::Ask { kind, ask, request } => {
+                    Action::SendRequest { kind, request_id, request } => {
                         // The question before it, if still open, is given up with its task.
-                        questions.insert(kind, me.ask(&pools, &next, (kind, ask), request, tell.clone()));
+                        questions
+                            .insert(kind, me.ask(&pools, &next, (kind, request_id), request, tell.clone()));
                     }
-                    Do::Prepare { ticket, settings } => me.prepare(ticket, settings, tell.clone()),
-                    Do::Store { ticket, parts } => {
+                    Action::Prepare { ticket, settings } => me.prepare(ticket, settings, tell.clone()),
+                    Action::Store { ticket, parts } => {
                         let (path, tell) = (me.folder.join(&me.settings.keep), tell.clone());
                         smol::spawn(async move {
                             let kept = smol::unblock(move || write_kept(&path, &parts)).await;
@@ -142,7 +143,7 @@
                         })
                         .detach();
                     }
-                    Do::Apply { ticket, settings } => {
+                    Action::Apply { ticket, settings } => {
                         let ready = settings_of.remove(&ticket);
                         me.apply(ticket, settings, ready, tell.clone());
                     }
@@ -150,12 +151,12 @@
             }
             let Some(input) = me.next(&told, client.next_wake()).await else { return };
             match input {
-                Told::Input(input) => client.on(me.clock.now(), input, &mut out),
+                Told::Input(input) => client.handle(me.clock.now(), input, &mut out),
                 Told::Ready(ticket, ready) => {
                     settings_of.clear(); // one change is under way at a time
                     settings_of.insert(ticket, ready);
                     let input = Input::Prepared { ticket, result: Ok(()) };
-                    client.on(me.clock.now(), input, &mut out);
+                    client.handle(me.clock.now(), input, &mut out);
                 }
             }
         }
@@ -211,12 +212,12 @@
                 }
             };
             let input = match asked.or(late).await {
-                Ok(response) => Input::Offered { kind, ask: number, response },
+                Ok(response) => Input::Response { kind, request_id: number, response },
                 Err(text) => {
                     me.warn_unanswered(pool.address(), kind, &text);
                     // The next question goes to the next service.
                     let _ = next.compare_exchange(turn, turn + 1, Ordering::Relaxed, Ordering::Relaxed);
-                    Input::Failed { kind, ask: number, draw: fastrand::f64() }
+                    Input::RequestFailed { kind, request_id: number, random: fastrand::f64() }
                 }
             };
             let _ = tell.send(Told::Input(input)).await;
@@ -237,14 +238,14 @@
     fn prepare(self: &Arc<Self>, ticket: u64, settings: Arc<Settings>, tell: Sender<Told>) {
         let me = self.clone();
         smol::spawn(async move {
-            let recent: Vec<Recorded> =
+            let recent: Vec<RecordedCall> =
                 me.front.recent.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect();
             let entries = me.listed.lock().unwrap_or_else(PoisonError::into_inner).clone();
             let folder = me.folder.clone();
             let tried = smol::unblock(move || {
                 let told = |p: Vec<Problem>| p.iter().map(Problem::to_string).collect::<Vec<_>>().join("\n");
                 let secrets = secrets::load("settings", &folder, &settings).map_err(told)?;
-                shadow(&settings, &entries, &recent)?;
+                replay(&settings, &entries, &recent)?;
                 Ok(Box::new(Ready { secrets }))
             })
             .await;
@@ -279,7 +280,7 @@
                 let seed = if settings.seed == 0 { fastrand::u64(..) } else { settings.seed };
                 let decider = Box::new(Router::new(seed, settings.router.clone()));
                 let (done, wait) = async_channel::bounded(1);
-                let terms = Terms::new(limits(&settings), &settings.router);
+                let terms = Terms::new(driver_limits(&settings), &settings.router);
                 let change = Control::Change { decider, terms, done };
                 if me.engine.send(change).await.is_err() {
                     return;
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -15,7 +15,7 @@
 use crate::trace::TraceParent;
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::*;
-use badgerwind_config::shadow::Recorded;
+use badgerwind_config::shadow::RecordedCall;
 use badgerwind_driver::{Call, Final, Lag};
 use badgerwind_guard::{forwarded, Budget, Guard, Permit, Source, Who};
 use badgerwind_http::{Conn, Limits, RequestHead, Response, ServerTls, Stream};
@@ -80,7 +80,7 @@
 pub(crate) struct Front {
     pub rules: RwLock<Arc<Rules>>,
     /// Calls of late, as a change is tried on.
-    pub recent: Mutex<VecDeque<Recorded>>,
+    pub recent: Mutex<VecDeque<RecordedCall>>,
     pub counts: Counts,
     /// Callbacks owed.
     pub owed: Arc<AtomicUsize>,
@@ -190,14 +190,14 @@
             _ => &front.counts.failed,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        front.record(Recorded {
-            at: front.clock.now().saturating_sub(lag),
+        front.record(RecordedCall {
+            arrived_at: front.clock.now().saturating_sub(lag),
             class: name.clone(),
             tenant: settings.tenants[settings.webhook.senders[self.sender].tenant].clone(),
             function: settings.functions[self.function].name.clone(),
-            waits: self.waits,
+            sender_timeout: self.waits,
             served: word == "served",
-            lag,
+            latency: lag,
         });
         front.metrics.answered(name, word, lag);
         tracing::info!(
@@ -319,10 +319,10 @@
         let _ = self.freed.try_send(());
     }
 
-    fn record(&self, call: Recorded) {
+    fn record(&self, call: RecordedCall) {
         let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let oldest = self.clock.now().saturating_sub(RECENT);
-        while recent.len() >= MOST_RECENT || recent.front().is_some_and(|c| c.at < oldest) {
+        while recent.len() >= MOST_RECENT || recent.front().is_some_and(|c| c.arrived_at < oldest) {
             recent.pop_front();
         }
         recent.push_back(call);
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -16,7 +16,7 @@
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::WorkerEntry;
 use badgerwind::Router;
-use badgerwind_config::shadow::limits;
+use badgerwind_config::shadow::driver_limits;
 use badgerwind_config::{Client, Report};
 use badgerwind_driver::Decider;
 use badgerwind_guard::Guard;
@@ -244,7 +244,7 @@
     let seed = if settings.seed == 0 { fastrand::u64(..) } else { settings.seed };
     let decider = decider.unwrap_or_else(|| Box::new(Router::new(seed, set.clone())));
     let (end, ended) = async_channel::bounded(1);
-    let terms = Terms::new(limits(&settings), set);
+    let terms = Terms::new(driver_limits(&settings), set);
     let thread = std::thread::Builder::new().name("engine".into());
     thread
         .spawn(move || {
--- a/crates/badgerwind-scale/src/config_world/front_end.rs
+++ b/crates/badgerwind-scale/src/config_world/front_end.rs
@@ -2,7 +2,7 @@
 
 use super::settings::LONGEST_DEADLINE;
 use super::SECOND;
-use badgerwind_config::client::{Client, Do, Input, Time, Times};
+use badgerwind_config::client::{Action, Client, Input, Time, Timing};
 use badgerwind_config::wire::{DiscoveryRequest, Health};
 use badgerwind_config::{Kind, Part};
 use badgerwind_settings::document::Node;
@@ -15,7 +15,8 @@
 const MOST_LEAVING: usize = 4;
 
 /// The pauses and waits of the settings' defaults.
-const TIMES: Times = Times { stage: 10 * SECOND, retry: SECOND / 2, most_retry: 30 * SECOND };
+const TIMES: Timing =
+    Timing { stage_timeout: 10 * SECOND, min_backoff: SECOND / 2, max_backoff: 30 * SECOND };
 
 /// What takes time at a front end, in microseconds.
 #[derive(Clone, Copy, Debug)]
@@ -136,7 +137,7 @@
 
     pub fn begin(&mut self, now: Time) -> Vec<Effect> {
         let mut out = Vec::new();
-        self.client.begin(now, &mut out);
+        self.client.start(now, &mut out);
         self.effects(now, out)
     }
 
@@ -147,7 +148,7 @@
     pub fn on(&mut self, now: Time, input: Input) -> Vec<Effect> {
         let applied = matches!(input, Input::Applied { .. });
         let mut out = Vec::new();
-        self.client.on(now, input, &mut out);
+        self.client.handle(now, input, &mut out);
         if applied {
             self.note_applied(now);
         }
@@ -169,31 +170,31 @@
         }
     }
 
-    fn effects(&mut self, now: Time, out: Vec<Do>) -> Vec<Effect> {
+    fn effects(&mut self, now: Time, out: Vec<Action>) -> Vec<Effect> {
         out.into_iter().map(|step| self.effect(now, step)).collect()
     }
 
-    fn effect(&mut self, now: Time, step: Do) -> Effect {
+    fn effect(&mut self, now: Time, step: Action) -> Effect {
         match step {
-            Do::Ask { kind, ask, mut request } => {
+            Action::SendRequest { kind, request_id, mut request } => {
                 request.node.metadata.health = health(now);
                 if self.fault == FrontEndFault::NamesAllVersions {
                     request.resource_names = self.all_versions();
                 }
-                Effect::Ask { kind, ask, request }
+                Effect::Ask { kind, ask: request_id, request }
             }
-            Do::Prepare { ticket, .. } => {
+            Action::Prepare { ticket, .. } => {
                 let input = Input::Prepared { ticket, result: Ok(()) };
                 Effect::Later { at: now + self.durations.prepare, input }
             }
-            Do::Store { ticket, parts } => {
+            Action::Store { ticket, parts } => {
                 self.stored = parts;
                 Effect::Later {
                     at: now + self.durations.store,
                     input: Input::Stored { ticket, result: Ok(()) },
                 }
             }
-            Do::Apply { ticket, .. } => {
+            Action::Apply { ticket, .. } => {
                 let at = self.router_changes_at(now);
                 Effect::Later { at: at + self.durations.apply, input: Input::Applied { ticket } }
             }
--- a/crates/badgerwind-scale/src/config_world/service.rs
+++ b/crates/badgerwind-scale/src/config_world/service.rs
@@ -6,7 +6,7 @@
 use super::SECOND;
 use crate::cost::ProcessorMeter;
 use badgerwind_config::client::Time;
-use badgerwind_config::waves::{Rules, Stage, Waves};
+use badgerwind_config::waves::{RolloutPolicy, Stage, Waves};
 use badgerwind_config::wire::DiscoveryRequest;
 use badgerwind_config::Kind;
 use badgerwind_control::question::Question;
@@ -111,7 +111,7 @@
 impl Service {
     /// `every_change`: evaluates held questions as often as the service does. Without it only after what can alter an
     /// answer; the answers and their moments are the same.
-    pub fn new(name: String, rules: Rules, every_change: bool, fault: ServiceFault) -> Self {
+    pub fn new(name: String, rules: RolloutPolicy, every_change: bool, fault: ServiceFault) -> Self {
         Service {
             waves: Waves::new(rules),
             name,
@@ -162,7 +162,7 @@
         let question = Question::read(kind, &request).ok()?;
         let before = self.stages();
         let metadata = &request.node.metadata;
-        self.waves.heard(now, &request.node.id, &metadata.report, metadata.health);
+        self.waves.record_report(now, &request.node.id, &metadata.report, metadata.health);
         self.note_change(now, &before);
         self.gone(front_end, kind);
         let slot = (now / SLOT) as usize % SLOTS;
--- a/crates/badgerwind-scale/src/config_world/world.rs
+++ b/crates/badgerwind-scale/src/config_world/world.rs
@@ -6,7 +6,7 @@
 use super::settings;
 use super::SECOND;
 use badgerwind_config::client::{Input, Time};
-use badgerwind_config::waves::Rules;
+use badgerwind_config::waves::RolloutPolicy;
 use badgerwind_config::wire::{DiscoveryRequest, DiscoveryResponse};
 use badgerwind_config::Kind;
 use badgerwind_settings::document::Node;
@@ -39,7 +39,7 @@
     /// Functions in the settings.
     pub functions: u64,
     /// How waves go.
-    pub rules: Rules,
+    pub rules: RolloutPolicy,
     /// What takes time at a front end.
     pub durations: Durations,
     /// Delays.
@@ -57,12 +57,22 @@
 
 impl Plan {
     /// The rules of `badgerwind control serve` by default.
-    pub const DEFAULT_RULES: Rules =
-        Rules { first: 0.1, settle: 10 * SECOND, most_rejected: 0.0, most_worse: 0.1, forget: 60 * SECOND };
+    pub const DEFAULT_RULES: RolloutPolicy = RolloutPolicy {
+        first_share: 0.1,
+        soak_time: 10 * SECOND,
+        max_rejected_share: 0.0,
+        max_failure_increase: 0.1,
+        front_end_timeout: 60 * SECOND,
+    };
 
     /// Rules under which all front ends are offered a version at once.
-    pub const AT_ONCE: Rules =
-        Rules { first: 1.0, settle: 0, most_rejected: 1.0, most_worse: 1.0, forget: 60 * SECOND };
+    pub const AT_ONCE: RolloutPolicy = RolloutPolicy {
+        first_share: 1.0,
+        soak_time: 0,
+        max_rejected_share: 1.0,
+        max_failure_increase: 1.0,
+        front_end_timeout: 60 * SECOND,
+    };
 
     /// A world without defects.
     pub fn new(front_ends: usize, services: usize, seed: u64) -> Plan {
@@ -394,7 +404,7 @@
         front_end.messages_in += 1;
         front_end.bytes_in += bytes;
         let response: Option<DiscoveryResponse> = serde_json::from_slice(body).ok();
-        let input = Input::Offered { kind: asked.kind, ask: asked.ask, response };
+        let input = Input::Response { kind: asked.kind, request_id: asked.ask, response };
         self.input(asked.front_end, asked.incarnation, input);
     }
 
@@ -418,7 +428,7 @@
         self.input(
             asked.front_end,
             asked.incarnation,
-            Input::Failed { kind: asked.kind, ask: asked.ask, draw },
+            Input::RequestFailed { kind: asked.kind, request_id: asked.ask, random: draw },
         );
     }
 }
--- a/crates/badgerwind-scale/src/rows/config.rs
+++ b/crates/badgerwind-scale/src/rows/config.rs
@@ -6,8 +6,8 @@
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use badgerwind::interface::{Availability, ListKind, WorkerEntry};
 use badgerwind::Router;
-use badgerwind_config::client::{Client, Do, Input, Times};
-use badgerwind_config::shadow::{limits, shadow, Recorded};
+use badgerwind_config::client::{Action, Client, Input, Timing};
+use badgerwind_config::shadow::{driver_limits, replay, RecordedCall};
 use badgerwind_config::{storage, Kind};
 use badgerwind_control::question::Question;
 use badgerwind_driver::Driver;
@@ -38,7 +38,7 @@
 /// Versions of each kind over which processor time is averaged.
 const PLAYED: u64 = 3;
 
-const TIMES: Times = Times { stage: 10_000_000, retry: 500_000, most_retry: 30_000_000 };
+const TIMES: Timing = Timing { stage_timeout: 10_000_000, min_backoff: 500_000, max_backoff: 30_000_000 };
 
 const fn metric(name: &'static str, unit: &'static str) -> Metric {
     Metric { name, unit }
@@ -95,7 +95,7 @@
             Client::new(name, file, Vec::new(), TIMES).map_err(|problems| format!("{problems:?}"))?;
         let mut follower = Follower { client, open: BTreeMap::new(), settings: None };
         let mut out = Vec::new();
-        follower.client.begin(0, &mut out);
+        follower.client.start(0, &mut out);
         follower.carry(out);
         Ok(follower)
     }
@@ -109,7 +109,7 @@
         let meter = ProcessorMeter::start();
         let response = serde_json::from_slice(&body).map_err(|e| e.to_string())?;
         let mut out = Vec::new();
-        self.client.on(0, Input::Offered { kind, ask, response: Some(response) }, &mut out);
+        self.client.handle(0, Input::Response { kind, request_id: ask, response: Some(response) }, &mut out);
         let bytes_out = self.carry(out);
         let microseconds = meter.microseconds();
         let running = self.client.report().into_iter().find(|r| r.kind == kind).and_then(|r| r.running);
@@ -120,28 +120,28 @@
     }
 
     /// Carries out what the client wants, at once; the bytes of its questions.
-    fn carry(&mut self, mut out: Vec<Do>) -> u64 {
+    fn carry(&mut self, mut out: Vec<Action>) -> u64 {
         let mut bytes = 0;
         while !out.is_empty() {
             let input = match out.remove(0) {
-                Do::Ask { kind, ask, request } => {
+                Action::SendRequest { kind, request_id, request } => {
                     let service = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 7_000);
                     bytes += request_bytes(service, kind, &request).0;
-                    self.open.insert(kind, ask);
+                    self.open.insert(kind, request_id);
                     continue;
                 }
-                Do::Prepare { ticket, .. } => Input::Prepared { ticket, result: Ok(()) },
-                Do::Store { ticket, parts } => {
+                Action::Prepare { ticket, .. } => Input::Prepared { ticket, result: Ok(()) },
+                Action::Store { ticket, parts } => {
                     // What the disk would get; the writing itself is no processor time.
                     std::hint::black_box(storage::encode(&parts));
                     Input::Stored { ticket, result: Ok(()) }
                 }
-                Do::Apply { ticket, settings } => {
+                Action::Apply { ticket, settings } => {
                     self.settings = Some(settings);
                     Input::Applied { ticket }
                 }
             };
-            self.client.on(0, input, &mut out);
+            self.client.handle(0, input, &mut out);
         }
         bytes
     }
@@ -180,17 +180,17 @@
 }
 
 /// Calls as a front end records them.
-fn recorded(functions: u64) -> Vec<Recorded> {
+fn recorded(functions: u64) -> Vec<RecordedCall> {
     let called = functions.clamp(1, CALLED_FUNCTIONS);
-    let call = |number: u64| Recorded {
-        at: 1_000_000 + number * CALL_EVERY,
+    let call = |number: u64| RecordedCall {
+        arrived_at: 1_000_000 + number * CALL_EVERY,
         class: "check".into(),
         tenant: "shire".into(),
         // A step that shares no factor with the number of functions spreads calls over all of them.
         function: settings::function_name(number * 7_919 % called),
-        waits: settings::LONGEST_DEADLINE,
+        sender_timeout: settings::LONGEST_DEADLINE,
         served: true,
-        lag: 60_000 + number * 37 % 80 * 1_000,
+        latency: 60_000 + number * 37 % 80 * 1_000,
     };
     (0..REPLAYED_CALLS).map(call).collect()
 }
@@ -198,7 +198,7 @@
 fn replay_microseconds(settings: &Settings, functions: u64, listed: u64) -> Result<f64, String> {
     let (entries, calls) = (workers(listed), recorded(functions));
     let meter = ProcessorMeter::start();
-    let shown = shadow(settings, &entries, &calls)?;
+    let shown = replay(settings, &entries, &calls)?;
     let microseconds = meter.microseconds();
     if shown.calls as u64 != REPLAYED_CALLS {
         return Err(format!("only {} calls were replayed", shown.calls));
@@ -210,7 +210,7 @@
 fn router(settings: &Settings, listed: u64) -> (f64, u64) {
     let (heap, meter) = (HeapMeter::start(), ProcessorMeter::start());
     let router = Router::new(1, settings.router.clone());
-    let mut driver: Driver<Router, (), u64, ()> = Driver::new(router, limits(settings));
+    let mut driver: Driver<Router, (), u64, ()> = Driver::new(router, driver_limits(settings));
     let list = badgerwind_driver::Input::List { kind: ListKind::Whole, entries: workers(listed) };
     driver.on(1, [list], &mut Vec::new());
     let figures = (meter.microseconds(), heap.bytes());
--- a/crates/badgerwind-scale/src/rows/control.rs
+++ b/crates/badgerwind-scale/src/rows/control.rs
@@ -124,7 +124,7 @@
     let reports = Kind::ALL.map(report);
     // One pass a kind would be the same: what is kept does not depend on the order.
     for number in 0..size {
-        waves.heard(0, &format!("front-{number:05}"), &reports, Health::default());
+        waves.record_report(0, &format!("front-{number:05}"), &reports, Health::default());
     }
     let bytes = heap.bytes();
     drop(waves);
