--- a/crates/badgerwind-control/src/folder.rs
+++ b/crates/badgerwind-control/src/folder.rs
@@ -1,29 +1,29 @@
-//! The folder of versions.
+//! The folder that contains the published versions.
 
 use badgerwind_config::parts::{Kind, Part, MAX_PART_BYTES};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// Why something cannot be done to the folder.
+/// Why an operation on the folder failed.
 #[derive(Debug, thiserror::Error)]
 pub enum FolderError {
     /// A file could not be read or written.
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
-    /// No such version.
+    /// The version does not exist.
     #[error("there is no {0} {1}")]
     Missing(&'static str, u64),
-    /// The text is no part of its kind.
+    /// The text is not a valid part of its kind.
     #[error("{0}")]
-    Unfit(String),
+    Invalid(String),
 }
 
 fn io(path: &Path) -> impl FnOnce(std::io::Error) -> FolderError + '_ {
     |e| FolderError::Io(path.to_owned(), e)
 }
 
-/// The numbers of a kind with their files, in order. What is no number is passed over.
+/// The versions of a kind with their files, in ascending order. Files whose names are not numbers are ignored.
 pub fn versions(folder: &Path, kind: Kind) -> Result<BTreeMap<u64, PathBuf>, FolderError> {
     let path = folder.join(kind.name());
     let entries = match std::fs::read_dir(&path) {
@@ -42,8 +42,8 @@
     Ok(found)
 }
 
-/// The text of a version.
-pub fn text(folder: &Path, kind: Kind, version: u64) -> Result<String, FolderError> {
+/// Reads the text of a version.
+pub fn read_version(folder: &Path, kind: Kind, version: u64) -> Result<String, FolderError> {
     let path = folder.join(kind.name()).join(format!("{version}.xml"));
     match std::fs::read_to_string(&path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => Err(FolderError::Missing(kind.name(), version)),
@@ -51,37 +51,42 @@
     }
 }
 
-/// Publishes a text under the next number. Its form is checked first; whether it fits the rest is for each front
-/// end to say.
+/// Publishes a text under the next number. Only its form is checked here; each front end checks whether it fits the
+/// other settings.
 pub fn publish(folder: &Path, kind: Kind, text: &str) -> Result<u64, FolderError> {
     let next = versions(folder, kind)?.last_key_value().map_or(1, |(n, _)| n + 1);
     if text.len() > MAX_PART_BYTES {
-        return Err(FolderError::Unfit(format!("{} bytes, {MAX_PART_BYTES} at most", text.len())));
+        return Err(FolderError::Invalid(format!(
+            "the part has {} bytes; the limit is {MAX_PART_BYTES}",
+            text.len()
+        )));
     }
-    Part::parse(kind, next, text)
-        .map_err(|p| FolderError::Unfit(p.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))?;
+    Part::parse(kind, next, text).map_err(|p| {
+        FolderError::Invalid(p.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+    })?;
     let path = folder.join(kind.name());
     std::fs::create_dir_all(&path).map_err(io(&path))?;
-    // Written beside under another extension, synced, then named: the service never sees half of it.
-    let (beside, file) = (path.join(format!("{next}.part")), path.join(format!("{next}.xml")));
-    let written = std::fs::File::create(&beside).and_then(|mut f| {
+    // The file is written under another extension and synced before it gets its name, so that the service never reads
+    // an incomplete file.
+    let (temporary, file) = (path.join(format!("{next}.part")), path.join(format!("{next}.xml")));
+    let written = std::fs::File::create(&temporary).and_then(|mut f| {
         f.write_all(text.as_bytes())?;
         f.sync_all()
     });
-    written.and_then(|()| std::fs::hard_link(&beside, &file)).map_err(io(&file))?;
-    let _ = std::fs::remove_file(&beside); // left over it does no harm
+    written.and_then(|()| std::fs::hard_link(&temporary, &file)).map_err(io(&file))?;
+    let _ = std::fs::remove_file(&temporary); // a leftover file is ignored
     std::fs::File::open(&path).and_then(|d| d.sync_all()).map_err(io(&path))?;
     Ok(next)
 }
 
-/// Publishes an old version's content under the next number.
+/// Publishes the content of an old version under the next number.
 pub fn roll_back(folder: &Path, kind: Kind, version: u64) -> Result<u64, FolderError> {
-    publish(folder, kind, &text(folder, kind, version)?)
+    publish(folder, kind, &read_version(folder, kind, version)?)
 }
 
-/// What differs between two versions, line by line, as a unified diff.
+/// The unified diff of two versions.
 pub fn diff(folder: &Path, kind: Kind, from: u64, to: u64) -> Result<String, FolderError> {
-    let (a, b) = (text(folder, kind, from)?, text(folder, kind, to)?);
+    let (a, b) = (read_version(folder, kind, from)?, read_version(folder, kind, to)?);
     let name = |v| format!("{} {v}", kind.name());
     Ok(similar::TextDiff::from_lines(&a, &b).unified_diff().header(&name(from), &name(to)).to_string())
 }
--- a/crates/badgerwind-control/src/lib.rs
+++ b/crates/badgerwind-control/src/lib.rs
@@ -1,8 +1,8 @@
-//! A small control service. Versions are files, `KIND/NUMBER.xml` in a folder; a number once published keeps its
-//! content. Which front end is offered what is decided by the waves of `badgerwind-config`.
+//! A small control service. Versions are files named `KIND/NUMBER.xml` in a folder; a published version never changes.
+//! The waves of `badgerwind-config` decide which front end is offered which version.
 
 pub mod folder;
-pub mod question;
+pub mod request;
 pub mod service;
 
-pub use service::{serve, FrontStatus, KindStatus, Pin, Status};
+pub use service::{serve, FrontEndStatus, KindStatus, Pin, Status};
--- a/crates/badgerwind-control/src/question.rs
+++ b/crates/badgerwind-control/src/request.rs
@@ -1,48 +1,48 @@
-//! A front end's question as the service reads it, and the answer that offers a version; no I/O.
+//! Validation of a front end's request, and the response that offers a version. No I/O.
 
 use badgerwind_config::parts::Kind;
 use badgerwind_config::wire::{ControlPlane, DiscoveryRequest, DiscoveryResponse, Resource};
 
-/// The longest name of a front end, in bytes.
-const MOST_NAME: usize = 256;
+/// Longest name of a front end, in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// Why a question is not one.
+/// Why a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum QuestionError {
+pub enum RequestError {
     /// The name of the front end is missing or too long.
     #[error("node.id must be 1 to 256 bytes")]
     Name,
-    /// The version that runs is no number.
+    /// The running version is not a number.
     #[error("version_info must be empty or a whole number")]
     Version,
 }
 
-/// What a front end asks for.
+/// A valid request for a type of resource.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct ResourceRequest {
     /// The front end's name.
     pub front_end: String,
     /// The type of resource.
     pub kind: Kind,
-    /// The version that runs; `None`: the file's own.
+    /// The version that runs; `None` if the settings file's own content runs.
     pub running: Option<u64>,
 }
 
-impl Question {
-    /// Checks a request.
-    pub fn read(kind: Kind, request: &DiscoveryRequest) -> Result<Question, QuestionError> {
+impl ResourceRequest {
+    /// Validates a request.
+    pub fn parse(kind: Kind, request: &DiscoveryRequest) -> Result<ResourceRequest, RequestError> {
         let id = &request.node.id;
-        if id.is_empty() || id.len() > MOST_NAME {
-            return Err(QuestionError::Name);
+        if id.is_empty() || id.len() > MAX_NAME_BYTES {
+            return Err(RequestError::Name);
         }
         let running = match request.version_info.as_str() {
             "" => None,
-            text => Some(text.parse().map_err(|_| QuestionError::Version)?),
+            text => Some(text.parse().map_err(|_| RequestError::Version)?),
         };
-        Ok(Question { front_end: id.clone(), kind, running })
+        Ok(ResourceRequest { front_end: id.clone(), kind, running })
     }
 
-    /// The answer that offers a version.
+    /// The response that offers a version.
     pub fn response(&self, version: u64, text: &str, service: &str, nonce: u64) -> DiscoveryResponse {
         DiscoveryResponse {
             version_info: version.to_string(),
--- a/crates/badgerwind-control/src/service.rs
+++ b/crates/badgerwind-control/src/service.rs
@@ -1,7 +1,7 @@
-//! The service on a socket: questions held open until there is an answer, status, pins.
+//! The HTTP service: long-polled requests of front ends, the status, and pins.
 
 use crate::folder;
-use crate::question::Question;
+use crate::request::ResourceRequest;
 use badgerwind_config::client::Report;
 use badgerwind_config::parts::Kind;
 use badgerwind_config::waves::{RolloutPolicy, Stage, Waves};
@@ -16,114 +16,115 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How often the folder is looked at, and waves go on.
-pub const LOOK: Duration = Duration::from_millis(50);
-/// How often a question held open looks whether anything has changed.
-pub const HELD: Duration = Duration::from_millis(10);
-/// The longest time for which a question is held open.
-const MOST_WAIT: Duration = Duration::from_secs(60);
-/// Connections at once.
-const MOST_CONNECTIONS: usize = 16_384;
+/// How often the folder is scanned for new versions, and waves advance.
+pub const SCAN_INTERVAL: Duration = Duration::from_millis(50);
+/// How often an open request checks whether anything has changed.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The longest time for which a request is held open.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Maximum number of open connections.
+const MAX_CONNECTIONS: usize = 16_384;
 
-/// A kind, as the status tells it.
+/// The status of a type of resource.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KindStatus {
-    /// Which.
+    /// The type of resource.
     pub kind: Kind,
-    /// Its newest version.
+    /// The newest published version.
     pub newest: Option<u64>,
-    /// Where its wave stands.
+    /// The version and stage of its wave.
     pub wave: Option<(u64, Stage)>,
-    /// Files that are not offered, with the reason.
+    /// Files that were not published, with the reason.
     pub unfit: BTreeMap<String, String>,
 }
 
-/// A front end, as the status tells it.
+/// The status of a front end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FrontStatus {
+pub struct FrontEndStatus {
     /// Its name.
     pub id: String,
-    /// When it was last heard of.
+    /// Milliseconds since its last request.
     pub heard_ms_ago: u64,
-    /// It is held at what it runs.
+    /// Whether it is pinned to the versions that it runs.
     pub pinned: bool,
-    /// Where its types stand, by its own word.
+    /// The state of its types of resource, as it reported it.
     pub report: Vec<Report>,
-    /// Its calls.
+    /// Its calls since it started.
     pub health: Health,
 }
 
-/// The whole status.
+/// The status of the service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The kinds.
+    /// The types of resource.
     pub kinds: Vec<KindStatus>,
     /// The front ends.
-    pub fronts: Vec<FrontStatus>,
+    pub fronts: Vec<FrontEndStatus>,
 }
 
-/// A command that holds a front end at what it runs, or lets it go on.
+/// A command that pins a front end to the versions that it runs, or unpins it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Pin {
-    /// Which.
+    /// The front end's name.
     pub id: String,
-    /// Hold it.
+    /// Whether to pin or to unpin it.
     pub pinned: bool,
 }
 
-struct Inner {
+struct State {
     waves: Waves,
-    unfit: BTreeMap<Kind, BTreeMap<String, String>>,
+    /// Files that were not published, with the reason.
+    unpublished: BTreeMap<Kind, BTreeMap<String, String>>,
 }
 
 struct Service {
     folder: PathBuf,
     name: String,
     start: Instant,
-    inner: Mutex<Inner>,
-    /// Counts up at every change that could let someone be offered something.
+    state: Mutex<State>,
+    /// Incremented by every change that can make a version available to a front end.
     changes: AtomicU64,
     nonces: AtomicU64,
 }
 
 impl Service {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn now(&self) -> u64 {
         self.start.elapsed().as_micros() as u64
     }
 
-    fn changed(&self) {
+    fn note_change(&self) {
         self.changes.fetch_add(1, Ordering::Release);
     }
 
-    /// Publishes what is new in the folder.
-    fn look(&self, seen: &mut BTreeMap<Kind, u64>) {
+    /// Publishes the new versions in the folder.
+    fn scan(&self, seen: &mut BTreeMap<Kind, u64>) {
         for kind in Kind::ALL {
             let versions = match folder::versions(&self.folder, kind) {
                 Ok(versions) => versions,
                 Err(e) => {
-                    tracing::warn!("the folder cannot be read: {e}");
+                    tracing::warn!("cannot read the folder of versions: {e}");
                     continue;
                 }
             };
             let from = seen.get(&kind).map_or(0, |n| n + 1);
             for (number, path) in versions.range(from..) {
                 seen.insert(kind, *number);
-                let done = folder::text(&self.folder, kind, *number)
+                let published = folder::read_version(&self.folder, kind, *number)
                     .map_err(|e| e.to_string())
                     .and_then(|text| self.lock().waves.publish(kind, *number, text.into()));
-                match done {
+                match published {
                     Ok(()) => tracing::info!(kind = kind.name(), version = number, "published"),
                     Err(why) => {
                         tracing::warn!(file = %path.display(), "not published: {why}");
                         let file = path.display().to_string();
-                        self.lock().unfit.entry(kind).or_default().insert(file, why);
+                        self.lock().unpublished.entry(kind).or_default().insert(file, why);
                     }
                 }
-                self.changed();
+                self.note_change();
             }
         }
     }
@@ -136,30 +137,30 @@
                 ("POST", "/pin") => match serde_json::from_slice::<Pin>(&body) {
                     Ok(pin) => {
                         let known = self.lock().waves.pin(&pin.id, pin.pinned);
-                        self.changed();
+                        self.note_change();
                         Response::new(if known { 200 } else { 404 }, "", Vec::new())
                     }
-                    Err(e) => bad(&e.to_string()),
+                    Err(e) => bad_request(&e.to_string()),
                 },
                 ("POST", path) => match path.strip_prefix("/v3/discovery:").and_then(Kind::from_name) {
                     Some(kind) => {
-                        let asked = serde_json::from_slice::<DiscoveryRequest>(&body);
-                        match asked {
+                        match serde_json::from_slice::<DiscoveryRequest>(&body) {
                             Ok(request) if request.type_url == kind.type_url() => {
-                                // A front end that has gone holds no question open.
-                                let gone = async {
+                                // A request ends when its front end disconnects.
+                                let disconnected = async {
                                     conn.gone().await;
                                     None
                                 };
-                                let answer =
-                                    async { Some(self.ask(kind, &request, wait(&head.target)).await) };
-                                match futures_lite::future::or(answer, gone).await {
+                                let answer = async {
+                                    Some(self.answer(kind, &request, wait_time(&head.target)).await)
+                                };
+                                match futures_lite::future::or(answer, disconnected).await {
                                     Some(response) => response,
                                     None => return,
                                 }
                             }
-                            Ok(request) => bad(&format!("type_url {} at {path}", request.type_url)),
-                            Err(e) => bad(&format!("not a DiscoveryRequest: {e}")),
+                            Ok(request) => bad_request(&format!("type_url {} at {path}", request.type_url)),
+                            Err(e) => bad_request(&format!("not a DiscoveryRequest: {e}")),
                         }
                     }
                     None => Response::new(404, "", Vec::new()),
@@ -172,25 +173,25 @@
         }
     }
 
-    /// A question: its word about the front end is taken in at once, its answer may take a while.
-    async fn ask(&self, kind: Kind, request: &DiscoveryRequest, wait: Duration) -> Response {
+    /// Records the report in a request at once, and answers when there is a version to offer or `wait` has passed.
+    async fn answer(&self, kind: Kind, request: &DiscoveryRequest, wait: Duration) -> Response {
         let node = &request.node;
-        let question = match Question::read(kind, request) {
-            Ok(question) => question,
-            Err(e) => return bad(&e.to_string()),
+        let resource_request = match ResourceRequest::parse(kind, request) {
+            Ok(resource_request) => resource_request,
+            Err(e) => return bad_request(&e.to_string()),
         };
-        let running = question.running;
-        let answered = (!request.response_nonce.is_empty()).then_some(&request.error_detail);
-        match answered {
-            Some(Some(why)) => {
-                tracing::warn!(front = %node.id, kind = kind.name(), "turned down: {}", why.message)
+        let running = resource_request.running;
+        let acknowledged = (!request.response_nonce.is_empty()).then_some(&request.error_detail);
+        match acknowledged {
+            Some(Some(error)) => {
+                tracing::warn!(front = %node.id, kind = kind.name(), "version rejected: {}", error.message)
             }
             Some(None) => tracing::debug!(front = %node.id, kind = kind.name(), ?running, "answered"),
             None => {}
         }
         self.lock().waves.record_report(self.now(), &node.id, &node.metadata.report, node.metadata.health);
-        self.changed();
-        let until = Instant::now() + wait.min(MOST_WAIT);
+        self.note_change();
+        let until = Instant::now() + wait.min(MAX_WAIT);
         let mut seen = None;
         loop {
             let changes = self.changes.load(Ordering::Acquire);
@@ -198,25 +199,25 @@
                 seen = Some(changes);
                 if let Some((version, text)) = self.lock().waves.offer(&node.id, kind, running) {
                     let nonce = self.nonces.fetch_add(1, Ordering::Relaxed);
-                    return json(&question.response(version, &text, &self.name, nonce));
+                    return json(&resource_request.response(version, &text, &self.name, nonce));
                 }
             }
             if Instant::now() >= until {
                 return Response::new(204, "", Vec::new());
             }
-            Timer::after(HELD).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
     fn status(&self) -> Status {
-        let (now, inner) = (self.now(), self.lock());
+        let (now, state) = (self.now(), self.lock());
         let kind = |kind: Kind| KindStatus {
             kind,
-            newest: inner.waves.versions(kind).map(|v| v.0).last(),
-            wave: inner.waves.stage(kind).map(|(v, s)| (v, s.clone())),
-            unfit: inner.unfit.get(&kind).cloned().unwrap_or_default(),
+            newest: state.waves.versions(kind).map(|v| v.0).last(),
+            wave: state.waves.stage(kind).map(|(v, s)| (v, s.clone())),
+            unfit: state.unpublished.get(&kind).cloned().unwrap_or_default(),
         };
-        let fronts = inner.waves.front_ends().map(|(id, f)| FrontStatus {
+        let fronts = state.waves.front_ends().map(|(id, f)| FrontEndStatus {
             id: id.clone(),
             heard_ms_ago: now.saturating_sub(f.last_seen) / 1000,
             pinned: f.pinned,
@@ -227,60 +228,61 @@
     }
 }
 
-fn wait(target: &str) -> Duration {
+/// The time for which a request may be held open, from the query of its target.
+fn wait_time(target: &str) -> Duration {
     let query = target.split_once('?').map_or("", |q| q.1);
     let ms = query.split('&').find_map(|p| p.strip_prefix("wait=")).and_then(|ms| ms.parse().ok());
     Duration::from_millis(ms.unwrap_or(0))
 }
 
 fn json(value: &impl Serialize) -> Response {
-    // Plain records of numbers and words always become JSON.
+    // Serialization of these types cannot fail.
     Response::new(200, "application/json", serde_json::to_vec(value).unwrap_or_default())
 }
 
-fn bad(why: &str) -> Response {
+fn bad_request(why: &str) -> Response {
     Response::new(400, "text/plain", why.as_bytes())
 }
 
-/// Serves for ever. `name` tells one service from another.
-pub async fn serve(listener: TcpListener, folder: &Path, name: &str, rules: RolloutPolicy) {
+/// Serves until the task that scans the folder ends. `name` distinguishes control services.
+pub async fn serve(listener: TcpListener, folder: &Path, name: &str, policy: RolloutPolicy) {
     let service = Arc::new(Service {
         folder: folder.to_owned(),
         name: name.to_owned(),
         start: Instant::now(),
-        inner: Mutex::new(Inner { waves: Waves::new(rules), unfit: BTreeMap::new() }),
+        state: Mutex::new(State { waves: Waves::new(policy), unpublished: BTreeMap::new() }),
         changes: AtomicU64::new(0),
         nonces: AtomicU64::new(1),
     });
     let mut seen = BTreeMap::new();
-    service.look(&mut seen);
-    let looking = service.clone();
-    let look = smol::spawn(async move {
+    service.scan(&mut seen);
+    let scanner = service.clone();
+    let scan = smol::spawn(async move {
         loop {
-            Timer::after(LOOK).await;
-            looking.look(&mut seen);
-            let now = looking.now();
-            looking.lock().waves.tick(now);
-            looking.changed();
+            Timer::after(SCAN_INTERVAL).await;
+            scanner.scan(&mut seen);
+            let now = scanner.now();
+            scanner.lock().waves.tick(now);
+            scanner.note_change();
         }
     });
     let limits =
         Arc::new(Limits { idle_time: Duration::from_secs(300), body_bytes: 256 * 1024, ..Limits::default() });
-    let places = Arc::new(smol::lock::Semaphore::new(MOST_CONNECTIONS));
+    let permits = Arc::new(smol::lock::Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let place = places.acquire_arc().await;
+        let permit = permits.acquire_arc().await;
         let Ok((stream, _)) = listener.accept().await else {
-            Timer::after(LOOK).await;
+            Timer::after(SCAN_INTERVAL).await;
             continue;
         };
-        let _ = stream.set_nodelay(true); // only a delay is lost where it is not to be had
+        let _ = stream.set_nodelay(true); // without it, answers are only slower
         let (service, limits) = (service.clone(), limits.clone());
         smol::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             service.connection(Conn::new(stream, limits)).await;
         })
         .detach();
-        if look.is_finished() {
+        if scan.is_finished() {
             return;
         }
     }
--- a/crates/badgerwind-scale/src/config_world/service.rs
+++ b/crates/badgerwind-scale/src/config_world/service.rs
@@ -1,6 +1,6 @@
 //! A hollow control machine: the real waves and the real messages, with the service's loop in simulated time. As in
-//! the service, each question that is held open looks every [`HELD`] whether anything has changed since it looked
-//! last, and the folder is looked at every [`LOOK`], which counts as a change.
+//! the service, each question that is held open looks every [`POLL_INTERVAL`] whether anything has changed since it looked
+//! last, and the folder is looked at every [`SCAN_INTERVAL`], which counts as a change.
 
 use super::network::response_bytes;
 use super::SECOND;
@@ -9,16 +9,16 @@
 use badgerwind_config::waves::{RolloutPolicy, Stage, Waves};
 use badgerwind_config::wire::DiscoveryRequest;
 use badgerwind_config::Kind;
-use badgerwind_control::question::Question;
-use badgerwind_control::service::{HELD, LOOK};
+use badgerwind_control::request::ResourceRequest;
+use badgerwind_control::service::{POLL_INTERVAL, SCAN_INTERVAL};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// How often the folder is looked at, in microseconds.
-pub const LOOK_EVERY: Time = LOOK.as_micros() as Time;
+pub const LOOK_EVERY: Time = SCAN_INTERVAL.as_micros() as Time;
 
 /// How often a question that is held open looks for changes, in microseconds.
-const POLL_EVERY: Time = HELD.as_micros() as Time;
+const POLL_EVERY: Time = POLL_INTERVAL.as_micros() as Time;
 
 /// Polls are taken together in slots of this width.
 pub const SLOT: Time = 1_000;
@@ -73,7 +73,7 @@
 
 struct Held {
     ask: u64,
-    question: Question,
+    question: ResourceRequest,
     seen: Option<u64>,
     slot: usize,
 }
@@ -159,7 +159,7 @@
         self.load.questions += 1;
         self.load.bytes_in += bytes;
         let request: DiscoveryRequest = serde_json::from_slice(body).ok()?;
-        let question = Question::read(kind, &request).ok()?;
+        let question = ResourceRequest::parse(kind, &request).ok()?;
         let before = self.stages();
         let metadata = &request.node.metadata;
         self.waves.record_report(now, &request.node.id, &metadata.report, metadata.health);
--- a/crates/badgerwind-scale/src/rows/config.rs
+++ b/crates/badgerwind-scale/src/rows/config.rs
@@ -9,7 +9,7 @@
 use badgerwind_config::client::{Action, Client, Input, Timing};
 use badgerwind_config::shadow::{driver_limits, replay, RecordedCall};
 use badgerwind_config::{storage, Kind};
-use badgerwind_control::question::Question;
+use badgerwind_control::request::ResourceRequest;
 use badgerwind_driver::Driver;
 use badgerwind_settings::{read_tree, Settings};
 use std::collections::BTreeMap;
@@ -102,7 +102,7 @@
 
     /// Offers a version and lets it go through.
     fn take(&mut self, kind: Kind, version: u64, text: &str) -> Result<VersionCost, String> {
-        let question = Question { front_end: "front-00000".into(), kind, running: None };
+        let question = ResourceRequest { front_end: "front-00000".into(), kind, running: None };
         let response = question.response(version, text, "control-0", version);
         let (bytes_in, body) = response_bytes(Some(&response));
         let ask = self.open.get(&kind).copied().ok_or("no question is open")?;
