--- a/crates/badgerwind-config/src/parts.rs
+++ b/crates/badgerwind-config/src/parts.rs
@@ -123,7 +123,7 @@
             return Err(unexpected);
         }
         let is_local = |c: &&Node| !ROUTE_ELEMENTS.contains(&c.name.as_str());
-        let local = node.all("webhook").flat_map(|w| &w.children).find(is_local);
+        let local = node.children_named("webhook").flat_map(|w| &w.children).find(is_local);
         if let Some(local) = local {
             return Err(vec![Problem {
                 file,
@@ -157,7 +157,7 @@
                 // The same element also contains budgets and certificates, which belong to the single machine.
                 let routes = |c: &&Node| ROUTE_ELEMENTS.contains(&c.name.as_str());
                 to.children.retain(|c| !routes(&c));
-                for from in part.node.all("webhook") {
+                for from in part.node.children_named("webhook") {
                     to.children.extend(from.children.iter().filter(routes).cloned());
                 }
             }
--- a/crates/badgerwind-settings/examples/print_schema.rs
+++ b/crates/badgerwind-settings/examples/print_schema.rs
@@ -1,4 +1,4 @@
-//! Prints the schema, to be published beside the code.
+//! Prints the XSD schema, which is published as `schema/badgerwind.xsd`.
 
 fn main() {
     print!("{}", badgerwind_settings::schema::xsd());
--- a/crates/badgerwind-settings/src/document.rs
+++ b/crates/badgerwind-settings/src/document.rs
@@ -1,66 +1,68 @@
-//! XML to a tree of elements with their lines, and the tree against the schema.
+//! Parsing of XML into a tree of elements with line numbers, and validation of the tree against the schema.
 
-use crate::schema::{Attr, Element, Kind};
+use crate::schema::{Attr, AttrType, Element};
 use crate::Problem;
 use quick_xml::events::Event;
 use quick_xml::Reader;
 
-/// An element as it stands in the document.
+/// An element of a document.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its name.
+    /// The name of the element.
     pub name: String,
-    /// The document that it stands in.
+    /// The file that contains it.
     pub file: std::sync::Arc<str>,
-    /// The line of its start.
+    /// The line of its start tag, from 1.
     pub line: usize,
-    /// Its attributes, as written.
+    /// Attributes and their unescaped values, in document order.
     pub attrs: Vec<(String, String)>,
-    /// Elements in it.
+    /// The child elements.
     pub children: Vec<Node>,
 }
 
-/// The most elements and the deepest nesting of a document: a bound on what is built from outside.
-const MOST_NODES: usize = 200_000;
-const DEEPEST: usize = 16;
+/// Maximum number of elements of a document; bounds the memory that untrusted input can use.
+const MAX_ELEMENTS: usize = 200_000;
+/// Maximum nesting depth of a document; bounds the recursion that untrusted input can cause.
+const MAX_DEPTH: usize = 16;
 
 impl Node {
-    /// The value of an attribute, where it was written.
+    /// The value of an attribute, if it is present.
     pub fn attr(&self, name: &str) -> Option<&str> {
         self.attrs.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
-    /// The elements of this name in it.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Node> {
+    /// The child elements with this name.
+    pub fn children_named<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Node> {
         self.children.iter().filter(move |c| c.name == name)
     }
 }
 
-/// Counts lines up to a place that only moves on.
-struct Lines<'a> {
+/// Counts lines up to an offset that only increases.
+struct LineCounter<'a> {
     text: &'a [u8],
-    at: usize,
+    offset: usize,
     line: usize,
 }
 
-impl Lines<'_> {
-    fn at(&mut self, place: u64) -> usize {
-        let place = (place as usize).clamp(self.at, self.text.len());
-        self.line += self.text[self.at..place].iter().filter(|&&b| b == b'\n').count();
-        self.at = place;
+impl LineCounter<'_> {
+    /// The line at an offset in bytes.
+    fn line_at(&mut self, offset: u64) -> usize {
+        let offset = (offset as usize).clamp(self.offset, self.text.len());
+        self.line += self.text[self.offset..offset].iter().filter(|&&b| b == b'\n').count();
+        self.offset = offset;
         self.line
     }
 }
 
-/// Reads a document into a tree; the first thing that is not XML ends it.
+/// Parses a document into a tree. Stops at the first error.
 pub fn parse(file: &str, text: &str) -> Result<Node, Problem> {
     let mut reader = Reader::from_str(text);
     let shared: std::sync::Arc<str> = file.into();
-    let mut lines = Lines { text: text.as_bytes(), at: 0, line: 1 };
+    let mut lines = LineCounter { text: text.as_bytes(), offset: 0, line: 1 };
     let mut open: Vec<Node> = Vec::new();
     let mut root = None;
-    let mut nodes = 0;
+    let mut element_count = 0;
     loop {
-        let line = lines.at(reader.buffer_position());
+        let line = lines.line_at(reader.buffer_position());
         let problem = |element: &str, what: String, right: &str| Problem {
             file: file.into(),
             line,
@@ -70,38 +72,45 @@
         };
         let inside = open.last().map_or("document", |n| n.name.as_str()).to_owned();
         match reader.read_event() {
-            Err(e) => return Err(problem(&inside, format!("not well-formed XML: {e}"), "mend the XML")),
-            Ok(Event::Start(tag) | Event::Empty(tag)) if nodes >= MOST_NODES || open.len() >= DEEPEST => {
+            Err(e) => return Err(problem(&inside, format!("not well-formed XML: {e}"), "correct the XML")),
+            Ok(Event::Start(tag) | Event::Empty(tag))
+                if element_count >= MAX_ELEMENTS || open.len() >= MAX_DEPTH =>
+            {
                 let name = String::from_utf8_lossy(tag.name().as_ref()).into_owned();
-                let what = format!("more than {MOST_NODES} elements, or deeper than {DEEPEST}");
+                let what = format!("more than {MAX_ELEMENTS} elements, or deeper than {MAX_DEPTH}");
                 return Err(problem(&name, what, "a settings document is smaller"));
             }
             Ok(Event::Start(tag)) => {
-                nodes += 1;
-                open.push(node(&tag, &shared, line).map_err(|(n, what)| problem(&n, what, WRITE_ATTR))?);
+                element_count += 1;
+                open.push(
+                    element_node(&tag, &shared, line).map_err(|(n, what)| problem(&n, what, WRITE_ATTR))?,
+                );
             }
             Ok(Event::Empty(tag)) => {
-                nodes += 1;
-                let node = node(&tag, &shared, line).map_err(|(n, what)| problem(&n, what, WRITE_ATTR))?;
-                close(node, &mut open, &mut root).map_err(|n| problem(&n, SECOND_ROOT.into(), ONE_ROOT))?;
+                element_count += 1;
+                let node =
+                    element_node(&tag, &shared, line).map_err(|(n, what)| problem(&n, what, WRITE_ATTR))?;
+                close_element(node, &mut open, &mut root)
+                    .map_err(|n| problem(&n, SECOND_ROOT.into(), ONE_ROOT))?;
             }
             Ok(Event::End(_)) => {
                 let Some(node) = open.pop() else { continue };
-                close(node, &mut open, &mut root).map_err(|n| problem(&n, SECOND_ROOT.into(), ONE_ROOT))?;
+                close_element(node, &mut open, &mut root)
+                    .map_err(|n| problem(&n, SECOND_ROOT.into(), ONE_ROOT))?;
             }
             Ok(Event::Text(t)) if !t.iter().all(u8::is_ascii_whitespace) => {
-                return Err(problem(&inside, "holds text".into(), "values stand in attributes"));
+                return Err(problem(&inside, "contains text".into(), "write values in attributes"));
             }
             Ok(Event::CData(_) | Event::GeneralRef(_)) => {
-                return Err(problem(&inside, "holds text".into(), "values stand in attributes"));
+                return Err(problem(&inside, "contains text".into(), "write values in attributes"));
             }
             Ok(Event::DocType(_)) => {
-                let right = "leave it out: entities are not read";
+                let right = "remove it: entities are not supported";
                 return Err(problem(&inside, "has a document type".into(), right));
             }
             Ok(Event::Eof) => {
                 if let Some(node) = open.last() {
-                    return Err(problem(&node.name, "is never closed".into(), "close it"));
+                    return Err(problem(&node.name, "is never closed".into(), "add its end tag"));
                 }
                 return root.ok_or_else(|| problem("document", "is empty".into(), ONE_ROOT));
             }
@@ -111,10 +120,10 @@
 }
 
 const WRITE_ATTR: &str = "write name=\"value\", each name once";
-const SECOND_ROOT: &str = "a second outermost element";
-const ONE_ROOT: &str = "one element holds all others";
+const SECOND_ROOT: &str = "a second root element";
+const ONE_ROOT: &str = "a document has a single root element";
 
-fn close(node: Node, open: &mut [Node], root: &mut Option<Node>) -> Result<(), String> {
+fn close_element(node: Node, open: &mut [Node], root: &mut Option<Node>) -> Result<(), String> {
     match open.last_mut() {
         Some(parent) => parent.children.push(node),
         None if root.is_none() => *root = Some(node),
@@ -123,7 +132,7 @@
     Ok(())
 }
 
-fn node(
+fn element_node(
     tag: &quick_xml::events::BytesStart<'_>,
     file: &std::sync::Arc<str>,
     line: usize,
@@ -141,7 +150,7 @@
     Ok(Node { name, file: file.clone(), line, attrs, children: Vec::new() })
 }
 
-/// Holds a tree against an element of the schema; every problem is added.
+/// Validates a tree against an element of the schema and appends every problem found.
 pub fn check(node: &Node, element: &Element, problems: &mut Vec<Problem>) {
     let mut add = |at: &Node, name: &str, what: String, right: String| {
         problems.push(Problem {
@@ -153,8 +162,8 @@
         });
     };
     if node.name != element.name {
-        let right = format!("<{}> must stand here", element.name);
-        return add(node, &node.name, "not the element wanted".into(), right);
+        let remedy = format!("<{}> is expected here", element.name);
+        return add(node, &node.name, "unexpected element".into(), remedy);
     }
     for (name, value) in &node.attrs {
         if name.starts_with("xmlns") || name.starts_with("xsi:") {
@@ -163,11 +172,11 @@
         match element.attrs.iter().find(|k| k.name == name) {
             None => {
                 let names: Vec<_> = element.attrs.iter().map(|a| a.name).collect();
-                let right = format!("known are {}", names.join(", "));
+                let right = format!("known attributes are {}", names.join(", "));
                 add(node, &node.name, format!("unknown attribute {name}"), right);
             }
             Some(attr) => {
-                if let Err(right) = fits(attr, value) {
+                if let Err(right) = validate_value(attr, value) {
                     add(node, &node.name, format!("{name} is \"{value}\""), right);
                 }
             }
@@ -175,7 +184,7 @@
     }
     for attr in element.attrs.iter().filter(|a| a.default.is_none() && !a.optional) {
         if node.attr(attr.name).is_none() {
-            let right = format!("give {}", attr.kind.wanted());
+            let right = format!("give {}", attr.attr_type.expected());
             add(node, &node.name, format!("{} is missing", attr.name), right);
         }
     }
@@ -183,21 +192,21 @@
         if !element.children.iter().any(|c| c.element.name == child.name) {
             let names: Vec<_> = element.children.iter().map(|c| format!("<{}>", c.element.name)).collect();
             let right = match names.is_empty() {
-                true => format!("nothing stands in <{}>", node.name),
-                false => format!("in <{}> may stand {}", node.name, names.join(", ")),
+                true => format!("<{}> has no child elements", node.name),
+                false => format!("<{}> may contain {}", node.name, names.join(", ")),
             };
             add(child, &child.name, "unknown element".into(), right);
         }
     }
     for c in element.children {
-        let found = node.all(c.element.name).count();
-        if found < c.least {
-            let right = format!("write at least {} of it in <{}>", c.least, node.name);
-            add(node, &node.name, format!("<{}> stands {found} times", c.element.name), right);
+        let found = node.children_named(c.element.name).count();
+        if found < c.min {
+            let remedy = format!("write at least {} of it in <{}>", c.min, node.name);
+            add(node, &node.name, format!("<{}> occurs {found} times", c.element.name), remedy);
         }
-        if c.most.is_some_and(|m| found > m) {
-            let right = format!("write at most {} of it", c.most.unwrap_or(0));
-            add(node, &node.name, format!("<{}> stands {found} times", c.element.name), right);
+        if c.max.is_some_and(|max| found > max) {
+            let remedy = format!("write at most {} of it", c.max.unwrap_or(0));
+            add(node, &node.name, format!("<{}> occurs {found} times", c.element.name), remedy);
         }
     }
     for child in &node.children {
@@ -207,44 +216,45 @@
     }
 }
 
-fn fits(attr: &Attr, value: &str) -> Result<(), String> {
-    let ok = match attr.kind {
-        Kind::Name => name_fits(value),
-        Kind::File => !value.is_empty(),
-        Kind::Path => value.starts_with('/') && !value.contains(['?', '#', ' ']),
-        Kind::Flag => matches!(value, "true" | "false"),
-        Kind::Word(words) => words.contains(&value),
-        Kind::Words(words) => !value.is_empty() && value.split(' ').all(|w| words.contains(&w)),
-        Kind::Whole(least, most) => value.parse::<u64>().is_ok_and(|n| (least..=most).contains(&n)),
-        Kind::Number(least, most) => number(value).is_some_and(|n| (least..=most).contains(&n)),
-        Kind::Time(least, most) => time(value).is_some_and(|t| (least..=most).contains(&t)),
-        Kind::Address => value.parse::<std::net::SocketAddr>().is_ok(),
-        Kind::Host => value.parse::<std::net::IpAddr>().is_ok(),
-        Kind::Date => humantime::parse_rfc3339(value).is_ok(),
-        Kind::Text(most) => (1..=most).contains(&value.len()) && !value.contains(char::is_control),
+/// Validates a value; the error tells what to write instead.
+fn validate_value(attr: &Attr, value: &str) -> Result<(), String> {
+    let valid = match attr.attr_type {
+        AttrType::Name => is_valid_name(value),
+        AttrType::File => !value.is_empty(),
+        AttrType::UrlPath => value.starts_with('/') && !value.contains(['?', '#', ' ']),
+        AttrType::Boolean => matches!(value, "true" | "false"),
+        AttrType::Choice(choices) => choices.contains(&value),
+        AttrType::Choices(choices) => !value.is_empty() && value.split(' ').all(|v| choices.contains(&v)),
+        AttrType::Integer(min, max) => value.parse::<u64>().is_ok_and(|n| (min..=max).contains(&n)),
+        AttrType::Decimal(min, max) => decimal(value).is_some_and(|n| (min..=max).contains(&n)),
+        AttrType::Duration(min, max) => duration_us(value).is_some_and(|t| (min..=max).contains(&t)),
+        AttrType::SocketAddress => value.parse::<std::net::SocketAddr>().is_ok(),
+        AttrType::IpAddress => value.parse::<std::net::IpAddr>().is_ok(),
+        AttrType::Timestamp => humantime::parse_rfc3339(value).is_ok(),
+        AttrType::Text(max) => (1..=max).contains(&value.len()) && !value.contains(char::is_control),
     };
-    if ok {
+    if valid {
         Ok(())
     } else {
-        Err(format!("give {}", attr.kind.wanted()))
+        Err(format!("give {}", attr.attr_type.expected()))
     }
 }
 
-fn name_fits(value: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"_.-:".contains(&b);
-    (1..=64).contains(&value.len()) && value.bytes().all(plain)
+fn is_valid_name(value: &str) -> bool {
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"_.-:".contains(&b);
+    (1..=64).contains(&value.len()) && value.bytes().all(allowed)
 }
 
-/// A plain decimal number, with no exponent and no infinity.
-pub(crate) fn number(value: &str) -> Option<f64> {
-    let plain = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    value.parse::<f64>().ok().filter(|n| plain && n.is_finite())
+/// Parses a decimal number without sign and exponent.
+pub(crate) fn decimal(value: &str) -> Option<f64> {
+    let allowed = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    value.parse::<f64>().ok().filter(|n| allowed && n.is_finite())
 }
 
-/// A time with its unit, in microseconds.
-pub(crate) fn time(value: &str) -> Option<u64> {
-    let at = value.find(|c: char| c.is_ascii_alphabetic())?;
-    let (digits, unit) = value.split_at(at);
+/// Parses a duration with its unit, in microseconds.
+pub(crate) fn duration_us(value: &str) -> Option<u64> {
+    let unit_start = value.find(|c: char| c.is_ascii_alphabetic())?;
+    let (digits, unit) = value.split_at(unit_start);
     let scale = match unit {
         "us" => 1.0,
         "ms" => 1e3,
@@ -253,5 +263,5 @@
         "h" => 3_600e6,
         _ => return None,
     };
-    number(digits).map(|n| (n * scale).round() as u64)
+    decimal(digits).map(|n| (n * scale).round() as u64)
 }
--- a/crates/badgerwind-settings/src/read.rs
+++ b/crates/badgerwind-settings/src/read.rs
@@ -1,6 +1,6 @@
 //! A checked document to typed settings; here what names another thing is held against what it names.
 
-use crate::document::{self, number, time, Node};
+use crate::document::{self, decimal, duration_us, Node};
 use crate::schema::{Element, ROOT};
 use crate::typed::*;
 use crate::Problem;
@@ -35,10 +35,10 @@
         self.whole(name) as usize
     }
     fn number(&self, name: &str) -> f64 {
-        number(self.text(name)).unwrap_or(0.0)
+        decimal(self.text(name)).unwrap_or(0.0)
     }
     fn span(&self, name: &str) -> u64 {
-        time(self.text(name)).unwrap_or(0)
+        duration_us(self.text(name)).unwrap_or(0)
     }
     fn duration(&self, name: &str) -> Duration {
         Duration::from_micros(self.span(name))
@@ -181,7 +181,7 @@
         classes: classes.iter().map(class).collect(),
         tenants: tenants
             .iter()
-            .map(|t| module::Tenant { quota_per_s: t.opt("quota").and_then(number) })
+            .map(|t| module::Tenant { quota_per_s: t.opt("quota").and_then(decimal) })
             .collect(),
         over_share_worth: prices.number("over-share-worth"),
         discovery: if ask { module::Discovery::Ask } else { module::Discovery::Push },
@@ -297,7 +297,7 @@
         name: f.string("name"),
         memory_mb: f.number("memory-mb"),
         lanes: f.whole("lanes") as u32,
-        load_time: f.opt("load-time").and_then(time),
+        load_time: f.opt("load-time").and_then(duration_us),
     };
     nodes.iter().map(function).collect()
 }
--- a/crates/badgerwind-settings/src/schema.rs
+++ b/crates/badgerwind-settings/src/schema.rs
@@ -1,62 +1,68 @@
-//! The one table of what a settings document may hold. The check and the published schema both follow from it.
+//! The table of elements and attributes of a settings document. Both the validation and the published schema are
+//! derived from it.
 
 use std::fmt::Write;
 
-/// What an attribute may hold.
+/// The type of an attribute's value.
 #[derive(Clone, Copy, Debug)]
-pub enum Kind {
-    /// A name: letters, digits, `_ . : -`, 64 at most.
+pub enum AttrType {
+    /// A name of 1 to 64 letters, digits or `_ . : -`.
     Name,
-    /// A file's path; relative ones are from the settings file's folder.
+    /// The path of a file, relative to the folder of the settings file.
     File,
     /// The path of a URL.
-    Path,
+    UrlPath,
     /// `true` or `false`.
-    Flag,
-    /// One of these words.
-    Word(&'static [&'static str]),
-    /// Some of these words, separated by spaces, in the order that counts.
-    Words(&'static [&'static str]),
-    /// A whole number between these.
-    Whole(u64, u64),
-    /// A decimal number between these.
-    Number(f64, f64),
-    /// A time with its unit, between these, in microseconds.
-    Time(u64, u64),
+    Boolean,
+    /// One of these values.
+    Choice(&'static [&'static str]),
+    /// One or more of these values, separated by spaces; their order matters.
+    Choices(&'static [&'static str]),
+    /// An integer within these bounds, inclusive.
+    Integer(u64, u64),
+    /// A decimal number within these bounds, inclusive.
+    Decimal(f64, f64),
+    /// A duration with its unit, within these bounds in microseconds, inclusive.
+    Duration(u64, u64),
     /// An IP address and port.
-    Address,
+    SocketAddress,
     /// An IP address.
-    Host,
-    /// A moment, as RFC 3339 has it.
-    Date,
-    /// Words for people, so many bytes at the most.
+    IpAddress,
+    /// A point in time in RFC 3339 format.
+    Timestamp,
+    /// Free text on one line, up to this many bytes.
     Text(usize),
 }
 
-impl Kind {
-    /// What would be right, in words.
-    pub fn wanted(&self) -> String {
+impl AttrType {
+    /// Describes the accepted values, for error messages and the published schema.
+    pub fn expected(&self) -> String {
         match self {
-            Kind::Name => "1 to 64 letters, digits, or any of _ . : -".into(),
-            Kind::File => "the path of a file".into(),
-            Kind::Path => "a path that starts with a slash, without a query".into(),
-            Kind::Flag => "true or false".into(),
-            Kind::Word(words) => format!("one of {}", words.join(", ")),
-            Kind::Words(words) => format!("some of {}, separated by spaces", words.join(", ")),
-            Kind::Whole(a, b) => format!("a whole number from {a} to {b}"),
-            Kind::Number(a, b) => format!("a number from {a} to {b}"),
-            Kind::Time(a, b) => {
-                format!("a time from {} to {}, such as 250ms, 1.5s or 2min", span(*a), span(*b))
+            AttrType::Name => "1 to 64 letters, digits, or any of _ . : -".into(),
+            AttrType::File => "the path of a file".into(),
+            AttrType::UrlPath => "a path that starts with a slash, without a query".into(),
+            AttrType::Boolean => "true or false".into(),
+            AttrType::Choice(words) => format!("one of {}", words.join(", ")),
+            AttrType::Choices(words) => format!("some of {}, separated by spaces", words.join(", ")),
+            AttrType::Integer(min, max) => format!("a whole number from {min} to {max}"),
+            AttrType::Decimal(min, max) => format!("a number from {min} to {max}"),
+            AttrType::Duration(min, max) => {
+                format!(
+                    "a time from {} to {}, such as 250ms, 1.5s or 2min",
+                    format_duration(*min),
+                    format_duration(*max)
+                )
             }
-            Kind::Address => "an IP address and port, such as 127.0.0.1:8080".into(),
-            Kind::Host => "an IP address, such as 127.0.0.1 or ::1".into(),
-            Kind::Date => "a moment such as 2026-12-01T18:00:00Z".into(),
-            Kind::Text(most) => format!("1 to {most} bytes of words on one line"),
+            AttrType::SocketAddress => "an IP address and port, such as 127.0.0.1:8080".into(),
+            AttrType::IpAddress => "an IP address, such as 127.0.0.1 or ::1".into(),
+            AttrType::Timestamp => "a moment such as 2026-12-01T18:00:00Z".into(),
+            AttrType::Text(max) => format!("1 to {max} bytes of words on one line"),
         }
     }
 }
 
-fn span(us: u64) -> String {
+/// Formats a duration in microseconds with the largest unit that divides it.
+fn format_duration(us: u64) -> String {
     match us {
         0 => "0s".into(),
         t if t % 3_600_000_000 == 0 => format!("{}h", t / 3_600_000_000),
@@ -66,84 +72,89 @@
     }
 }
 
-/// An attribute.
+/// The definition of an attribute.
 #[derive(Debug)]
 pub struct Attr {
-    /// Its name.
+    /// The name of the attribute.
     pub name: &'static str,
-    /// What it may hold.
-    pub kind: Kind,
-    /// What it holds where it is left out.
+    /// The type of its value.
+    pub attr_type: AttrType,
+    /// The value if the attribute is absent.
     pub default: Option<&'static str>,
-    /// It may be left out and then means nothing.
+    /// Whether an attribute without a default may be absent.
     pub optional: bool,
-    /// What it is for.
+    /// Documentation for the published schema.
     pub doc: &'static str,
 }
 
-/// An element that may stand in another.
+/// A child element and how often it may occur.
 #[derive(Debug)]
 pub struct Child {
-    /// The element.
+    /// The definition of the child.
     pub element: &'static Element,
-    /// How often, at the least.
-    pub least: usize,
-    /// At the most.
-    pub most: Option<usize>,
+    /// The minimum number of occurrences.
+    pub min: usize,
+    /// The maximum number of occurrences; `None` if unbounded.
+    pub max: Option<usize>,
 }
 
-/// An element.
+/// The definition of an element.
 #[derive(Debug)]
 pub struct Element {
-    /// Its name.
+    /// The name of the element.
     pub name: &'static str,
-    /// What it is for.
+    /// Documentation for the published schema.
     pub doc: &'static str,
-    /// Its attributes.
+    /// The attributes.
     pub attrs: &'static [Attr],
-    /// What may stand in it.
+    /// The child elements.
     pub children: &'static [Child],
 }
 
-const fn must(name: &'static str, kind: Kind, doc: &'static str) -> Attr {
-    Attr { name, kind, default: None, optional: false, doc }
+const fn required(name: &'static str, attr_type: AttrType, doc: &'static str) -> Attr {
+    Attr { name, attr_type, default: None, optional: false, doc }
 }
-const fn may(name: &'static str, kind: Kind, doc: &'static str) -> Attr {
-    Attr { name, kind, default: None, optional: true, doc }
+const fn optional(name: &'static str, attr_type: AttrType, doc: &'static str) -> Attr {
+    Attr { name, attr_type, default: None, optional: true, doc }
 }
-const fn or(name: &'static str, kind: Kind, default: &'static str, doc: &'static str) -> Attr {
-    Attr { name, kind, default: Some(default), optional: false, doc }
+const fn with_default(
+    name: &'static str,
+    attr_type: AttrType,
+    default: &'static str,
+    doc: &'static str,
+) -> Attr {
+    Attr { name, attr_type, default: Some(default), optional: false, doc }
 }
-const fn one(element: &'static Element) -> Child {
-    Child { element, least: 1, most: Some(1) }
+const fn exactly_one(element: &'static Element) -> Child {
+    Child { element, min: 1, max: Some(1) }
 }
-const fn maybe(element: &'static Element) -> Child {
-    Child { element, least: 0, most: Some(1) }
+const fn zero_or_one(element: &'static Element) -> Child {
+    Child { element, min: 0, max: Some(1) }
 }
-const fn any(element: &'static Element) -> Child {
-    Child { element, least: 0, most: None }
+const fn zero_or_more(element: &'static Element) -> Child {
+    Child { element, min: 0, max: None }
 }
-const fn some(element: &'static Element) -> Child {
-    Child { element, least: 1, most: None }
+const fn one_or_more(element: &'static Element) -> Child {
+    Child { element, min: 1, max: None }
 }
 
 const SECOND: u64 = 1_000_000;
 const MINUTE: u64 = 60 * SECOND;
 const HOUR: u64 = 60 * MINUTE;
-const PRICE: Kind = Kind::Number(0.0, 100.0);
-const BYTES: Kind = Kind::Whole(1, 1 << 30);
+const PRICE: AttrType = AttrType::Decimal(0.0, 100.0);
+const BYTES: AttrType = AttrType::Integer(1, 1 << 30);
 
 const ZONE: Element = Element {
     name: "zone",
     doc: "A zone; the list of runners names them by their place here, from 0.",
     attrs: &[
-        must("name", Kind::Name, "Its name."),
-        may(
+        required("name", AttrType::Name, "Its name."),
+        optional(
             "word",
-            Kind::Word(&["leave", "hold", "return"]),
+            AttrType::Choice(&["leave", "hold", "return"]),
             "An operator's word, before all that front ends find (<leaving>): leave it, change nothing, begin its return now.",
         ),
-        may("why", Kind::Text(200), "Why, for the log."),
+        optional("why", AttrType::Text(200), "Why, for the log."),
     ],
     children: &[],
 };
@@ -151,8 +162,8 @@
     name: "kind",
     doc: "A kind of runner; the list names them by their place here, from 0.",
     attrs: &[
-        must("name", Kind::Name, "Its name."),
-        must("memory-mb", Kind::Number(1.0, 1e9), "Its memory for copies, in MB."),
+        required("name", AttrType::Name, "Its name."),
+        required("memory-mb", AttrType::Decimal(1.0, 1e9), "Its memory for copies, in MB."),
     ],
     children: &[],
 };
@@ -160,56 +171,81 @@
     name: "fleet",
     doc: "This front end among the others, and what holds for all runners.",
     attrs: &[
-        must("front-ends", Kind::Whole(1, 100_000), "Front ends in all."),
-        must("number", Kind::Whole(0, 99_999), "This front end's number among them, from 0."),
-        must("zone", Kind::Name, "This front end's zone."),
-        must(
+        required("front-ends", AttrType::Integer(1, 100_000), "Front ends in all."),
+        required("number", AttrType::Integer(0, 99_999), "This front end's number among them, from 0."),
+        required("zone", AttrType::Name, "This front end's zone."),
+        required(
             "when-absent",
-            Kind::Word(&["load", "miss"]),
+            AttrType::Choice(&["load", "miss"]),
             "What a runner does with a call for what it lacks.",
         ),
-        must("keep-alive", Kind::Time(1000, 24 * HOUR), "An idle copy stays at least this long."),
-        or(
+        required("keep-alive", AttrType::Duration(1000, 24 * HOUR), "An idle copy stays at least this long."),
+        with_default(
             "order-timeout",
-            Kind::Time(1000, HOUR),
+            AttrType::Duration(1000, HOUR),
             "10s",
             "A load order with no answer by then has timed out.",
         ),
-        or("round", Kind::Time(0, SECOND), "500us", "Events are handed over together at most this often."),
-        or("seed", Kind::Whole(0, u64::MAX), "0", "Seed of the module's chance; 0: drawn at each start."),
+        with_default(
+            "round",
+            AttrType::Duration(0, SECOND),
+            "500us",
+            "Events are handed over together at most this often.",
+        ),
+        with_default(
+            "seed",
+            AttrType::Integer(0, u64::MAX),
+            "0",
+            "Seed of the module's chance; 0: drawn at each start.",
+        ),
     ],
-    children: &[some(&ZONE), some(&KIND)],
+    children: &[one_or_more(&ZONE), one_or_more(&KIND)],
 };
 const RULES: Element = Element {
     name: "rules",
     doc: "The figures of the rules.",
     attrs: &[
-        or(
+        with_default(
             "answer-slack",
-            Kind::Time(1000, 10 * SECOND),
+            AttrType::Duration(1000, 10 * SECOND),
             "20ms",
             "Kept back from a sender's time, so that the final answer still reaches it.",
         ),
-        must(
+        required(
             "drain-grace",
-            Kind::Time(0, MINUTE),
+            AttrType::Duration(0, MINUTE),
             "Nothing new goes to a runner later than this after it was listed as draining or gone.",
         ),
-        must(
+        required(
             "cold-from",
-            Kind::Number(0.001, 1.0),
+            AttrType::Decimal(0.001, 1.0),
             "Share of its capacity with which a runner starts at least.",
         ),
-        must("warm-after", Kind::Time(0, HOUR), "A runner is warm after this at the latest."),
-        must(
+        required("warm-after", AttrType::Duration(0, HOUR), "A runner is warm after this at the latest."),
+        required(
             "fall-multiple",
-            Kind::Number(0.1, 1000.0),
+            AttrType::Decimal(0.1, 1000.0),
             "A cold runner falls over when sent more than this many times its present capacity.",
         ),
-        must("fall-window", Kind::Time(1000, MINUTE), "For this long."),
-        or("load-window", Kind::Time(0, HOUR), "0s", "Window of the limit on load orders; 0: no limit."),
-        or("load-free", Kind::Number(0.0, 1e6), "0", "Load orders allowed in it whatever the traffic."),
-        or("load-share", Kind::Number(0.0, 100.0), "0", "Further load orders for each call taken in it."),
+        required("fall-window", AttrType::Duration(1000, MINUTE), "For this long."),
+        with_default(
+            "load-window",
+            AttrType::Duration(0, HOUR),
+            "0s",
+            "Window of the limit on load orders; 0: no limit.",
+        ),
+        with_default(
+            "load-free",
+            AttrType::Decimal(0.0, 1e6),
+            "0",
+            "Load orders allowed in it whatever the traffic.",
+        ),
+        with_default(
+            "load-share",
+            AttrType::Decimal(0.0, 100.0),
+            "0",
+            "Further load orders for each call taken in it.",
+        ),
     ],
     children: &[],
 };
@@ -217,12 +253,12 @@
     name: "prices",
     doc: "Prices, in the worth of a call.",
     attrs: &[
-        or("idle", PRICE, "0", "Of all memory held by idle copies."),
-        or("fetch", PRICE, "0", "Of a fetch from the handler store, by call."),
-        or("cross-zone", PRICE, "0", "Of an attempt that crosses zones, by call."),
-        or(
+        with_default("idle", PRICE, "0", "Of all memory held by idle copies."),
+        with_default("fetch", PRICE, "0", "Of a fetch from the handler store, by call."),
+        with_default("cross-zone", PRICE, "0", "Of an attempt that crosses zones, by call."),
+        with_default(
             "over-share-worth",
-            Kind::Number(0.0, 1.0),
+            AttrType::Decimal(0.0, 1.0),
             "1",
             "Worth of a call beyond its tenant's share, as a share of its class's.",
         ),
@@ -233,23 +269,33 @@
     name: "allow",
     doc: "What is allowed, and bounds.",
     attrs: &[
-        or("max-attempts", Kind::Whole(1, 16), "3", "Attempts for one call."),
-        or("cancel", Kind::Flag, "true", "Attempts may be called off."),
-        or("second-attempts", Kind::Flag, "false", "Two attempts of a call may be out at once."),
-        or("probes", Kind::Flag, "true", "Runners may be probed."),
-        or("messages", Kind::Flag, "false", "Front ends may send each other messages."),
-        or("orders", Kind::Flag, "true", "Load orders and drops may be given."),
-        or("marks-warm", Kind::Flag, "true", "Runners say whether a copy stood loaded."),
-        or("marks-crowd", Kind::Flag, "true", "Runners say how many calls for the function they held."),
-        or(
+        with_default("max-attempts", AttrType::Integer(1, 16), "3", "Attempts for one call."),
+        with_default("cancel", AttrType::Boolean, "true", "Attempts may be called off."),
+        with_default(
+            "second-attempts",
+            AttrType::Boolean,
+            "false",
+            "Two attempts of a call may be out at once.",
+        ),
+        with_default("probes", AttrType::Boolean, "true", "Runners may be probed."),
+        with_default("messages", AttrType::Boolean, "false", "Front ends may send each other messages."),
+        with_default("orders", AttrType::Boolean, "true", "Load orders and drops may be given."),
+        with_default("marks-warm", AttrType::Boolean, "true", "Runners say whether a copy stood loaded."),
+        with_default(
+            "marks-crowd",
+            AttrType::Boolean,
+            "true",
+            "Runners say how many calls for the function they held.",
+        ),
+        with_default(
             "retry-after",
-            Kind::Time(0, HOUR),
+            AttrType::Duration(0, HOUR),
             "0s",
             "The longest advice that senders heed; 0: none is given.",
         ),
-        or(
+        with_default(
             "most-held",
-            Kind::Whole(1, 1_000_000),
+            AttrType::Integer(1, 1_000_000),
             "20000",
             "Calls owed an answer at once; one more is refused.",
         ),
@@ -260,15 +306,24 @@
     name: "class",
     doc: "A class of calls.",
     attrs: &[
-        must("name", Kind::Name, "Its name."),
-        must("aim", Kind::Time(1000, HOUR), "An answer within this time earns the full worth."),
-        must("deadline", Kind::Time(1000, HOUR), "How long a sender waits."),
-        must("effect", Kind::Word(&["repeatable", "by-key", "once"]), "Whether a call may run twice."),
-        or("group", Kind::Word(&["all", "zone", "cell"]), "all", "For by-key: which runners drop repeats."),
-        or("window", Kind::Time(0, HOUR), "5s", "For by-key: for how long they remember."),
-        or("worth", Kind::Number(0.0, 1e6), "1", "Worth of an answer within the aim."),
-        or("late-worth", Kind::Number(0.0, 1.0), "0", "Share of it for a later answer."),
-        or("streaming", Kind::Flag, "false", "Answers are streams."),
+        required("name", AttrType::Name, "Its name."),
+        required("aim", AttrType::Duration(1000, HOUR), "An answer within this time earns the full worth."),
+        required("deadline", AttrType::Duration(1000, HOUR), "How long a sender waits."),
+        required(
+            "effect",
+            AttrType::Choice(&["repeatable", "by-key", "once"]),
+            "Whether a call may run twice.",
+        ),
+        with_default(
+            "group",
+            AttrType::Choice(&["all", "zone", "cell"]),
+            "all",
+            "For by-key: which runners drop repeats.",
+        ),
+        with_default("window", AttrType::Duration(0, HOUR), "5s", "For by-key: for how long they remember."),
+        with_default("worth", AttrType::Decimal(0.0, 1e6), "1", "Worth of an answer within the aim."),
+        with_default("late-worth", AttrType::Decimal(0.0, 1.0), "0", "Share of it for a later answer."),
+        with_default("streaming", AttrType::Boolean, "false", "Answers are streams."),
     ],
     children: &[],
 };
@@ -276,8 +331,12 @@
     name: "tenant",
     doc: "A tenant.",
     attrs: &[
-        must("name", Kind::Name, "Its name."),
-        may("quota", Kind::Number(0.0, 1e9), "Calls a second within its share, over all front ends."),
+        required("name", AttrType::Name, "Its name."),
+        optional(
+            "quota",
+            AttrType::Decimal(0.0, 1e9),
+            "Calls a second within its share, over all front ends.",
+        ),
     ],
     children: &[],
 };
@@ -285,10 +344,10 @@
     name: "function",
     doc: "A function.",
     attrs: &[
-        must("name", Kind::Name, "Its name."),
-        must("memory-mb", Kind::Number(0.1, 1e9), "Memory of one copy, in MB."),
-        or("lanes", Kind::Whole(1, 10_000), "1", "Calls that one copy runs at a time."),
-        may("load-time", Kind::Time(0, HOUR), "Usual time of a load."),
+        required("name", AttrType::Name, "Its name."),
+        required("memory-mb", AttrType::Decimal(0.1, 1e9), "Memory of one copy, in MB."),
+        with_default("lanes", AttrType::Integer(1, 10_000), "1", "Calls that one copy runs at a time."),
+        optional("load-time", AttrType::Duration(0, HOUR), "Usual time of a load."),
     ],
     children: &[],
 };
@@ -296,10 +355,10 @@
     name: "secret",
     doc: "A live key of a sender. The file holds it; it never stands here.",
     attrs: &[
-        must("name", Kind::Name, "Its name in logs."),
-        must("file", Kind::File, "The file, readable by its owner alone."),
-        may("not-before", Kind::Date, "It counts from then on."),
-        may("not-after", Kind::Date, "It counts until then."),
+        required("name", AttrType::Name, "Its name in logs."),
+        required("file", AttrType::File, "The file, readable by its owner alone."),
+        optional("not-before", AttrType::Timestamp, "It counts from then on."),
+        optional("not-after", AttrType::Timestamp, "It counts until then."),
     ],
     children: &[],
 };
@@ -307,10 +366,10 @@
     name: "callback",
     doc: "An address to which final answers of this sender's calls may also be posted, where a call asks for it by name.",
     attrs: &[
-        must("name", Kind::Name, "Its name."),
-        must("address", Kind::Address, "Where it listens. Nothing is ever posted anywhere else; redirects are not followed."),
-        must("path", Kind::Path, "Its path there."),
-        must("key-file", Kind::File, "The key that signs what is posted."),
+        required("name", AttrType::Name, "Its name."),
+        required("address", AttrType::SocketAddress, "Where it listens. Nothing is ever posted anywhere else; redirects are not followed."),
+        required("path", AttrType::UrlPath, "Its path there."),
+        required("key-file", AttrType::File, "The key that signs what is posted."),
     ],
     children: &[],
 };
@@ -318,74 +377,79 @@
     name: "sender",
     doc: "A sender of webhooks.",
     attrs: &[
-        must("name", Kind::Name, "Its name."),
-        must("tenant", Kind::Name, "The tenant whose calls it makes."),
-        or(
+        required("name", AttrType::Name, "Its name."),
+        required("tenant", AttrType::Name, "The tenant whose calls it makes."),
+        with_default(
             "tolerance",
-            Kind::Time(SECOND, 24 * HOUR),
+            AttrType::Duration(SECOND, 24 * HOUR),
             "5min",
             "How far a timestamp may lie from now, both ways.",
         ),
     ],
-    children: &[some(&SECRET), any(&CALLBACK)],
+    children: &[one_or_more(&SECRET), zero_or_more(&CALLBACK)],
 };
 const ROUTE: Element = Element {
     name: "route",
     doc: "A path at which a sender's webhooks come in.",
     attrs: &[
-        must(
+        required(
             "path",
-            Kind::Path,
+            AttrType::UrlPath,
             "The path. One that ends in /* takes the function's name from its last part.",
         ),
-        must("sender", Kind::Name, "Who may post there."),
-        must("class", Kind::Name, "The class of its calls."),
-        may("function", Kind::Name, "The function; left out where the path ends in /*."),
+        required("sender", AttrType::Name, "Who may post there."),
+        required("class", AttrType::Name, "The class of its calls."),
+        optional("function", AttrType::Name, "The function; left out where the path ends in /*."),
     ],
     children: &[],
 };
 const BALANCER: Element = Element {
     name: "balancer",
     doc: "A load balancer in front. Where a connection comes from it, messages count as the last address in X-Forwarded-For that is none of these.",
-    attrs: &[must("address", Kind::Host, "Its address.")],
+    attrs: &[required("address", AttrType::IpAddress, "Its address.")],
     children: &[],
 };
 const GUARD: Element = Element {
     name: "guard",
     doc: "Budgets for messages whose signature fails. Beyond them messages are turned away unread, with 429.",
     attrs: &[
-        or("source-burst", Kind::Whole(1, 1_000_000), "200", "Failed checks of one source address at once."),
-        or("source-rate", Kind::Whole(0, 1_000_000), "20", "Further ones a second."),
-        or(
+        with_default(
+            "source-burst",
+            AttrType::Integer(1, 1_000_000),
+            "200",
+            "Failed checks of one source address at once.",
+        ),
+        with_default("source-rate", AttrType::Integer(0, 1_000_000), "20", "Further ones a second."),
+        with_default(
             "sender-burst",
-            Kind::Whole(1, 1_000_000),
+            AttrType::Integer(1, 1_000_000),
             "2000",
             "Failed checks at once as one sender, by all addresses that have signed nothing for it of late.",
         ),
-        or("sender-rate", Kind::Whole(0, 1_000_000), "200", "Further ones a second."),
-        or(
+        with_default("sender-rate", AttrType::Integer(0, 1_000_000), "200", "Further ones a second."),
+        with_default(
             "sources",
-            Kind::Whole(1, 10_000_000),
+            AttrType::Integer(1, 10_000_000),
             "10000",
             "Addresses kept apart; further ones share one budget. As many are known to senders.",
         ),
-        or(
+        with_default(
             "known-for",
-            Kind::Time(SECOND, 24 * HOUR),
+            AttrType::Duration(SECOND, 24 * HOUR),
             "10min",
             "An address that signed for a sender counts as known to it for so long.",
         ),
-        or("bytes", BYTES, "65536", "A body costs one check more for each so many bytes."),
+        with_default("bytes", BYTES, "65536", "A body costs one check more for each so many bytes."),
     ],
-    children: &[any(&BALANCER)],
+    children: &[zero_or_more(&BALANCER)],
 };
 const TLS: Element = Element {
     name: "tls",
     doc: "Senders are met under TLS. Files are PEM; they are read again on SIGHUP.",
     attrs: &[
-        must("certificate", Kind::File, "The chain, this end's own first."),
-        must("key-file", Kind::File, "Its private key, readable by its owner alone."),
-        may("clients", Kind::File, "Senders must show a certificate of one of these authorities."),
+        required("certificate", AttrType::File, "The chain, this end's own first."),
+        required("key-file", AttrType::File, "Its private key, readable by its owner alone."),
+        optional("clients", AttrType::File, "Senders must show a certificate of one of these authorities."),
     ],
     children: &[],
 };
@@ -393,10 +457,10 @@
     name: "tls",
     doc: "Runners are met under TLS. Files are PEM; they are read again on SIGHUP.",
     attrs: &[
-        must("authority", Kind::File, "The authorities whose certificates are trusted."),
-        must("name", Kind::Name, "The name that every runner's certificate bears."),
-        may("certificate", Kind::File, "This end's own chain, for runners that ask for one."),
-        may("key-file", Kind::File, "Its private key, readable by its owner alone."),
+        required("authority", AttrType::File, "The authorities whose certificates are trusted."),
+        required("name", AttrType::Name, "The name that every runner's certificate bears."),
+        optional("certificate", AttrType::File, "This end's own chain, for runners that ask for one."),
+        optional("key-file", AttrType::File, "Its private key, readable by its owner alone."),
     ],
     children: &[],
 };
@@ -404,65 +468,95 @@
     name: "webhook",
     doc: "The front for signed webhooks.",
     attrs: &[
-        must("listen", Kind::Address, "Where it listens."),
-        or("connections", Kind::Whole(1, 1_000_000), "4096", "Connections at once; further ones wait."),
-        or("head-bytes", Kind::Whole(256, 1 << 20), "16384", "Bytes of a request's head."),
-        or("headers", Kind::Whole(4, 128), "64", "Header lines of a request."),
-        or("head-time", Kind::Time(1000, HOUR), "5s", "Time for a head."),
-        or("body-bytes", BYTES, "1048576", "Bytes of a body."),
-        or("body-time", Kind::Time(1000, HOUR), "10s", "Time for a body."),
-        or("idle-time", Kind::Time(1000, 24 * HOUR), "60s", "An idle connection closes after this."),
-        or("write-time", Kind::Time(1000, HOUR), "10s", "Time for a sender to read an answer."),
-        or(
+        required("listen", AttrType::SocketAddress, "Where it listens."),
+        with_default(
+            "connections",
+            AttrType::Integer(1, 1_000_000),
+            "4096",
+            "Connections at once; further ones wait.",
+        ),
+        with_default("head-bytes", AttrType::Integer(256, 1 << 20), "16384", "Bytes of a request's head."),
+        with_default("headers", AttrType::Integer(4, 128), "64", "Header lines of a request."),
+        with_default("head-time", AttrType::Duration(1000, HOUR), "5s", "Time for a head."),
+        with_default("body-bytes", BYTES, "1048576", "Bytes of a body."),
+        with_default("body-time", AttrType::Duration(1000, HOUR), "10s", "Time for a body."),
+        with_default(
+            "idle-time",
+            AttrType::Duration(1000, 24 * HOUR),
+            "60s",
+            "An idle connection closes after this.",
+        ),
+        with_default(
+            "write-time",
+            AttrType::Duration(1000, HOUR),
+            "10s",
+            "Time for a sender to read an answer.",
+        ),
+        with_default(
             "remember",
-            Kind::Time(SECOND, 24 * HOUR),
+            AttrType::Duration(SECOND, 24 * HOUR),
             "10min",
             "How long an id's final answer is remembered; at least twice each sender's tolerance.",
         ),
-        or("remember-most", Kind::Whole(1, 100_000_000), "200000", "Ids remembered at once."),
-        or(
+        with_default("remember-most", AttrType::Integer(1, 100_000_000), "200000", "Ids remembered at once."),
+        with_default(
             "callbacks",
-            Kind::Whole(0, 1_000_000),
+            AttrType::Integer(0, 1_000_000),
             "1000",
             "Callbacks that may be owed at once; a call that asks for one more is refused.",
         ),
-        or(
+        with_default(
             "remember-bytes",
-            Kind::Whole(1024, 1 << 36),
+            AttrType::Integer(1024, 1 << 36),
             "134217728",
             "Bytes of ids and answers remembered at once.",
         ),
-        or("waiters", Kind::Whole(1, 10_000), "16", "Repeats that may wait for one answer."),
+        with_default("waiters", AttrType::Integer(1, 10_000), "16", "Repeats that may wait for one answer."),
     ],
-    children: &[some(&SENDER), some(&ROUTE), maybe(&GUARD), maybe(&TLS)],
+    children: &[one_or_more(&SENDER), one_or_more(&ROUTE), zero_or_one(&GUARD), zero_or_one(&TLS)],
 };
 const RUNNERS: Element = Element {
     name: "runners",
     doc: "How runners are reached.",
     attrs: &[
-        must("key-file", Kind::File, "The key that signs calls to runners."),
-        or("connections", Kind::Whole(1, 100_000), "256", "Connections to one runner."),
-        or("connect-time", Kind::Time(1000, MINUTE), "250ms", "A connection not made by then has failed."),
-        or("idle-time", Kind::Time(1000, 24 * HOUR), "30s", "An idle connection closes after this."),
-        or("answer-bytes", BYTES, "1048576", "Bytes of an answer."),
-        or(
+        required("key-file", AttrType::File, "The key that signs calls to runners."),
+        with_default("connections", AttrType::Integer(1, 100_000), "256", "Connections to one runner."),
+        with_default(
+            "connect-time",
+            AttrType::Duration(1000, MINUTE),
+            "250ms",
+            "A connection not made by then has failed.",
+        ),
+        with_default(
+            "idle-time",
+            AttrType::Duration(1000, 24 * HOUR),
+            "30s",
+            "An idle connection closes after this.",
+        ),
+        with_default("answer-bytes", BYTES, "1048576", "Bytes of an answer."),
+        with_default(
             "call-off-time",
-            Kind::Time(1000, MINUTE),
+            AttrType::Duration(1000, MINUTE),
             "250ms",
             "A call-off not confirmed by then counts as done.",
         ),
-        or("probe-time", Kind::Time(1000, MINUTE), "250ms", "A probe not answered by then has failed."),
+        with_default(
+            "probe-time",
+            AttrType::Duration(1000, MINUTE),
+            "250ms",
+            "A probe not answered by then has failed.",
+        ),
     ],
-    children: &[maybe(&RUNNER_TLS)],
+    children: &[zero_or_one(&RUNNER_TLS)],
 };
 const REPORT: Element = Element {
     name: "report",
     doc: "Load reports of runners.",
     attrs: &[
-        must("how", Kind::Word(&["answers", "probe"]), "In answers and probes, or in probes only."),
-        must(
+        required("how", AttrType::Choice(&["answers", "probe"]), "In answers and probes, or in probes only."),
+        required(
             "fields",
-            Kind::Words(&["active", "waiting", "cpu", "memory", "loads", "other"]),
+            AttrType::Choices(&["active", "waiting", "cpu", "memory", "loads", "other"]),
             "What a report holds.",
         ),
     ],
@@ -472,17 +566,32 @@
     name: "list",
     doc: "The service that lists runners.",
     attrs: &[
-        must("address", Kind::Address, "Where it listens."),
-        or("discovery", Kind::Word(&["push", "ask"]), "push", "Whether changes come by themselves."),
-        or(
+        required("address", AttrType::SocketAddress, "Where it listens."),
+        with_default(
+            "discovery",
+            AttrType::Choice(&["push", "ask"]),
+            "push",
+            "Whether changes come by themselves.",
+        ),
+        with_default(
             "ask-within",
-            Kind::Time(0, HOUR),
+            AttrType::Duration(0, HOUR),
             "10s",
             "For ask: after this long unasked, old news counts as told.",
         ),
-        may("cache", Kind::File, "Where the last list is kept over a restart."),
-        or("wait", Kind::Time(1000, MINUTE), "20s", "How long the service may hold a question open."),
-        or("retry", Kind::Time(1000, MINUTE), "250ms", "Pause after a question that failed."),
+        optional("cache", AttrType::File, "Where the last list is kept over a restart."),
+        with_default(
+            "wait",
+            AttrType::Duration(1000, MINUTE),
+            "20s",
+            "How long the service may hold a question open.",
+        ),
+        with_default(
+            "retry",
+            AttrType::Duration(1000, MINUTE),
+            "250ms",
+            "Pause after a question that failed.",
+        ),
     ],
     children: &[],
 };
@@ -490,8 +599,8 @@
     name: "peer",
     doc: "Another front end.",
     attrs: &[
-        must("number", Kind::Whole(0, 99_999), "Its number."),
-        must("address", Kind::Address, "Where it listens for messages."),
+        required("number", AttrType::Integer(0, 99_999), "Its number."),
+        required("address", AttrType::SocketAddress, "Where it listens for messages."),
     ],
     children: &[],
 };
@@ -499,35 +608,35 @@
     name: "peers",
     doc: "Messages between front ends, by datagram.",
     attrs: &[
-        must("listen", Kind::Address, "Where this one listens."),
-        must("key-file", Kind::File, "The key that all front ends share."),
+        required("listen", AttrType::SocketAddress, "Where this one listens."),
+        required("key-file", AttrType::File, "The key that all front ends share."),
     ],
-    children: &[any(&PEER)],
+    children: &[zero_or_more(&PEER)],
 };
 const VOTER: Element = Element {
     name: "voter",
     doc: "A front end whose vote makes a keeper; more than half of them must agree.",
-    attrs: &[must("number", Kind::Whole(0, 65_535), "Its number.")],
+    attrs: &[required("number", AttrType::Integer(0, 65_535), "Its number.")],
     children: &[],
 };
 const BUDGET: Element = Element {
     name: "budget",
     doc: "A whole that the front ends divide among those that are there.",
     attrs: &[
-        must("name", Kind::Name, "Its name in logs, figures and commands."),
-        must(
+        required("name", AttrType::Name, "Its name in logs, figures and commands."),
+        required(
             "of",
-            Kind::Word(&["orders", "tenant"]),
+            AttrType::Choice(&["orders", "tenant"]),
             "Load orders in a window that the handler store bears, or a tenant's quota.",
         ),
-        may("tenant", Kind::Name, "For tenant: whose quota is divided."),
-        must(
+        optional("tenant", AttrType::Name, "For tenant: whose quota is divided."),
+        required(
             "units",
-            Kind::Whole(1, 60_000),
+            AttrType::Integer(1, 60_000),
             "For orders: load orders in a window, over all front ends. For tenant: parts into which its quota is cut.",
         ),
-        or("floor", Kind::Whole(0, 60_000), "0", "Of these, each front end's own for good."),
-        must("window", Kind::Time(1000, HOUR), "A unit that was spent may be spent again after this."),
+        with_default("floor", AttrType::Integer(0, 60_000), "0", "Of these, each front end's own for good."),
+        required("window", AttrType::Duration(1000, HOUR), "A unit that was spent may be spent again after this."),
     ],
     children: &[],
 };
@@ -535,116 +644,161 @@
     name: "budgets",
     doc: "Wholes that the front ends divide among themselves by leases; needs <peers>.",
     attrs: &[
-        must("version", Kind::Whole(1, u32::MAX as u64), "Counted up with each change of a whole."),
-        or("lease", Kind::Time(10_000, HOUR), "3s", "How long a part counts from when it was asked for."),
-        or("vote", Kind::Time(1000, HOUR), "1s", "How long a vote for a keeper counts."),
-        or(
+        required("version", AttrType::Integer(1, u32::MAX as u64), "Counted up with each change of a whole."),
+        with_default(
+            "lease",
+            AttrType::Duration(10_000, HOUR),
+            "3s",
+            "How long a part counts from when it was asked for.",
+        ),
+        with_default("vote", AttrType::Duration(1000, HOUR), "1s", "How long a vote for a keeper counts."),
+        with_default(
             "beat",
-            Kind::Time(1000, MINUTE),
+            AttrType::Duration(1000, MINUTE),
             "300ms",
             "How often each front end asks; three times in a lease at least.",
         ),
-        or("drift", Kind::Whole(0, 100_000), "1000", "Millionths by which a clock may run fast or slow."),
-        or("moves", Kind::Whole(1, 256), "64", "Part in 256 of a whole that may change hands in a beat."),
+        with_default(
+            "drift",
+            AttrType::Integer(0, 100_000),
+            "1000",
+            "Millionths by which a clock may run fast or slow.",
+        ),
+        with_default(
+            "moves",
+            AttrType::Integer(1, 256),
+            "64",
+            "Part in 256 of a whole that may change hands in a beat.",
+        ),
     ],
-    children: &[some(&VOTER), some(&BUDGET)],
+    children: &[one_or_more(&VOTER), one_or_more(&BUDGET)],
 };
 const LEAVING: Element = Element {
     name: "leaving",
     doc: "Front ends tell each other which zones answer them, leave one that does not together, and return step by step; needs <peers>.",
     attrs: &[
-        or("beat", Kind::Time(1000, MINUTE), "100ms", "How often each tells the voters."),
-        or(
+        with_default("beat", AttrType::Duration(1000, MINUTE), "100ms", "How often each tells the voters."),
+        with_default(
             "least-left",
-            Kind::Number(0.0, 1.0),
+            AttrType::Decimal(0.0, 1.0),
             "0.3",
             "Part of all runners, by size, that stays in use whatever is lost.",
         ),
-        or("quiet", Kind::Time(1000, HOUR), "2s", "A zone that was left is not tried before; doubled by each failed return."),
-        or("most-quiet", Kind::Time(1000, 24 * HOUR), "2min", "The longest such pause."),
-        or("probers", Kind::Whole(1, 64), "3", "Voters that probe a zone that was left."),
-        or("probes", Kind::Whole(1, 64), "2", "Runners that each of them probes in a beat."),
+        with_default("quiet", AttrType::Duration(1000, HOUR), "2s", "A zone that was left is not tried before; doubled by each failed return."),
+        with_default("most-quiet", AttrType::Duration(1000, 24 * HOUR), "2min", "The longest such pause."),
+        with_default("probers", AttrType::Integer(1, 64), "3", "Voters that probe a zone that was left."),
+        with_default("probes", AttrType::Integer(1, 64), "2", "Runners that each of them probes in a beat."),
     ],
-    children: &[some(&VOTER)],
+    children: &[one_or_more(&VOTER)],
 };
 const SERVICE: Element = Element {
     name: "service",
     doc: "A control service; the next one is asked where one fails.",
-    attrs: &[must("address", Kind::Address, "Where it listens.")],
+    attrs: &[required("address", AttrType::SocketAddress, "Where it listens.")],
     children: &[],
 };
 const CONTROL: Element = Element {
     name: "control",
     doc: "Settings in numbered versions from a control service.",
     attrs: &[
-        must("name", Kind::Name, "This front end's name there."),
-        or("cluster", Kind::Name, "main", "Its fleet's name there."),
-        must("keep", Kind::File, "Where the set that runs is kept over a restart."),
-        or("wait", Kind::Time(1000, MINUTE), "20s", "How long the service may hold a question open."),
-        or("retry", Kind::Time(1000, MINUTE), "500ms", "The first pause after a question that failed."),
-        or("most-retry", Kind::Time(1000, HOUR), "30s", "The longest; pauses in between are drawn."),
-        or("stage", Kind::Time(1000, HOUR), "10s", "How long a part waits for another that it needs."),
+        required("name", AttrType::Name, "This front end's name there."),
+        with_default("cluster", AttrType::Name, "main", "Its fleet's name there."),
+        required("keep", AttrType::File, "Where the set that runs is kept over a restart."),
+        with_default(
+            "wait",
+            AttrType::Duration(1000, MINUTE),
+            "20s",
+            "How long the service may hold a question open.",
+        ),
+        with_default(
+            "retry",
+            AttrType::Duration(1000, MINUTE),
+            "500ms",
+            "The first pause after a question that failed.",
+        ),
+        with_default(
+            "most-retry",
+            AttrType::Duration(1000, HOUR),
+            "30s",
+            "The longest; pauses in between are drawn.",
+        ),
+        with_default(
+            "stage",
+            AttrType::Duration(1000, HOUR),
+            "10s",
+            "How long a part waits for another that it needs.",
+        ),
     ],
-    children: &[some(&SERVICE)],
+    children: &[one_or_more(&SERVICE)],
 };
 const LOG: Element = Element {
     name: "log",
     doc: "The log, on standard error.",
     attrs: &[
-        or("format", Kind::Word(&["json", "text"]), "json", "Its form."),
-        or("level", Kind::Word(&["error", "warn", "info", "debug"]), "info", "What is written."),
+        with_default("format", AttrType::Choice(&["json", "text"]), "json", "Its form."),
+        with_default(
+            "level",
+            AttrType::Choice(&["error", "warn", "info", "debug"]),
+            "info",
+            "What is written.",
+        ),
     ],
     children: &[],
 };
 const METRICS: Element = Element {
     name: "metrics",
     doc: "Figures in OpenMetrics text, and health.",
-    attrs: &[must("listen", Kind::Address, "Where they are served, at /metrics and /health.")],
+    attrs: &[required("listen", AttrType::SocketAddress, "Where they are served, at /metrics and /health.")],
     children: &[],
 };
 const STOP: Element = Element {
     name: "stop",
     doc: "An orderly stop.",
-    attrs: &[or("within", Kind::Time(0, HOUR), "30s", "Calls still owed an answer after this are failed.")],
+    attrs: &[with_default(
+        "within",
+        AttrType::Duration(0, HOUR),
+        "30s",
+        "Calls still owed an answer after this are failed.",
+    )],
     children: &[],
 };
 
-/// The outermost element.
+/// The root element.
 pub const ROOT: Element = Element {
     name: "badgerwind",
     doc: "The settings of one front end.",
-    attrs: &[must("version", Kind::Word(&["1"]), "Version of this form.")],
+    attrs: &[required("version", AttrType::Choice(&["1"]), "Version of this form.")],
     children: &[
-        one(&FLEET),
-        one(&RULES),
-        maybe(&PRICES),
-        maybe(&ALLOW),
-        some(&CLASS),
-        some(&TENANT),
-        some(&FUNCTION),
-        one(&WEBHOOK),
-        one(&RUNNERS),
-        maybe(&REPORT),
-        one(&LIST),
-        maybe(&PEERS),
-        maybe(&BUDGETS),
-        maybe(&LEAVING),
-        maybe(&CONTROL),
-        maybe(&LOG),
-        maybe(&METRICS),
-        maybe(&STOP),
+        exactly_one(&FLEET),
+        exactly_one(&RULES),
+        zero_or_one(&PRICES),
+        zero_or_one(&ALLOW),
+        one_or_more(&CLASS),
+        one_or_more(&TENANT),
+        one_or_more(&FUNCTION),
+        exactly_one(&WEBHOOK),
+        exactly_one(&RUNNERS),
+        zero_or_one(&REPORT),
+        exactly_one(&LIST),
+        zero_or_one(&PEERS),
+        zero_or_one(&BUDGETS),
+        zero_or_one(&LEAVING),
+        zero_or_one(&CONTROL),
+        zero_or_one(&LOG),
+        zero_or_one(&METRICS),
+        zero_or_one(&STOP),
     ],
 };
 
-/// The schema in XSD 1.0, written from the table. Children may stand in any order, which XSD 1.0 says best by a
-/// repeated choice; how often each may stand is in its words, and the check holds documents to it.
+/// The schema in XSD 1.0. Child elements may occur in any order, which XSD 1.0 can express only by a repeated choice.
+/// The number of occurrences is therefore stated in the documentation of each element, and enforced by the validation.
 pub fn xsd() -> String {
     let mut out = String::from(
         "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n\
          <!-- Written from the table of elements: badgerwind check, with its option to print the schema. -->\n\
          <xs:schema xmlns:xs=\"http://www.w3.org/2001/XMLSchema\" elementFormDefault=\"qualified\">\n",
     );
-    element(&ROOT, 1, "", &mut out);
+    write_element(&ROOT, 1, "", &mut out);
     out.push_str("</xs:schema>\n");
     out
 }
@@ -653,66 +807,68 @@
     quick_xml::escape::escape(text).into_owned()
 }
 
-fn note(text: &str) -> String {
+fn annotation(text: &str) -> String {
     format!("<xs:annotation><xs:documentation>{}</xs:documentation></xs:annotation>", escape(text))
 }
 
-// Writing to a `String` cannot fail, so its results are passed over here.
-fn element(e: &Element, depth: usize, often: &str, out: &mut String) {
+// Writing to a `String` cannot fail, so the results of `writeln!` are ignored here.
+fn write_element(e: &Element, depth: usize, occurrence: &str, out: &mut String) {
     let pad = "  ".repeat(depth);
     let _ = writeln!(out, "{pad}<xs:element name=\"{}\">", e.name);
-    let _ = writeln!(out, "{pad}  {}", note(&format!("{}{often}", e.doc)));
+    let _ = writeln!(out, "{pad}  {}", annotation(&format!("{}{occurrence}", e.doc)));
     let _ = writeln!(out, "{pad}  <xs:complexType>");
     if !e.children.is_empty() {
         let _ = writeln!(out, "{pad}    <xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">");
         for c in e.children {
-            let often = match (c.least, c.most) {
+            let occurrence = match (c.min, c.max) {
                 (1, Some(1)) => " Once.",
                 (0, Some(1)) => " At most once.",
                 (1, None) => " At least once.",
                 _ => " Any number.",
             };
-            element(c.element, depth + 3, often, out);
+            write_element(c.element, depth + 3, occurrence, out);
         }
         let _ = writeln!(out, "{pad}    </xs:choice>");
     }
     for a in e.attrs {
-        attribute(a, &pad, out);
+        write_attribute(a, &pad, out);
     }
     let _ = writeln!(out, "{pad}  </xs:complexType>");
     let _ = writeln!(out, "{pad}</xs:element>");
 }
 
-fn attribute(a: &Attr, pad: &str, out: &mut String) {
+fn write_attribute(a: &Attr, pad: &str, out: &mut String) {
     let usage = match a.default {
         Some(d) => format!("default=\"{}\"", escape(d)),
         None if a.optional => "use=\"optional\"".into(),
         None => "use=\"required\"".into(),
     };
-    let range =
-        |l: String, m: String| format!("<xs:minInclusive value=\"{l}\"/><xs:maxInclusive value=\"{m}\"/>");
+    let range = |min: String, max: String| {
+        format!("<xs:minInclusive value=\"{min}\"/><xs:maxInclusive value=\"{max}\"/>")
+    };
     let pattern = |p: &str| format!("<xs:pattern value=\"{p}\"/>");
-    let (base, facets) = match a.kind {
-        Kind::Name => ("string", pattern("[A-Za-z0-9_.:\\-]{1,64}")),
-        Kind::File => ("string", "<xs:minLength value=\"1\"/>".into()),
-        Kind::Path => ("string", pattern("/[^?# ]*")),
-        Kind::Flag => ("string", pattern("true|false")),
-        Kind::Word(words) => {
+    let (base, facets) = match a.attr_type {
+        AttrType::Name => ("string", pattern("[A-Za-z0-9_.:\\-]{1,64}")),
+        AttrType::File => ("string", "<xs:minLength value=\"1\"/>".into()),
+        AttrType::UrlPath => ("string", pattern("/[^?# ]*")),
+        AttrType::Boolean => ("string", pattern("true|false")),
+        AttrType::Choice(words) => {
             ("string", words.iter().map(|w| format!("<xs:enumeration value=\"{w}\"/>")).collect())
         }
-        Kind::Words(words) => ("string", pattern(&format!("({0})( ({0}))*", words.join("|")))),
-        Kind::Whole(l, m) => ("integer", range(l.to_string(), m.to_string())),
-        Kind::Number(l, m) => ("decimal", range(l.to_string(), m.to_string())),
-        Kind::Time(..) => ("string", pattern("[0-9]+(\\.[0-9]+)?(us|ms|s|min|h)")),
-        Kind::Address => ("string", pattern(".+:[0-9]{1,5}")),
-        Kind::Host => ("string", pattern("[0-9A-Fa-f.:]{2,45}")),
-        Kind::Text(most) => {
-            ("string", format!("<xs:minLength value=\"1\"/><xs:maxLength value=\"{most}\"/>"))
+        AttrType::Choices(words) => ("string", pattern(&format!("({0})( ({0}))*", words.join("|")))),
+        AttrType::Integer(min, max) => ("integer", range(min.to_string(), max.to_string())),
+        AttrType::Decimal(min, max) => ("decimal", range(min.to_string(), max.to_string())),
+        AttrType::Duration(..) => ("string", pattern("[0-9]+(\\.[0-9]+)?(us|ms|s|min|h)")),
+        AttrType::SocketAddress => ("string", pattern(".+:[0-9]{1,5}")),
+        AttrType::IpAddress => ("string", pattern("[0-9A-Fa-f.:]{2,45}")),
+        AttrType::Text(max) => {
+            ("string", format!("<xs:minLength value=\"1\"/><xs:maxLength value=\"{max}\"/>"))
         }
-        Kind::Date => ("string", pattern("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:.]+Z")),
+        AttrType::Timestamp => ("string", pattern("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:.]+Z")),
     };
     let _ = writeln!(out, "{pad}    <xs:attribute name=\"{}\" {usage}>", a.name);
-    let _ = writeln!(out, "{pad}      {}", note(&format!("{} Give {}.", a.doc, a.kind.wanted())));
+    let _ =
+        writeln!(out, "{pad}      {}", annotation(&format!("{} Give {}.", a.doc, a.attr_type.expected())));
     let _ = writeln!(out, "{pad}      <xs:simpleType><xs:restriction base=\"xs:{base}\">");
     let _ = writeln!(out, "{pad}        {facets}");
     let _ = writeln!(out, "{pad}      </xs:restriction></xs:simpleType>");
--- a/crates/badgerwind-settings/tests/documents.rs
+++ b/crates/badgerwind-settings/tests/documents.rs
@@ -51,8 +51,8 @@
             "zone=\"hall-z\"",
             "<fleet>: zone names \"hall-z\", which is not declared; declare",
         ),
-        ("<tenant name=\"brolga-shire\" quota=\"101\"/>", "", "<badgerwind>: <tenant> stands 0 times; write"),
-        ("<list address", "<lists address", "s.xml:25: <lists>: unknown element; in <badgerwind> may stand"),
+        ("<tenant name=\"brolga-shire\" quota=\"101\"/>", "", "<badgerwind>: <tenant> occurs 0 times; write"),
+        ("<list address", "<lists address", "s.xml:25: <lists>: unknown element; <badgerwind> may contain"),
         ("class=\"lodge-return\"", "class=\"lodge\"", "s.xml:22: <route>: class names \"lodge\""),
         ("path=\"/check/*\"", "path=\"/check\"", "s.xml:21: <route>: path /check and function do not fit"),
         (
@@ -78,16 +78,16 @@
         (
             "<log format=\"text\"/>",
             "<log colour=\"red\"/>",
-            "unknown attribute colour; known are format, level",
+            "unknown attribute colour; known attributes are format, level",
         ),
-        ("<log format=\"text\"/>", "<log>text</log>", "<log>: holds text; values stand in attributes"),
+        ("<log format=\"text\"/>", "<log>text</log>", "<log>: contains text; write values in attributes"),
         ("</badgerwind>", "", "<badgerwind>: is never closed"),
         ("</webhook>", "</webhok>", "not well-formed XML"),
         ("<log format=\"text\"/>", "<log format=\"text\" format=\"json\"/>", "an attribute cannot be read"),
         (
             "<badgerwind version",
             "<!DOCTYPE x [<!ENTITY a \"b\">]><badgerwind version",
-            "entities are not read",
+            "remove it: entities are not supported",
         ),
         (
             "<log format=\"text\"/>",
@@ -100,7 +100,9 @@
         assert!(got.iter().any(|p| p.contains(want)), "wanted {want}\ngot {got:#?}");
     }
     assert!(read("s.xml", "").unwrap_err()[0].to_string().contains("is empty"));
-    assert!(read("s.xml", "<a/>").unwrap_err()[0].to_string().contains("<badgerwind> must stand here"));
+    assert!(read("s.xml", "<a/>").unwrap_err()[0]
+        .to_string()
+        .contains("unexpected element; <badgerwind> is expected here"));
 }
 
 /// The example with peers and budgets.
