--- a/crates/badgerwind-cli/src/serve.rs
+++ b/crates/badgerwind-cli/src/serve.rs
@@ -109,7 +109,13 @@
         let file = path.display().to_string();
         let text = std::fs::read_to_string(&path).map_err(|e| {
             let (what, right) = (format!("cannot be read: {e}"), "put it back".to_owned());
-            vec![Problem { file: file.clone(), line: 1, element: "badgerwind".into(), what, right }]
+            vec![Problem {
+                file: file.clone(),
+                line: 1,
+                element: "badgerwind".into(),
+                message: what,
+                remedy: right,
+            }]
         })?;
         let node = parse(&file, &text).map_err(|p| vec![p])?;
         if !badgerwind_settings::edit::same_but_keys(&begun, &node) {
--- a/crates/badgerwind-config/src/parts.rs
+++ b/crates/badgerwind-config/src/parts.rs
@@ -91,12 +91,12 @@
     /// Parses a part. Returns the problems, with their lines, if the text is not XML or has elements of another kind.
     pub fn parse(kind: Kind, version: u64, text: &str) -> Result<Part, Vec<Problem>> {
         let file = format!("{}:{version}", kind.name());
-        let document_problem = |what: String, right: &str| Problem {
+        let document_problem = |message: String, remedy: &str| Problem {
             file: file.clone(),
             line: 1,
             element: "badgerwind".into(),
-            what,
-            right: right.into(),
+            message,
+            remedy: remedy.into(),
         };
         if text.len() > MAX_PART_BYTES {
             return Err(vec![document_problem(format!("{} bytes", text.len()), "a part is smaller")]);
@@ -115,8 +115,8 @@
                 file: file.clone(),
                 line: c.line,
                 element: c.name.clone(),
-                what: format!("does not belong to a part of kind {}", kind.name()),
-                right: format!("it may hold {}", names.join(", ")),
+                message: format!("does not belong to a part of kind {}", kind.name()),
+                remedy: format!("it may hold {}", names.join(", ")),
             })
             .collect();
         if !unexpected.is_empty() {
@@ -129,8 +129,8 @@
                 file,
                 line: local.line,
                 element: local.name.clone(),
-                what: "is each machine's own, and stays in its file".into(),
-                right: format!("a part's webhook holds {}", ROUTE_ELEMENTS.join(", ")),
+                message: "is each machine's own, and stays in its file".into(),
+                remedy: format!("a part's webhook holds {}", ROUTE_ELEMENTS.join(", ")),
             }]);
         }
         let digest = Sha256::digest(text.as_bytes()).into();
--- a/crates/badgerwind-gateway/src/secrets.rs
+++ b/crates/badgerwind-gateway/src/secrets.rs
@@ -112,7 +112,7 @@
     let mut problems = Vec::new();
     let mut tls = Vec::new();
     let mut none = |line: usize, (what, right): Wrong| {
-        tls.push(Problem { file: file.into(), line, element: "tls".into(), what, right });
+        tls.push(Problem { file: file.into(), line, element: "tls".into(), message: what, remedy: right });
     };
     let (own, theirs) = (&settings.webhook.tls, &settings.runners.tls);
     let senders_tls = own.as_ref().and_then(|t| senders_tls(folder, t).map_err(|w| none(t.line, w)).ok());
@@ -121,7 +121,13 @@
     let mut key = |element: &str, line: usize, path: &Path| {
         let read = read_key(&folder.join(path));
         read.map_err(|(what, right)| {
-            problems.push(Problem { file: file.into(), line, element: element.into(), what, right });
+            problems.push(Problem {
+                file: file.into(),
+                line,
+                element: element.into(),
+                message: what,
+                remedy: right,
+            });
         })
         .ok()
     };
@@ -144,7 +150,13 @@
         let line = settings.peers.as_ref().map_or(0, |p| p.line);
         let what = "key-file holds an ed25519 key".to_owned();
         let right = "front ends share a whsec_ secret".to_owned();
-        problems.push(Problem { file: file.into(), line, element: "peers".into(), what, right });
+        problems.push(Problem {
+            file: file.into(),
+            line,
+            element: "peers".into(),
+            message: what,
+            remedy: right,
+        });
     }
     match runners {
         Some(runners) if problems.is_empty() => {
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -71,8 +71,8 @@
             file: "settings".into(),
             line: 1,
             element: "webhook".into(),
-            what: "other senders than those that run".into(),
-            right: "restart, or offer them as a version of the routes; keys are then read again".into(),
+            message: "other senders than those that run".into(),
+            remedy: "restart, or offer them as a version of the routes; keys are then read again".into(),
         }]);
     }
     let mut settings = running.clone();
@@ -105,8 +105,8 @@
         file: "settings".into(),
         line: budgets.line,
         element: "budgets".into(),
-        what: e.to_string(),
-        right: "count version up and change units alone; for all else restart the front ends".into(),
+        message: e.to_string(),
+        remedy: "count version up and change units alone; for all else restart the front ends".into(),
     }
 }
 
--- a/crates/badgerwind-settings/src/document.rs
+++ b/crates/badgerwind-settings/src/document.rs
@@ -63,12 +63,12 @@
     let mut element_count = 0;
     loop {
         let line = lines.line_at(reader.buffer_position());
-        let problem = |element: &str, what: String, right: &str| Problem {
+        let problem = |element: &str, message: String, remedy: &str| Problem {
             file: file.into(),
             line,
             element: element.into(),
-            what,
-            right: right.into(),
+            message,
+            remedy: remedy.into(),
         };
         let inside = open.last().map_or("document", |n| n.name.as_str()).to_owned();
         match reader.read_event() {
@@ -77,19 +77,20 @@
                 if element_count >= MAX_ELEMENTS || open.len() >= MAX_DEPTH =>
             {
                 let name = String::from_utf8_lossy(tag.name().as_ref()).into_owned();
-                let what = format!("more than {MAX_ELEMENTS} elements, or deeper than {MAX_DEPTH}");
-                return Err(problem(&name, what, "a settings document is smaller"));
+                let message = format!("more than {MAX_ELEMENTS} elements, or deeper than {MAX_DEPTH}");
+                return Err(problem(&name, message, "a settings document is smaller"));
             }
             Ok(Event::Start(tag)) => {
                 element_count += 1;
                 open.push(
-                    element_node(&tag, &shared, line).map_err(|(n, what)| problem(&n, what, WRITE_ATTR))?,
+                    element_node(&tag, &shared, line)
+                        .map_err(|(n, message)| problem(&n, message, WRITE_ATTR))?,
                 );
             }
             Ok(Event::Empty(tag)) => {
                 element_count += 1;
-                let node =
-                    element_node(&tag, &shared, line).map_err(|(n, what)| problem(&n, what, WRITE_ATTR))?;
+                let node = element_node(&tag, &shared, line)
+                    .map_err(|(n, message)| problem(&n, message, WRITE_ATTR))?;
                 close_element(node, &mut open, &mut root)
                     .map_err(|n| problem(&n, SECOND_ROOT.into(), ONE_ROOT))?;
             }
@@ -105,8 +106,8 @@
                 return Err(problem(&inside, "contains text".into(), "write values in attributes"));
             }
             Ok(Event::DocType(_)) => {
-                let right = "remove it: entities are not supported";
-                return Err(problem(&inside, "has a document type".into(), right));
+                let remedy = "remove it: entities are not supported";
+                return Err(problem(&inside, "has a document type".into(), remedy));
             }
             Ok(Event::Eof) => {
                 if let Some(node) = open.last() {
@@ -152,13 +153,13 @@
 
 /// Validates a tree against an element of the schema and appends every problem found.
 pub fn check(node: &Node, element: &Element, problems: &mut Vec<Problem>) {
-    let mut add = |at: &Node, name: &str, what: String, right: String| {
+    let mut add = |at: &Node, name: &str, message: String, remedy: String| {
         problems.push(Problem {
             file: at.file.to_string(),
             line: at.line,
             element: name.into(),
-            what,
-            right,
+            message,
+            remedy,
         });
     };
     if node.name != element.name {
@@ -172,30 +173,30 @@
         match element.attrs.iter().find(|k| k.name == name) {
             None => {
                 let names: Vec<_> = element.attrs.iter().map(|a| a.name).collect();
-                let right = format!("known attributes are {}", names.join(", "));
-                add(node, &node.name, format!("unknown attribute {name}"), right);
+                let remedy = format!("known attributes are {}", names.join(", "));
+                add(node, &node.name, format!("unknown attribute {name}"), remedy);
             }
             Some(attr) => {
-                if let Err(right) = validate_value(attr, value) {
-                    add(node, &node.name, format!("{name} is \"{value}\""), right);
+                if let Err(remedy) = validate_value(attr, value) {
+                    add(node, &node.name, format!("{name} is \"{value}\""), remedy);
                 }
             }
         }
     }
     for attr in element.attrs.iter().filter(|a| a.default.is_none() && !a.optional) {
         if node.attr(attr.name).is_none() {
-            let right = format!("give {}", attr.attr_type.expected());
-            add(node, &node.name, format!("{} is missing", attr.name), right);
+            let remedy = format!("give {}", attr.attr_type.expected());
+            add(node, &node.name, format!("{} is missing", attr.name), remedy);
         }
     }
     for child in &node.children {
         if !element.children.iter().any(|c| c.element.name == child.name) {
             let names: Vec<_> = element.children.iter().map(|c| format!("<{}>", c.element.name)).collect();
-            let right = match names.is_empty() {
+            let remedy = match names.is_empty() {
                 true => format!("<{}> has no child elements", node.name),
                 false => format!("<{}> may contain {}", node.name, names.join(", ")),
             };
-            add(child, &child.name, "unknown element".into(), right);
+            add(child, &child.name, "unknown element".into(), remedy);
         }
     }
     for c in element.children {
@@ -216,7 +217,7 @@
     }
 }
 
-/// Validates a value; the error tells what to write instead.
+/// Validates a value; the error tells message to write instead.
 fn validate_value(attr: &Attr, value: &str) -> Result<(), String> {
     let valid = match attr.attr_type {
         AttrType::Name => is_valid_name(value),
--- a/crates/badgerwind-settings/src/lib.rs
+++ b/crates/badgerwind-settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! The settings of a front end: an XML document, checked against one table of elements ([`schema`]), from which the
-//! published XSD is written as well. Every problem names file, line, element, what is wrong and what would be right.
-//! Nothing here reads a file; secrets stand in the document by the name of their file only.
+//! The settings of a front end. They are an XML document that is validated against a table of elements ([`schema`]); the
+//! published XSD is generated from the same table. Every problem names file, line, element, the error and its remedy.
+//! This crate reads no files; a document refers to secrets by file name only.
 
 pub mod document;
 pub mod edit;
@@ -11,18 +11,18 @@
 pub use read::{read, read_tree};
 pub use typed::*;
 
-/// Something wrong in a settings document.
+/// An error in a settings document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{file}:{line}: <{element}>: {what}; {right}")]
+#[error("{file}:{line}: <{element}>: {message}; {remedy}")]
 pub struct Problem {
-    /// The document's file.
+    /// The file of the document.
     pub file: String,
-    /// Its line, from 1.
+    /// The line, from 1.
     pub line: usize,
-    /// The element.
+    /// The name of the element.
     pub element: String,
     /// What is wrong.
-    pub what: String,
-    /// What would be right.
-    pub right: String,
+    pub message: String,
+    /// What to write instead.
+    pub remedy: String,
 }
