--- a/crates/badgerwind-cli/src/fleet.rs
+++ b/crates/badgerwind-cli/src/fleet.rs
@@ -309,7 +309,7 @@
     if why.is_empty() || why.len() > 200 || why.contains(char::is_control) {
         return Err(Stop::usage("give --why 1 to 200 bytes of words on one line"));
     }
-    let changed = badgerwind_settings::edit::zone_word(&text, &args.zone, word.map(|w| (w, why)))
+    let changed = badgerwind_settings::edit::set_zone_directive(&text, &args.zone, word.map(|w| (w, why)))
         .map_err(|e| Stop::usage(format!("{shown}: {e}")))?;
     if args.dry_run {
         let whole = ask_all(&args.at);
--- a/crates/badgerwind-cli/src/keys.rs
+++ b/crates/badgerwind-cli/src/keys.rs
@@ -142,9 +142,14 @@
     // Beside the key that it follows.
     let beside = known.secrets.last().and_then(|s| s.file.parent()).unwrap_or(Path::new(""));
     let file = beside.join(format!("{sender}-{name}.key").replace(':', "_"));
-    let changed =
-        badgerwind_settings::edit::rotate(&read(path)?, sender, name, &file.display().to_string(), &end)
-            .map_err(|e| Stop::usage(e.to_string()))?;
+    let changed = badgerwind_settings::edit::rotate_secrets(
+        &read(path)?,
+        sender,
+        name,
+        &file.display().to_string(),
+        &end,
+    )
+    .map_err(|e| Stop::usage(e.to_string()))?;
     let kind = match (kind, private_out) {
         (Kind::Shared, None) => KeyKind::Shared,
         (Kind::Ed25519, Some(_)) => KeyKind::Private,
@@ -183,7 +188,7 @@
 
 fn retire(path: &Path, sender: &str, name: &str) -> Result<(), Stop> {
     let (settings, ..) = crate::serve::load(path)?;
-    let (changed, file) = badgerwind_settings::edit::retire(&read(path)?, sender, name)
+    let (changed, file) = badgerwind_settings::edit::remove_secret(&read(path)?, sender, name)
         .map_err(|e| Stop::usage(e.to_string()))?;
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let now = now.map_or(0, |d| d.as_secs() as i64);
--- a/crates/badgerwind-cli/src/serve.rs
+++ b/crates/badgerwind-cli/src/serve.rs
@@ -118,7 +118,7 @@
             }]
         })?;
         let node = parse(&file, &text).map_err(|p| vec![p])?;
-        if !badgerwind_settings::edit::same_but_keys(&begun, &node) {
+        if !badgerwind_settings::edit::equal_except_reloadable(&begun, &node) {
             tracing::warn!("{file} differs from what runs in more than keys: the rest waits for a restart");
         }
         read_tree(&node)
--- a/crates/badgerwind-settings/tests/documents.rs
+++ b/crates/badgerwind-settings/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents: good ones in full, bad ones named by line, element, fault and remedy.
+//! Valid documents are read in full; problems name line, element, error and remedy.
 
 use badgerwind::interface::{Effect, WhenAbsent};
 use badgerwind_settings::*;
@@ -28,15 +28,15 @@
     assert_eq!((s.most_held, s.log.json, s.list.wait.as_secs()), (20_000, false, 20));
 }
 
-/// The example with one piece of text changed.
-fn broken(from: &str, to: &str) -> Vec<String> {
+/// The problems of the example with one piece of text changed.
+fn problems_with(from: &str, to: &str) -> Vec<String> {
     assert!(EXAMPLE.contains(from), "{from}");
     let problems = read("s.xml", &EXAMPLE.replacen(from, to, 1)).expect_err(to);
     problems.iter().map(Problem::to_string).collect()
 }
 
 #[test]
-fn each_fault_is_named_with_its_line_and_its_remedy() {
+fn each_problem_is_named_with_its_line_and_its_remedy() {
     let grace = "drain-grace=\"500ms\"";
     for (from, to, want) in [
         (grace, "", "s.xml:8: <rules>: drain-grace is missing; give a time from 0s to 60s, such as 250ms"),
@@ -96,7 +96,7 @@
         ),
         ("version=\"1\">", "version=\"2\">", "version is \"2\"; give one of 1"),
     ] {
-        let got = broken(from, to);
+        let got = problems_with(from, to);
         assert!(got.iter().any(|p| p.contains(want)), "wanted {want}\ngot {got:#?}");
     }
     assert!(read("s.xml", "").unwrap_err()[0].to_string().contains("is empty"));
@@ -106,7 +106,7 @@
 }
 
 /// The example with peers and budgets.
-fn budgeted() -> String {
+fn example_with_budgets() -> String {
     let budgets = "<peers listen=\"127.0.0.1:7001\" key-file=\"peers.key\"><peer number=\"1\" address=\"127.0.0.1:7002\"/></peers>\
                    <budgets version=\"4\" lease=\"3s\" beat=\"1s\"><voter number=\"0\"/><voter number=\"1\"/>\
                    <budget name=\"fetches\" of=\"orders\" units=\"30\" floor=\"2\" window=\"10s\"/>\
@@ -119,8 +119,8 @@
 }
 
 #[test]
-fn budgets_are_read_with_their_terms() {
-    let b = read("s.xml", &budgeted()).unwrap().budgets.unwrap();
+fn budgets_are_read_with_their_settings() {
+    let b = read("s.xml", &example_with_budgets()).unwrap().budgets.unwrap();
     assert_eq!(b.budgets[0], Budget { name: "fetches".into(), of: BudgetOf::Orders });
     assert_eq!(b.budgets[1].of, BudgetOf::Tenant(0));
     assert_eq!((b.book.version, b.terms.voters.clone(), b.terms.lease), (4, vec![0, 1], 3_000_000));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn each_fault_of_budgets_is_named_with_its_remedy() {
+fn each_problem_of_budgets_is_named_with_its_remedy() {
     for (from, to, want) in [
         ("units=\"30\"", "units=\"5\"", "floors of 3 members at 2 each exceed the limit of 5 units; a smaller floor"),
         ("beat=\"1s\"", "beat=\"2s\"", "leaves no room for three in a lease"),
@@ -144,7 +144,7 @@
         ("<voter number=\"0\"/><voter number=\"1\"/>", "", "<budgets>"),
         ("<peers listen=\"127.0.0.1:7001\" key-file=\"peers.key\"><peer number=\"1\" address=\"127.0.0.1:7002\"/></peers>", "", "there are budgets and no <peers>"),
     ] {
-        let text = budgeted();
+        let text = example_with_budgets();
         assert!(text.contains(from), "{from}");
         let got = read("s.xml", &text.replacen(from, to, 1)).expect_err(to);
         assert!(got.iter().any(|p| p.to_string().contains(want)), "wanted {want}\ngot {got:#?}");
@@ -152,9 +152,9 @@
 }
 
 #[test]
-fn leaving_zones_is_read_with_its_terms_and_its_faults_are_named() {
+fn leaving_zones_is_read_and_its_problems_are_named() {
     let leaving = "<leaving beat=\"50ms\" quiet=\"1s\" least-left=\"0.4\"><voter number=\"0\"/><voter number=\"2\"/></leaving><budgets";
-    let text = budgeted().replacen("<budgets", leaving, 1);
+    let text = example_with_budgets().replacen("<budgets", leaving, 1);
     let terms = read("s.xml", &text).unwrap().leaving.unwrap().terms;
     assert_eq!((terms.voters.clone(), terms.beat, terms.quiet), (vec![0, 2], 50_000, 1_000_000));
     assert_eq!((terms.least_left_lost, terms.most_quiet, terms.probers), (0.4, 120_000_000, 3));
@@ -179,12 +179,12 @@
         let got = read("s.xml", &text.replacen(from, to, 1)).expect_err(to);
         assert!(got.iter().any(|p| p.to_string().contains(want)), "wanted {want}\ngot {got:#?}");
     }
-    let worded = text.replacen(
+    let with_directive = text.replacen(
         "<zone name=\"hall-a\"",
         "<zone name=\"hall-a\" word=\"leave\" why=\"fire &amp; smoke\"",
         1,
     );
-    let words = read("s.xml", &worded).unwrap().leaving.unwrap().words;
+    let words = read("s.xml", &with_directive).unwrap().leaving.unwrap().words;
     assert_eq!(words[0], Some((badgerwind_zones::Directive::Leave, "fire & smoke".into())));
     for (from, to, want) in [
         (" why=\"fire &amp; smoke\"", "", "word is set without why"),
@@ -192,21 +192,21 @@
         ("why=\"fire &amp; smoke\"", "why=\"\"", "give 1 to 200 bytes of words on one line"),
         (leaving.strip_suffix("<budgets").unwrap(), "", "word is set and there is no <leaving>"),
     ] {
-        assert!(worded.contains(from), "{from}");
-        let got = read("s.xml", &worded.replacen(from, to, 1)).expect_err(to);
+        assert!(with_directive.contains(from), "{from}");
+        let got = read("s.xml", &with_directive.replacen(from, to, 1)).expect_err(to);
         assert!(got.iter().any(|p| p.to_string().contains(want)), "wanted {want}\ngot {got:#?}");
     }
-    // Written and taken out again by an edit, the file is what it was, but for that tag's own spaces.
-    let edited = edit::zone_word(&text, "hall-a", Some(("leave", "fire & smoke"))).unwrap();
+    // A directive that is set and removed again by edits leaves the file as it was, except for the white space of the tag.
+    let edited = edit::set_zone_directive(&text, "hall-a", Some(("leave", "fire & smoke"))).unwrap();
     assert_eq!(read("s.xml", &edited).unwrap().leaving.unwrap().words, words);
-    let back = edit::zone_word(&edited, "hall-a", None).unwrap();
-    assert_eq!(back, edit::zone_word(&text, "hall-a", None).unwrap());
+    let back = edit::set_zone_directive(&edited, "hall-a", None).unwrap();
+    assert_eq!(back, edit::set_zone_directive(&text, "hall-a", None).unwrap());
     assert_eq!(
-        edit::zone_word(&text, "nowhere", None).unwrap_err().to_string(),
+        edit::set_zone_directive(&text, "nowhere", None).unwrap_err().to_string(),
         "the settings name no zone \"nowhere\""
     );
     let tree = |t: &str| document::parse("s.xml", t).unwrap();
-    assert!(edit::same_but_keys(&tree(&text), &tree(&edited)));
+    assert!(edit::equal_except_reloadable(&tree(&text), &tree(&edited)));
     let (from, to) = (text.find("<zone ").unwrap(), text.rfind("<zone ").unwrap());
     if from != to {
         let end = to + text[to..].find("/>").unwrap() + 2;
@@ -217,16 +217,16 @@
 }
 
 #[test]
-fn all_problems_come_at_once() {
+fn all_problems_are_returned_together() {
     let text =
         EXAMPLE.replace("drain-grace=\"500ms\"", "").replace("keep-alive=\"8.4s\"", "keep-alive=\"x\"");
     assert_eq!(read("s.xml", &text).unwrap_err().len(), 2);
 }
 
 #[test]
-fn the_published_schema_is_the_one_that_documents_are_held_to() {
+fn the_published_schema_is_up_to_date() {
     let published = include_str!("../schema/badgerwind.xsd");
-    assert!(published == schema::xsd(), "write it anew with the example print_schema");
+    assert!(published == schema::xsd(), "regenerate it with the example print_schema");
 }
 
 proptest! {
@@ -237,9 +237,9 @@
         let _ = read("s.xml", &text);
     }
 
-    /// A document with any piece taken out is read or refused, and every refusal has a line of the document.
+    /// A document with any piece removed is read or rejected, and every problem has a line of the document.
     #[test]
-    fn any_cut_is_told_plainly(at in 0usize..EXAMPLE.len(), n in 1usize..80) {
+    fn problems_of_any_document_with_a_piece_removed_have_a_line(at in 0usize..EXAMPLE.len(), n in 1usize..80) {
         let rest = &EXAMPLE.as_bytes()[(at + n).min(EXAMPLE.len())..];
         let text = [&EXAMPLE.as_bytes()[..at], rest].concat();
         if let Err(problems) = read("s.xml", &String::from_utf8_lossy(&text)) {
