--- a/crates/badgerwind-cli/src/serve.rs
+++ b/crates/badgerwind-cli/src/serve.rs
@@ -83,7 +83,7 @@
     let (file, own, folder) = load_file(&args.settings)?;
     // Where a control service is followed, the set that ran last comes before the file's own.
     let (kept, told) = match &own.control {
-        Some(c) => read_kept(&folder.join(&c.keep)),
+        Some(c) => read_kept(&folder.join(&c.storage_file)),
         None => (Vec::new(), Vec::new()),
     };
     let (settings, unfit) = match read_tree(&compose(&file, &kept)) {
--- a/crates/badgerwind-config/src/shadow.rs
+++ b/crates/badgerwind-config/src/shadow.rs
@@ -1,7 +1,7 @@
-//! Tries a change without effects: recorded calls are replayed through a new driver with the new settings. Simulated
-//! runners answer a served call after its recorded latency, and everything else after the average one. This detects a
-//! decision module that panics under the new settings, and settings under which no call is served although calls were
-//! served before.
+//! Tries a change without effects: recorded calls are replayed through a new driver with the new settings.
+//! Simulated runners answer a served call after its recorded latency, and everything else after the average
+//! one. This detects a decision module that panics under the new settings, and settings under which no call
+//! is served although calls were served before.
 
 use badgerwind::interface::*;
 use badgerwind::Router;
@@ -62,17 +62,17 @@
 /// The limits of a driver according to the settings, for the daemon and for replays.
 pub fn driver_limits(settings: &Settings) -> Limits {
     Limits {
-        most_held: settings.most_held,
+        most_held: settings.max_calls,
         max_attempts: settings.router.max_attempts,
         order_timeout: settings.router.order_timeout,
-        probe_timeout: settings.runners.probe_time,
-        call_off_within: settings.runners.call_off_time,
+        probe_timeout: settings.runners.probe_timeout,
+        call_off_within: settings.runners.cancel_timeout,
         answer_slack: settings.router.answer_slack,
     }
 }
 
-/// Replays recorded calls under new settings. `entries` are the listed runners. The error is the reason to reject the
-/// change.
+/// Replays recorded calls under new settings. `entries` are the listed runners. The error is the reason to
+/// reject the change.
 pub fn replay(
     settings: &Settings,
     entries: &[WorkerEntry],
--- a/crates/badgerwind-config/tests/machine.rs
+++ b/crates/badgerwind-config/tests/machine.rs
@@ -1,5 +1,5 @@
-//! The front end's state machine of the configuration stream: its transitions one by one, and properties under random
-//! responses, failures and orders of events.
+//! The front end's state machine of the configuration stream: its transitions one by one, and properties
+//! under random responses, failures and orders of events.
 
 use badgerwind_config::client::{Action, Client, Input, Phase, Timing};
 use badgerwind_config::parts::{Kind, Part};
@@ -276,7 +276,8 @@
     assert_eq!((harness.running(Kind::Classes), harness.running(Kind::Routes)), (Some(1), Some(1)));
 }
 
-/// The same for an offer that needs the slow change's content. During the change no tick is requested for the offer.
+/// The same for an offer that needs the slow change's content. During the change no tick is requested for the
+/// offer.
 #[test]
 fn a_staged_version_outlasts_the_change_that_brings_what_it_lacks() {
     let mut harness = Harness::new();
@@ -372,7 +373,7 @@
     let s = applied.into_iter().next_back().unwrap();
     assert_eq!((s.router.front_ends, s.router.my_number, s.router.my_zone), (9, 0, 0));
     assert_eq!(s.webhook.listen.port(), 8080);
-    assert_eq!((s.webhook.connections, s.runners.connections), (7, 8));
+    assert_eq!((s.webhook.max_connections, s.runners.max_connections), (7, 8));
     assert_eq!(s.runners.key_file.to_str(), Some("secrets/runners.key"));
     assert_eq!(s.webhook.routes.len(), 2, "the limits leave the routes as they are");
 }
@@ -512,7 +513,8 @@
                     input = Some(Input::Tick);
                 }
                 Step::Restart => {
-                    // A kill at any moment: the restart resumes with the stored set, which ran or was about to run.
+                    // A kill at any moment: the restart resumes with the stored set, which ran or was about
+                    // to run.
                     let restored = storage::decode(&storage::encode(&stored)).unwrap();
                     let (fresh, _, problems) = Client::new(name(), file.clone(), restored, TIMING).unwrap();
                     prop_assert!(problems.is_empty(), "{:?}", problems);
--- a/crates/badgerwind-gateway/src/control.rs
+++ b/crates/badgerwind-gateway/src/control.rs
@@ -105,7 +105,7 @@
 
 impl Follower {
     pub(crate) fn times(c: &ControlSettings) -> Timing {
-        Timing { stage_timeout: c.stage, min_backoff: c.retry, max_backoff: c.most_retry }
+        Timing { stage_timeout: c.stage_timeout, min_backoff: c.min_backoff, max_backoff: c.max_backoff }
     }
 
     /// Follows the service for ever.
@@ -115,7 +115,7 @@
         let bounds = PoolBounds {
             most: 2 * Kind::ALL.len(),
             connect_time: Duration::from_secs(2),
-            idle_time: me.settings.wait + GRACE,
+            idle_time: me.settings.poll_timeout + GRACE,
             body_bytes: MOST_BYTES,
         };
         let pools: Vec<Arc<Pool>> =
@@ -135,7 +135,7 @@
                     }
                     Action::Prepare { ticket, settings } => me.prepare(ticket, settings, tell.clone()),
                     Action::Store { ticket, parts } => {
-                        let (path, tell) = (me.folder.join(&me.settings.keep), tell.clone());
+                        let (path, tell) = (me.folder.join(&me.settings.storage_file), tell.clone());
                         smol::spawn(async move {
                             let kept = smol::unblock(move || write_kept(&path, &parts)).await;
                             let result = kept.map_err(|e| e.to_string());
@@ -190,7 +190,7 @@
         request.node.metadata.health = self.health();
         let turn = next.load(Ordering::Relaxed) % pools.len().max(1);
         let pool = pools.get(turn).cloned()?;
-        let (me, next, wait) = (self.clone(), next.clone(), self.settings.wait);
+        let (me, next, wait) = (self.clone(), next.clone(), self.settings.poll_timeout);
         Some(smol::spawn(async move {
             let body = serde_json::to_vec(&request).unwrap_or_default();
             let target = format!("/v3/discovery:{}?wait={}", kind.name(), wait.as_millis());
@@ -275,7 +275,7 @@
             // What a router was told at its start cannot change inside it: another takes over. The figures have
             // no order among themselves, so their written form tells whether any differs.
             if format!("{:?}", old.router) != format!("{:?}", settings.router)
-                || old.most_held != settings.most_held
+                || old.max_calls != settings.max_calls
             {
                 let seed = if settings.seed == 0 { fastrand::u64(..) } else { settings.seed };
                 let decider = Box::new(Router::new(seed, settings.router.clone()));
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -236,13 +236,13 @@
 fn limits(settings: &Settings) -> Limits {
     let w = &settings.webhook;
     Limits {
-        head_bytes: w.head_bytes,
-        headers: w.headers,
-        head_time: w.head_time,
-        body_bytes: w.body_bytes,
-        body_time: w.body_time,
-        idle_time: w.idle_time,
-        write_time: w.write_time,
+        head_bytes: w.max_head_bytes,
+        headers: w.max_headers,
+        head_time: w.head_timeout,
+        body_bytes: w.max_body_bytes,
+        body_time: w.body_timeout,
+        idle_time: w.idle_timeout,
+        write_time: w.write_timeout,
     }
 }
 
@@ -250,8 +250,8 @@
 pub(crate) fn bounds(settings: &Settings) -> Bounds {
     let w = &settings.webhook;
     let longest = w.senders.iter().map(|s| Bounds::keep_for(s.tolerance)).max().unwrap_or(0);
-    let keep = w.remember.max(longest);
-    Bounds { count: w.remember_most, keep, waiters: w.waiters, bytes: w.remember_bytes }
+    let keep = w.answer_retention.max(longest);
+    Bounds { count: w.max_remembered_ids, keep, waiters: w.max_waiters, bytes: w.max_remembered_bytes }
 }
 
 /// The bounds of the budgets for failed signatures, from the settings.
@@ -259,11 +259,11 @@
     let g = &settings.webhook.guard;
     let budget = |(burst, rate)| Budget { burst, rate };
     badgerwind_guard::Bounds {
-        source: budget(g.source),
-        sender: budget(g.sender),
-        sources: g.sources,
-        known_for: g.known_for,
-        bytes: g.bytes,
+        source: budget(g.source_limit),
+        sender: budget(g.sender_limit),
+        sources: g.max_sources,
+        known_for: g.known_source_time,
+        bytes: g.bytes_per_check,
     }
 }
 
@@ -353,7 +353,7 @@
     pub(crate) async fn listen(self: Arc<Self>, listener: TcpListener) {
         loop {
             // The bound may change while connections are open; a place freed or a change wakes this.
-            while self.open.load(Ordering::Relaxed) >= self.rules().settings.webhook.connections {
+            while self.open.load(Ordering::Relaxed) >= self.rules().settings.webhook.max_connections {
                 let _ = self.free.recv().await;
             }
             let (stream, peer) = match listener.accept().await {
@@ -459,11 +459,11 @@
         let sender = w.routes[route].sender;
         let header = |name| head.headers.get(name);
         let lines: Vec<&str> = head.headers.all("x-forwarded-for").collect();
-        let source = forwarded(peer, &w.guard.balancers, &lines).unwrap_or(peer);
+        let source = forwarded(peer, &w.guard.load_balancers, &lines).unwrap_or(peer);
         let who = Who { source: Source::of(source), sender };
         let bytes = match head.framing {
-            badgerwind_http::Framing::Length(n) => n.min(w.body_bytes as u64),
-            _ => w.body_bytes as u64,
+            badgerwind_http::Framing::Length(n) => n.min(w.max_body_bytes as u64),
+            _ => w.max_body_bytes as u64,
         };
         let now = self.clock.now();
         let permit = self.guard().enter(now, who, bytes).map_err(|turned| {
@@ -679,7 +679,7 @@
             Some(n) => {
                 let c = &sender.callbacks[n];
                 let key = rules.callbacks[route.sender][n].clone();
-                let owed = Owed::take(&self.owed, w.callbacks, (&c.name, c.address, &c.path), key);
+                let owed = Owed::take(&self.owed, w.max_callbacks, (&c.name, c.address, &c.path), key);
                 let text = "no more callbacks can be owed now; nothing was started";
                 Some(owed.ok_or_else(|| away(503, "callbacks-full", text))?)
             }
@@ -770,7 +770,7 @@
     };
     let found = w.routes.iter().enumerate().find_map(|(n, r)| match r.target {
         Target::Function(f) => (r.path == path).then_some((n, f)),
-        Target::Named => named(&r.path).map(|f| (n, f)),
+        Target::FromPath => named(&r.path).map(|f| (n, f)),
     });
     let found = found.ok_or_else(|| away(404, "unknown-path", "no route leads there"))?;
     if head.method != "POST" {
--- a/crates/badgerwind-gateway/src/list.rs
+++ b/crates/badgerwind-gateway/src/list.rs
@@ -46,8 +46,8 @@
         let s = &self.settings.list;
         let bounds = PoolBounds {
             most: 2,
-            connect_time: self.settings.runners.connect_time,
-            idle_time: s.wait + GRACE,
+            connect_time: self.settings.runners.connect_timeout,
+            idle_time: s.poll_timeout + GRACE,
             body_bytes: MOST_BYTES,
         };
         let pool = Pool::new(s.address, bounds);
@@ -104,7 +104,7 @@
                         let _ =
                             self.report.send(Input::List { kind: ListKind::Failed, entries: vec![] }).await;
                     }
-                    Timer::after(s.retry).await;
+                    Timer::after(s.retry_delay).await;
                 }
             }
         }
@@ -121,7 +121,7 @@
 
     /// Asks for what changed after a version, or for the whole list.
     async fn ask(&self, pool: &Pool, version: Option<u64>) -> Result<List, String> {
-        let wait = self.settings.list.wait;
+        let wait = self.settings.list.poll_timeout;
         let request = Exchange {
             method: "GET",
             target: target(self.settings.router.my_number, version, wait.as_millis() as u64),
--- a/crates/badgerwind-gateway/src/runners.rs
+++ b/crates/badgerwind-gateway/src/runners.rs
@@ -229,7 +229,7 @@
             headers: vec![(runner::FRONT, content.settings.router.my_number.to_string())],
             body: Arc::from(&b""[..]),
         };
-        let bound = Duration::from_micros(content.settings.runners.call_off_time);
+        let bound = Duration::from_micros(content.settings.runners.cancel_timeout);
         let stopped = async {
             let late = async {
                 Timer::after(bound).await;
@@ -330,7 +330,7 @@
             body: Arc::from(&b""[..]),
         };
         let late = async {
-            Timer::after(Duration::from_micros(self.settings().runners.probe_time)).await;
+            Timer::after(Duration::from_micros(self.settings().runners.probe_timeout)).await;
             (Outcome::Timeout, None)
         };
         let probe = async {
@@ -349,10 +349,10 @@
 fn bounds(settings: &Settings) -> PoolBounds {
     let s = &settings.runners;
     PoolBounds {
-        most: s.connections,
-        connect_time: s.connect_time,
-        idle_time: s.idle_time,
-        body_bytes: s.answer_bytes,
+        most: s.max_connections,
+        connect_time: s.connect_timeout,
+        idle_time: s.idle_timeout,
+        body_bytes: s.max_answer_bytes,
     }
 }
 
--- a/crates/badgerwind-gateway/src/secrets.rs
+++ b/crates/badgerwind-gateway/src/secrets.rs
@@ -89,7 +89,7 @@
 fn senders_tls(folder: &Path, t: &badgerwind_settings::Tls) -> Result<ServerTls, Wrong> {
     let (chain, key) =
         (read_pem(&folder.join(&t.certificate), false)?, read_pem(&folder.join(&t.key_file), true)?);
-    let clients = t.clients.as_ref().map(|c| read_pem(&folder.join(c), false)).transpose()?;
+    let clients = t.client_authorities.as_ref().map(|c| read_pem(&folder.join(c), false)).transpose()?;
     let identity = Identity { chain: &chain, key: &key };
     ServerTls::new(identity, clients.as_ref().map(|c| &c[..])).map_err(unfit)
 }
@@ -104,7 +104,7 @@
         None => None,
     };
     let identity = own.as_ref().map(|(chain, key)| Identity { chain, key });
-    ClientTls::new(&authority, &t.name, identity).map_err(unfit)
+    ClientTls::new(&authority, &t.server_name, identity).map_err(unfit)
 }
 
 /// Reads all keys; relative files are from `folder`. All problems are returned together.
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -93,7 +93,7 @@
     // Of zones only an operator's words; they are by place, so the zones must be the same.
     if let (Some(own), Some(theirs)) = (&mut settings.leaving, from.leaving) {
         if settings.zones == from.zones {
-            own.words = theirs.words;
+            own.directives = theirs.directives;
         }
     }
     Ok(settings)
@@ -330,7 +330,7 @@
     }
     let accepting = smol::spawn(front.clone().listen(listener));
     tracing::info!(%webhook, number = set.my_number, "serving");
-    let within = settings.stop_within;
+    let within = settings.stop_timeout;
     Ok(Running {
         runners,
         shares,
--- a/crates/badgerwind-gateway/src/shares.rs
+++ b/crates/badgerwind-gateway/src/shares.rs
@@ -11,7 +11,7 @@
 use badgerwind_budgets::demand::reserve;
 use badgerwind_budgets::{BadTerms, Demand, Member, Message, Node, Standing, Time, To};
 use badgerwind_members::{Members, Message as MembersMessage};
-use badgerwind_settings::{BudgetOf, Budgets, Settings};
+use badgerwind_settings::{BudgetResource, Budgets, Settings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -61,15 +61,17 @@
         let budgets = settings.budgets.clone()?;
         let (now, mut rng) = (clock.now(), StdRng::seed_from_u64(fastrand::u64(..)));
         let me = (settings.router.my_number as Member, now);
-        let node = Node::new(now, me, budgets.book.clone(), budgets.terms.clone(), rng.random());
+        let node =
+            Node::new(now, me, budgets.limit_set.clone(), budgets.lease_settings.clone(), rng.random());
         let others = peers.peers.iter().filter_map(|(n, _)| Member::try_from(*n).ok());
-        let members = Members::new(now, me, others, badgerwind_members::Terms::paced(budgets.terms.beat));
+        let members =
+            Members::new(now, me, others, badgerwind_members::Terms::paced(budgets.lease_settings.beat));
         let here = |(limit, b): (&badgerwind_budgets::Limit, &badgerwind_settings::Budget)| Here {
-            demand: Demand::new(limit.rest, b.of == BudgetOf::Orders),
+            demand: Demand::new(limit.rest, b.resource == BudgetResource::Orders),
             refused: 0,
             logged: (0, 0, 0),
         };
-        let here = budgets.book.limits.iter().zip(&budgets.budgets).map(here).collect();
+        let here = budgets.limit_set.limits.iter().zip(&budgets.budgets).map(here).collect();
         let router = settings.router.clone();
         let state =
             Mutex::new(State { budgets, router, node, members, here, told: None, rng, coordinator: None });
@@ -83,13 +85,13 @@
     /// Another version of the limits. Refused as a whole where it cannot follow the one that runs.
     pub(crate) fn change(&self, next: &Budgets) -> Result<(), BadTerms> {
         let mut state = self.state();
-        if next.budgets != state.budgets.budgets || next.terms != state.budgets.terms {
-            return Err(BadTerms::Recut(next.book.version));
+        if next.budgets != state.budgets.budgets || next.lease_settings != state.budgets.lease_settings {
+            return Err(BadTerms::Recut(next.limit_set.version));
         }
         let now = self.clock.now();
-        state.node.set(now, &next.book)?;
-        if next.book.version > state.budgets.book.version {
-            tracing::info!(version = next.book.version, "the limits of the budgets changed");
+        state.node.set(now, &next.limit_set)?;
+        if next.limit_set.version > state.budgets.limit_set.version {
+            tracing::info!(version = next.limit_set.version, "the limits of the budgets changed");
             state.budgets = next.clone();
         }
         Ok(())
@@ -111,7 +113,7 @@
         let mut state = self.state();
         // The time is taken under the lock: a wait for it must not make a lease longer.
         let now = self.clock.now();
-        let Some(n) = state.budgets.budgets.iter().position(|b| b.of == BudgetOf::Orders) else {
+        let Some(n) = state.budgets.budgets.iter().position(|b| b.resource == BudgetResource::Orders) else {
             return true;
         };
         state.here[n].demand.asked(now, 1.0);
@@ -127,8 +129,8 @@
     /// A call of a tenant has come.
     pub(crate) fn called(&self, tenant: usize) {
         let mut state = self.state();
-        let of = BudgetOf::Tenant(tenant);
-        let Some(n) = state.budgets.budgets.iter().position(|b| b.of == of) else { return };
+        let of = BudgetResource::Tenant(tenant);
+        let Some(n) = state.budgets.budgets.iter().position(|b| b.resource == of) else { return };
         let units = units_of_a_call(&state, n, tenant);
         let now = self.clock.now();
         state.here[n].demand.asked(now, units);
@@ -177,7 +179,7 @@
         let State { budgets, router, node, members, here, told, rng, coordinator } = &mut *state;
         let messages = members.tick(now, &mut |n| rng.random_range(0..n.max(1)));
         let there = members.alive_count();
-        for (n, (here, limit)) in here.iter_mut().zip(&budgets.book.limits).enumerate() {
+        for (n, (here, limit)) in here.iter_mut().zip(&budgets.limit_set.limits).enumerate() {
             let owned = node.owned(now, n).len();
             let granted = limit.granted().len();
             node.want(n, here.demand.wants(now, owned, reserve(granted, there)));
@@ -187,13 +189,13 @@
             let owned = node.owned(now, n).len();
             let label = ByBudget { budget: b.name.clone() };
             self.metrics.budget_owned.get_or_create(&label).set(owned as i64);
-            self.metrics.budget_whole.get_or_create(&label).set(i64::from(budgets.book.limits[n].units));
+            self.metrics.budget_whole.get_or_create(&label).set(i64::from(budgets.limit_set.limits[n].units));
             let (last, again, passed) = &mut here[n].logged;
             if owned != *last {
                 *passed += 1;
             }
             if *passed > 0 && now >= *again {
-                let (of, from) = (budgets.book.limits[n].units, *last);
+                let (of, from) = (budgets.limit_set.limits[n].units, *last);
                 tracing::info!(budget = %b.name, owned, from, of, changes = *passed, "owned units changed");
                 (*last, *again, *passed) = (owned, now + LOG_SPAN, 0);
             }
@@ -216,7 +218,7 @@
                 To::All => self.peers.tell(None, &bytes),
                 To::One(to) => self.peers.tell(Some(u32::from(*to)), &bytes),
                 To::Voters => {
-                    let voters = self.state().budgets.terms.voters.clone();
+                    let voters = self.state().budgets.lease_settings.voters.clone();
                     voters.iter().for_each(|v| self.peers.tell(Some(u32::from(*v)), &bytes));
                 }
             }
@@ -238,11 +240,11 @@
         let State { budgets, node, members, here, .. } = &mut *state;
         let is_coordinator = node.is_coordinator(now);
         let ms = |at: Time| at.saturating_sub(now) / 1000;
-        let rows: Vec<Value> = (budgets.budgets.iter().zip(&budgets.book.limits).enumerate())
+        let rows: Vec<Value> = (budgets.budgets.iter().zip(&budgets.limit_set.limits).enumerate())
             .map(|(n, (b, limit))| {
-                let tenant = match b.of {
-                    BudgetOf::Orders => None,
-                    BudgetOf::Tenant(t) => Some(t),
+                let tenant = match b.resource {
+                    BudgetResource::Orders => None,
+                    BudgetResource::Tenant(t) => Some(t),
                 };
                 let standings = node.standings(now, n).map(|all| {
                     let mut by: Vec<Value> = Vec::new();
@@ -287,11 +289,11 @@
             .collect();
         json!({
             "number": members.me(),
-            "version": budgets.book.version,
-            "voters": budgets.terms.voters,
+            "version": budgets.limit_set.version,
+            "voters": budgets.lease_settings.voters,
             "keeper": node.believes(),
             "reigns": is_coordinator,
-            "lease_ms": budgets.terms.lease / 1000,
+            "lease_ms": budgets.lease_settings.lease / 1000,
             "health": members.local_health(),
             "members": seen,
             "budgets": rows,
@@ -301,7 +303,7 @@
 
 /// A call's part of a tenant's quota within the window, in units.
 fn units_of_a_call(state: &State, n: usize, tenant: usize) -> f64 {
-    let limit = &state.budgets.book.limits[n];
+    let limit = &state.budgets.limit_set.limits[n];
     let quota = state.router.tenants.get(tenant).and_then(|t| t.quota_per_s).unwrap_or(0.0);
     let calls = quota * limit.rest as f64 / 1e6;
     f64::from(limit.units) / calls.max(1e-9)
@@ -309,11 +311,11 @@
 
 fn parts(budgets: &Budgets, node: &Node, at: Time, router: &RouterSettings) -> Parts {
     let mut parts = Parts { orders: None, tenants: vec![None; router.tenants.len()] };
-    for (n, (b, limit)) in budgets.budgets.iter().zip(&budgets.book.limits).enumerate() {
+    for (n, (b, limit)) in budgets.budgets.iter().zip(&budgets.limit_set.limits).enumerate() {
         let usable = node.usable(at, n) as f64;
-        match b.of {
-            BudgetOf::Orders => parts.orders = Some(usable),
-            BudgetOf::Tenant(t) => {
+        match b.resource {
+            BudgetResource::Orders => parts.orders = Some(usable),
+            BudgetResource::Tenant(t) => {
                 let quota = router.tenants.get(t).and_then(|t| t.quota_per_s);
                 if let (Some(part), Some(quota)) = (parts.tenants.get_mut(t), quota) {
                     *part = Some(quota * usable / f64::from(limit.units));
--- a/crates/badgerwind-gateway/src/zones.rs
+++ b/crates/badgerwind-gateway/src/zones.rs
@@ -64,7 +64,7 @@
         metrics: Arc<Metrics>,
     ) -> Option<Arc<Zones>> {
         let leaving = settings.leaving.clone()?;
-        let terms = leaving.terms.clone();
+        let terms = leaving.settings.clone();
         let (me, beat) = (settings.router.my_number, Duration::from_micros(terms.beat));
         let zones = settings.zones.len();
         let node = Node::new(clock.now(), me as Member, zones, terms, fastrand::f64());
@@ -80,14 +80,14 @@
     pub(crate) fn change(&self, leaving: &Leaving) {
         let mut state = self.state();
         let now = self.clock.now();
-        for (zone, word) in leaving.words.iter().enumerate() {
+        for (zone, word) in leaving.directives.iter().enumerate() {
             let is = word.as_ref().map(|w| w.0);
             if let (true, Some(name)) = (state.node.directive(zone) != is, self.names.get(zone)) {
                 let why = word.as_ref().map_or("", |w| w.1.as_str());
                 tracing::info!(zone = %name, word = ?is, why, "an operator's word of a zone");
             }
         }
-        let directives: Vec<_> = leaving.words.iter().map(|w| w.as_ref().map(|w| w.0)).collect();
+        let directives: Vec<_> = leaving.directives.iter().map(|w| w.as_ref().map(|w| w.0)).collect();
         state.node.set_directives(now, &directives);
     }
 
--- a/crates/badgerwind-gateway/tests/unit/shares.rs
+++ b/crates/badgerwind-gateway/tests/unit/shares.rs
@@ -15,8 +15,8 @@
     let (lease, beat) = (3_000, 1_000);
     let terms = Terms { voters: vec![0], vote: 1_000, lease, beat, drift: 0, moves: 64 };
     let node = Node::new(0, (0, 1), book.clone(), terms.clone(), 0.0);
-    let brolga = Budget { name: "brolga".into(), of: BudgetOf::Tenant(0) };
-    let budgets = Budgets { terms, book, budgets: vec![brolga], line: 1 };
+    let brolga = Budget { name: "brolga".into(), resource: BudgetResource::Tenant(0) };
+    let budgets = Budgets { lease_settings: terms, limit_set: book, budgets: vec![brolga], line: 1 };
     // A floor of half the units; right after the start it rests for a window.
     for (quota, at, part) in [(40.0, 0, 0.0), (40.0, 5_000, 20.0), (90.0, 5_000, 45.0)] {
         router.tenants[0].quota_per_s = Some(quota);
--- a/crates/badgerwind-settings/src/edit.rs
+++ b/crates/badgerwind-settings/src/edit.rs
@@ -1,5 +1,5 @@
-//! Edits of secrets and zones in the text of a settings document. Everything else, such as comments, order and white
-//! space, stays byte for byte. No I/O.
+//! Edits of secrets and zones in the text of a settings document. Everything else, such as comments, order
+//! and white space, stays byte for byte. No I/O.
 
 use quick_xml::escape::escape;
 use quick_xml::events::{BytesStart, Event};
@@ -118,7 +118,8 @@
 
 /// Formats a start tag.
 fn format_tag(name: &str, attrs: &[(String, String)], empty: bool) -> String {
-    // Values are still escaped as in the document; one that contains double quotes needs single quotes around it.
+    // Values are still escaped as in the document; one that contains double quotes needs single quotes around
+    // it.
     let quoted = |v: &str| match v.contains('"') {
         true => format!("'{v}'"),
         false => format!("\"{v}\""),
@@ -127,7 +128,8 @@
     format!("<{name}{attrs}{}>", if empty { "/" } else { "" })
 }
 
-/// The white space between the start of the line and an element; empty if the line contains anything else before it.
+/// The white space between the start of the line and an element; empty if the line contains anything else
+/// before it.
 fn indentation_at(text: &str, at: usize) -> &str {
     let line = text[..at].rfind('\n').map_or(0, |n| n + 1);
     let before = &text[line..at];
@@ -138,8 +140,8 @@
     }
 }
 
-/// Adds a secret after the last one of a sender, and lets the others expire at `end` (RFC 3339). A secret that expires
-/// earlier keeps its expiry.
+/// Adds a secret after the last one of a sender, and lets the others expire at `end` (RFC 3339). A secret
+/// that expires earlier keeps its expiry.
 pub fn rotate_secrets(
     text: &str,
     sender: &str,
@@ -173,8 +175,8 @@
     Ok(out)
 }
 
-/// Removes a secret, together with its line if the line contains nothing else. Also returns the file that it named, as
-/// written.
+/// Removes a secret, together with its line if the line contains nothing else. Also returns the file that it
+/// named, as written.
 pub fn remove_secret(text: &str, sender: &str, name: &str) -> Result<(String, String), EditError> {
     let all = find_secrets(text, sender)?;
     let missing = || EditError::NoSecret { sender: sender.to_owned(), name: name.to_owned() };
@@ -224,8 +226,8 @@
     }
 }
 
-/// Whether two documents are equal except for what a running front end reloads: secrets, callbacks, key files,
-/// certificates, budgets and operator's directives of zones. Lines and white space are ignored.
+/// Whether two documents are equal except for what a running front end reloads: secrets, callbacks, key
+/// files, certificates, budgets and operator's directives of zones. Lines and white space are ignored.
 pub fn equal_except_reloadable(a: &crate::document::Node, b: &crate::document::Node) -> bool {
     const RELOADABLE_ELEMENTS: [&str; 5] = ["secret", "callback", "tls", "guard", "budgets"];
     let attrs = |n: &crate::document::Node| {
--- a/crates/badgerwind-settings/src/lib.rs
+++ b/crates/badgerwind-settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! The settings of a front end. They are an XML document that is validated against a table of elements ([`schema`]); the
-//! published XSD is generated from the same table. Every problem names file, line, element, the error and its remedy.
-//! This crate reads no files; a document refers to secrets by file name only.
+//! The settings of a front end. They are an XML document that is validated against a table of elements
+//! ([`schema`]); the published XSD is generated from the same table. Every problem names file, line, element,
+//! the error and its remedy. This crate reads no files; a document refers to secrets by file name only.
 
 pub mod document;
 pub mod edit;
--- a/crates/badgerwind-settings/src/read.rs
+++ b/crates/badgerwind-settings/src/read.rs
@@ -1,5 +1,5 @@
-//! Conversion of a validated document to typed settings, and validation of references and of values that depend on each
-//! other.
+//! Conversion of a validated document to typed settings, and validation of references and of values that
+//! depend on each other.
 
 use crate::document::{self, decimal, duration_us, Node};
 use crate::schema::{Element, ROOT};
@@ -11,8 +11,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// An element that conforms to the schema, with the defaults of absent attributes. `node` is `None` for an absent
-/// element.
+/// An element that conforms to the schema, with the defaults of absent attributes. `node` is `None` for an
+/// absent element.
 struct CheckedElement<'a> {
     node: Option<&'a Node>,
     element: &'static Element,
@@ -85,7 +85,8 @@
         self.problems.push(Problem { file, line, element, message, remedy: remedy.into() });
     }
 
-    /// The index of the declared name to which an attribute refers. If it is not declared, adds a problem and returns 0.
+    /// The index of the declared name to which an attribute refers. If it is not declared, adds a problem and
+    /// returns 0.
     fn index_of(&mut self, at: &CheckedElement<'_>, attr: &str, names: &[String], element: &str) -> usize {
         let name = at.text(attr);
         names.iter().position(|n| n == name).unwrap_or_else(|| {
@@ -107,8 +108,8 @@
     }
 }
 
-/// Parses and validates a document. All violations of the schema are returned together; references and dependent values
-/// are validated only if there are none.
+/// Parses and validates a document. All violations of the schema are returned together; references and
+/// dependent values are validated only if there are none.
 pub fn read(file: &str, text: &str) -> Result<Settings, Vec<Problem>> {
     let tree = document::parse(file, text).map_err(|p| vec![p])?;
     read_tree(&tree)
@@ -156,12 +157,12 @@
     let webhook =
         webhook(validator, &root.child_or_default("webhook"), &class_names, &tenant_names, &function_names);
     let (runners, list) = (root.child_or_default("runners"), root.child_or_default("list"));
-    let peers = root.child("peers").map(|p| peers(validator, &p, &fleet));
+    let peers = root.child("peers").map(|node| peers(validator, &node, &fleet));
     if allow.boolean("messages") && peers.is_none() {
         let message = "messages are allowed and there is no <peers>";
         validator.add_problem(&allow, message.into(), "add <peers>, or messages=\"false\"");
     }
-    let budgets = root.child("budgets").map(|b| budgets(validator, &b, (&fleet, &rules), &tenants));
+    let budgets = root.child("budgets").map(|node| budgets(validator, &node, (&fleet, &rules), &tenants));
     if budgets.is_some() && peers.is_none() {
         let message = "there are budgets and no <peers>".into();
         validator.add_problem(
@@ -170,18 +171,18 @@
             "add <peers>: front ends divide budgets by messages",
         );
     }
-    let leaving = root.child("leaving").map(|l| leaving(validator, &l, (&fleet, &rules), &zones));
-    for z in fleet.children("zone").iter().filter(|z| z.optional("word").is_some()) {
+    let leaving = root.child("leaving").map(|node| leaving(validator, &node, (&fleet, &rules), &zones));
+    for zone in fleet.children("zone").iter().filter(|zone| zone.optional("word").is_some()) {
         if leaving.is_none() {
             validator.add_problem(
-                z,
+                zone,
                 "word is set and there is no <leaving>".into(),
                 "add <leaving>, or remove word",
             );
         }
-        if z.optional("why").is_none() {
+        if zone.optional("why").is_none() {
             validator.add_problem(
-                z,
+                zone,
                 "word is set without why".into(),
                 "give the reason, which is written to the log",
             );
@@ -250,59 +251,59 @@
         tenants: tenant_names,
         zones,
         functions,
-        most_held: allow.count("most-held"),
+        max_calls: allow.count("most-held"),
         webhook,
         runners: Runners {
             key_file: PathBuf::from(runners.text("key-file")),
             line: runners.line(),
-            connections: runners.count("connections"),
-            connect_time: runners.duration("connect-time"),
-            idle_time: runners.duration("idle-time"),
-            answer_bytes: runners.count("answer-bytes"),
-            call_off_time: runners.micros("call-off-time"),
-            probe_time: runners.micros("probe-time"),
+            max_connections: runners.count("connections"),
+            connect_timeout: runners.duration("connect-time"),
+            idle_timeout: runners.duration("idle-time"),
+            max_answer_bytes: runners.count("answer-bytes"),
+            cancel_timeout: runners.micros("call-off-time"),
+            probe_timeout: runners.micros("probe-time"),
             tls: runners.child("tls").map(|t| runner_tls(validator, &t)),
         },
         list: List {
             address: list.address("address"),
             cache: list.optional("cache").map(PathBuf::from),
-            wait: list.duration("wait"),
-            retry: list.duration("retry"),
+            poll_timeout: list.duration("wait"),
+            retry_delay: list.duration("retry"),
         },
         peers,
         budgets,
         leaving,
-        control: root.child("control").map(|c| Control {
-            name: c.string("name"),
-            cluster: c.string("cluster"),
-            keep: PathBuf::from(c.text("keep")),
-            wait: c.duration("wait"),
-            retry: c.micros("retry"),
-            most_retry: c.micros("most-retry").max(c.micros("retry")),
-            stage: c.micros("stage"),
-            services: c.children("service").iter().map(|s| s.address("address")).collect(),
+        control: root.child("control").map(|control| Control {
+            name: control.string("name"),
+            cluster: control.string("cluster"),
+            storage_file: PathBuf::from(control.text("keep")),
+            poll_timeout: control.duration("wait"),
+            min_backoff: control.micros("retry"),
+            max_backoff: control.micros("most-retry").max(control.micros("retry")),
+            stage_timeout: control.micros("stage"),
+            services: control.children("service").iter().map(|s| s.address("address")).collect(),
         }),
         log: Log { json: log.text("format") == "json", level: log.string("level") },
         metrics: root.child("metrics").map(|m| m.address("listen")),
-        stop_within: root.child_or_default("stop").duration("within"),
+        stop_timeout: root.child_or_default("stop").duration("within"),
     }
 }
 
 fn check_classes(validator: &mut Validator, classes: &[CheckedElement<'_>], min_deadline: u64) {
-    for c in classes {
-        if c.micros("aim") > c.micros("deadline") {
-            let message = format!("aim {} is beyond deadline {}", c.text("aim"), c.text("deadline"));
-            validator.add_problem(c, message, "an answer must come before the sender gives up");
+    for class in classes {
+        if class.micros("aim") > class.micros("deadline") {
+            let message = format!("aim {} is beyond deadline {}", class.text("aim"), class.text("deadline"));
+            validator.add_problem(class, message, "an answer must come before the sender gives up");
         }
-        if c.text("effect") == "by-key" && c.micros("window") == 0 {
+        if class.text("effect") == "by-key" && class.micros("window") == 0 {
             let message = "window is 0 with effect by-key".into();
-            validator.add_problem(c, message, "set how long runners remember keys");
+            validator.add_problem(class, message, "set how long runners remember keys");
         }
-        if c.micros("deadline") <= min_deadline {
+        if class.micros("deadline") <= min_deadline {
             let remedy = "give it more than twice answer-slack and round together";
             validator.add_problem(
-                c,
-                format!("deadline {} leaves no time to answer", c.text("deadline")),
+                class,
+                format!("deadline {} leaves no time to answer", class.text("deadline")),
                 remedy,
             );
         }
@@ -317,15 +318,15 @@
     let nodes = root.children("function");
     validator.unique_values(&nodes, "name");
     let largest = kinds.iter().map(|k| k.decimal("memory-mb")).fold(0.0, f64::max);
-    for f in nodes.iter().filter(|f| f.decimal("memory-mb") > largest) {
-        let message = format!("memory-mb {} fits no kind of runner", f.text("memory-mb"));
-        validator.add_problem(f, message, format!("the largest kind holds {largest} MB"));
-    }
-    let function = |f: &CheckedElement<'_>| Function {
-        name: f.string("name"),
-        memory_mb: f.decimal("memory-mb"),
-        lanes: f.integer("lanes") as u32,
-        load_time: f.optional("load-time").and_then(duration_us),
+    for node in nodes.iter().filter(|node| node.decimal("memory-mb") > largest) {
+        let message = format!("memory-mb {} fits no kind of runner", node.text("memory-mb"));
+        validator.add_problem(node, message, format!("the largest kind holds {largest} MB"));
+    }
+    let function = |node: &CheckedElement<'_>| Function {
+        name: node.string("name"),
+        memory_mb: node.decimal("memory-mb"),
+        lanes: node.integer("lanes") as u32,
+        load_time: node.optional("load-time").and_then(duration_us),
     };
     nodes.iter().map(function).collect()
 }
@@ -341,207 +342,220 @@
     }
 }
 
-fn class(c: &CheckedElement<'_>) -> module::Class {
+fn class(node: &CheckedElement<'_>) -> module::Class {
     module::Class {
-        aim: c.micros("aim"),
-        deadline: c.micros("deadline"),
+        aim: node.micros("aim"),
+        deadline: node.micros("deadline"),
         aim_stretch: 0.0,
-        effect: match c.text("effect") {
+        effect: match node.text("effect") {
             "repeatable" => module::Effect::Repeatable,
             "by-key" => module::Effect::ByKey,
             _ => module::Effect::Once,
         },
-        group: match c.text("group") {
+        group: match node.text("group") {
             "zone" => module::Group::Zone,
             "cell" => module::Group::Cell,
             _ => module::Group::All,
         },
-        window: c.micros("window"),
-        worth: c.decimal("worth"),
-        late_worth: c.decimal("late-worth"),
-        streaming: c.boolean("streaming"),
+        window: node.micros("window"),
+        worth: node.decimal("worth"),
+        late_worth: node.decimal("late-worth"),
+        streaming: node.boolean("streaming"),
     }
 }
 
-fn peers(validator: &mut Validator, p: &CheckedElement<'_>, fleet: &CheckedElement<'_>) -> Peers {
-    let all = p.children("peer");
+fn peers(validator: &mut Validator, node: &CheckedElement<'_>, fleet: &CheckedElement<'_>) -> Peers {
+    let all = node.children("peer");
     validator.unique_values(&all, "number");
-    for one in &all {
-        let n = one.integer("number");
-        if n >= fleet.integer("front-ends") || n == fleet.integer("number") {
-            let message = format!("number {n} is this front end's own, or none of the fleet's");
-            validator.add_problem(one, message, "name each of the others once");
+    for peer in &all {
+        let number = peer.integer("number");
+        if number >= fleet.integer("front-ends") || number == fleet.integer("number") {
+            let message = format!("number {number} is this front end's own, or none of the fleet's");
+            validator.add_problem(peer, message, "name each of the others once");
         }
     }
     Peers {
-        listen: p.address("listen"),
-        key_file: PathBuf::from(p.text("key-file")),
-        line: p.line(),
+        listen: node.address("listen"),
+        key_file: PathBuf::from(node.text("key-file")),
+        line: node.line(),
         peers: all.iter().map(|c| (c.integer("number") as u32, c.address("address"))).collect(),
     }
 }
 
 /// The numbers of the voters.
-fn voters(validator: &mut Validator, of: &CheckedElement<'_>, fleet: &CheckedElement<'_>) -> Vec<u16> {
-    let voters = of.children("voter");
+fn voters(validator: &mut Validator, parent: &CheckedElement<'_>, fleet: &CheckedElement<'_>) -> Vec<u16> {
+    let voters = parent.children("voter");
     validator.unique_values(&voters, "number");
-    for v in voters.iter().filter(|v| v.integer("number") >= fleet.integer("front-ends")) {
-        let message = format!("number {} is none of the fleet's", v.text("number"));
-        validator.add_problem(v, message, "name front ends from 0 to front-ends less one");
+    for voter in voters.iter().filter(|voter| voter.integer("number") >= fleet.integer("front-ends")) {
+        let message = format!("number {} is none of the fleet's", voter.text("number"));
+        validator.add_problem(voter, message, "name front ends from 0 to front-ends less one");
     }
-    voters.iter().map(|v| v.integer("number") as u16).collect()
+    voters.iter().map(|voter| voter.integer("number") as u16).collect()
 }
 
 fn leaving(
     validator: &mut Validator,
-    l: &CheckedElement<'_>,
+    node: &CheckedElement<'_>,
     (fleet, rules): (&CheckedElement<'_>, &CheckedElement<'_>),
     zones: &[String],
 ) -> Leaving {
     if zones.len() < 2 || zones.len() > badgerwind_zones::MAX_ZONES {
         let message = format!("there are {} zones", zones.len());
         let remedy = format!("from 2 to {} zones can be left", badgerwind_zones::MAX_ZONES);
-        validator.add_problem(l, message, &remedy);
+        validator.add_problem(node, message, &remedy);
     }
-    let paced = badgerwind_zones::Terms::paced(
-        voters(validator, l, fleet),
-        l.micros("beat"),
+    let defaults = badgerwind_zones::Terms::paced(
+        voters(validator, node, fleet),
+        node.micros("beat"),
         rules.micros("warm-after"),
     );
-    let terms = badgerwind_zones::Terms {
-        least_left_lost: l.decimal("least-left"),
-        least_left: l.decimal("least-left").max(paced.least_left),
-        quiet: l.micros("quiet"),
-        most_quiet: l.micros("most-quiet").max(l.micros("quiet")),
-        probers: l.count("probers"),
-        probes: l.count("probes"),
-        ..paced
+    let settings = badgerwind_zones::Terms {
+        least_left_lost: node.decimal("least-left"),
+        least_left: node.decimal("least-left").max(defaults.least_left),
+        quiet: node.micros("quiet"),
+        most_quiet: node.micros("most-quiet").max(node.micros("quiet")),
+        probers: node.count("probers"),
+        probes: node.count("probes"),
+        ..defaults
     };
-    let word = |z: &CheckedElement<'_>| {
-        let word = match z.optional("word")? {
+    let directive = |zone: &CheckedElement<'_>| {
+        let directive = match zone.optional("word")? {
             "leave" => badgerwind_zones::Directive::Leave,
             "hold" => badgerwind_zones::Directive::Hold,
             _ => badgerwind_zones::Directive::Return,
         };
-        Some((word, z.string("why")))
+        Some((directive, zone.string("why")))
     };
-    Leaving { terms, words: fleet.children("zone").iter().map(word).collect() }
+    Leaving { settings, directives: fleet.children("zone").iter().map(directive).collect() }
 }
 
 /// Reads the budgets. Everything that would fail when the budgets start is reported as a problem here.
 fn budgets(
     validator: &mut Validator,
-    b: &CheckedElement<'_>,
+    node: &CheckedElement<'_>,
     (fleet, rules): (&CheckedElement<'_>, &CheckedElement<'_>),
     tenants: &[CheckedElement<'_>],
 ) -> Budgets {
-    let all = b.children("budget");
+    let all = node.children("budget");
     validator.unique_values(&all, "name");
     let names: Vec<String> = tenants.iter().map(|t| t.string("name")).collect();
-    let (voters, front_ends) = (voters(validator, b, fleet), fleet.integer("front-ends"));
+    let (voters, front_ends) = (voters(validator, node, fleet), fleet.integer("front-ends"));
     if front_ends > 65_535 {
         validator.add_problem(
-            b,
+            node,
             format!("{front_ends} front ends"),
             "budgets are divided among 65535 at most",
         );
     }
     if all.len() > 256 {
-        validator.add_problem(b, format!("{} budgets", all.len()), "256 at most");
+        validator.add_problem(node, format!("{} budgets", all.len()), "256 at most");
     }
-    let of: Vec<BudgetOf> = all.iter().map(|one| budget_of(validator, one, rules, tenants, &names)).collect();
-    for (n, one) in all.iter().enumerate().filter(|(n, _)| of[..*n].contains(&of[*n])) {
+    let resources: Vec<BudgetResource> =
+        all.iter().map(|budget| budget_resource(validator, budget, rules, tenants, &names)).collect();
+    for (n, budget) in all.iter().enumerate().filter(|(n, _)| resources[..*n].contains(&resources[*n])) {
         let message = format!("{} divides the same resource as another budget", all[n].text("name"));
-        validator.add_problem(one, message, "declare one budget per resource");
+        validator.add_problem(budget, message, "declare one budget per resource");
     }
-    let limit = |one: &CheckedElement<'_>| badgerwind_budgets::Limit {
-        units: one.integer("units") as u16,
-        floor: one.integer("floor") as u16,
+    let limit = |budget: &CheckedElement<'_>| badgerwind_budgets::Limit {
+        units: budget.integer("units") as u16,
+        floor: budget.integer("floor") as u16,
         members: front_ends.min(65_535) as u16,
-        rest: one.micros("window"),
+        rest: budget.micros("window"),
     };
-    let terms = badgerwind_budgets::Terms {
+    let lease_settings = badgerwind_budgets::Terms {
         voters,
-        vote: b.micros("vote"),
-        lease: b.micros("lease"),
-        beat: b.micros("beat"),
-        drift: b.integer("drift") as u32,
-        moves: b.integer("moves") as u16,
+        vote: node.micros("vote"),
+        lease: node.micros("lease"),
+        beat: node.micros("beat"),
+        drift: node.integer("drift") as u32,
+        moves: node.integer("moves") as u16,
     };
     let limits: Vec<_> = all.iter().map(limit).collect();
-    if let Err(e) = terms.check(&limits) {
+    if let Err(e) = lease_settings.check(&limits) {
         let text = e.to_string();
         let (message, remedy) = text.split_once("; ").unwrap_or((&text, "change it"));
-        validator.add_problem(b, message.into(), remedy);
+        validator.add_problem(node, message.into(), remedy);
+    }
+    let budgets = all
+        .iter()
+        .zip(resources)
+        .map(|(budget, resource)| Budget { name: budget.string("name"), resource })
+        .collect();
+    let version = node.integer("version") as u32;
+    Budgets {
+        lease_settings,
+        limit_set: badgerwind_budgets::Book { version, limits },
+        budgets,
+        line: node.line(),
     }
-    let names = all.iter().zip(of).map(|(one, of)| Budget { name: one.string("name"), of }).collect();
-    let version = b.integer("version") as u32;
-    Budgets { terms, book: badgerwind_budgets::Book { version, limits }, budgets: names, line: b.line() }
 }
 
-fn budget_of(
+fn budget_resource(
     validator: &mut Validator,
-    one: &CheckedElement<'_>,
+    budget: &CheckedElement<'_>,
     rules: &CheckedElement<'_>,
     tenants: &[CheckedElement<'_>],
     names: &[String],
-) -> BudgetOf {
-    if one.text("of") == "orders" {
-        if one.optional("tenant").is_some() {
-            validator.add_problem(one, "of orders names a tenant".into(), "leave tenant out");
+) -> BudgetResource {
+    if budget.text("of") == "orders" {
+        if budget.optional("tenant").is_some() {
+            validator.add_problem(budget, "of orders names a tenant".into(), "leave tenant out");
         }
-        if one.micros("window") != rules.micros("load-window") {
-            let message = format!("window {} is not that of the rules", one.text("window"));
+        if budget.micros("window") != rules.micros("load-window") {
+            let message = format!("window {} is not that of the rules", budget.text("window"));
             validator.add_problem(
-                one,
+                budget,
                 message,
                 "give it load-window of <rules>: a front end counts its own orders by that",
             );
         }
-        return BudgetOf::Orders;
+        return BudgetResource::Orders;
     }
-    let Some(name) = one.optional("tenant") else {
+    let Some(name) = budget.optional("tenant") else {
         validator.add_problem(
-            one,
+            budget,
             "of tenant names no tenant".into(),
             "name the tenant whose quota is divided",
         );
-        return BudgetOf::Tenant(0);
+        return BudgetResource::Tenant(0);
     };
-    let place = names.iter().position(|n| n == name);
-    match place.filter(|n| tenants[*n].optional("quota").is_some()) {
-        Some(n) => BudgetOf::Tenant(n),
+    let index = names.iter().position(|n| n == name);
+    match index.filter(|n| tenants[*n].optional("quota").is_some()) {
+        Some(index) => BudgetResource::Tenant(index),
         None => {
             validator.add_problem(
-                one,
+                budget,
                 format!("{name} is no tenant with a quota"),
                 "name a tenant, and give it a quota",
             );
-            BudgetOf::Tenant(0)
+            BudgetResource::Tenant(0)
         }
     }
 }
 
 fn sender(
     validator: &mut Validator,
-    s: &CheckedElement<'_>,
-    w: &CheckedElement<'_>,
+    node: &CheckedElement<'_>,
+    webhook: &CheckedElement<'_>,
     tenants: &[String],
 ) -> Sender {
-    let tenant = validator.index_of(s, "tenant", tenants, "tenant");
-    if 2 * s.micros("tolerance") > w.micros("remember") {
-        let message =
-            format!("tolerance {} is more than half of remember {}", s.text("tolerance"), w.text("remember"));
+    let tenant = validator.index_of(node, "tenant", tenants, "tenant");
+    if 2 * node.micros("tolerance") > webhook.micros("remember") {
+        let message = format!(
+            "tolerance {} is more than half of remember {}",
+            node.text("tolerance"),
+            webhook.text("remember")
+        );
         validator.add_problem(
-            s,
+            node,
             message,
             "remember ids for at least twice the tolerance, or a replay could run again",
         );
     }
-    let nodes = s.children("secret");
-    validator.unique_values(&nodes, "name");
-    let date = |c: &CheckedElement<'_>, name| {
-        let at = c.optional(name).and_then(|t| humantime::parse_rfc3339(t).ok())?;
+    let secret_nodes = node.children("secret");
+    validator.unique_values(&secret_nodes, "name");
+    let date = |node: &CheckedElement<'_>, name| {
+        let at = node.optional(name).and_then(|t| humantime::parse_rfc3339(t).ok())?;
         at.duration_since(std::time::UNIX_EPOCH).ok().map(|d| d.as_secs() as i64)
     };
     let secret = |c: &CheckedElement<'_>| Secret {
@@ -551,8 +565,8 @@
         not_before: date(c, "not-before"),
         not_after: date(c, "not-after"),
     };
-    let secrets = nodes.iter().map(secret).collect();
-    let callback_nodes = s.children("callback");
+    let secrets = secret_nodes.iter().map(secret).collect();
+    let callback_nodes = node.children("callback");
     validator.unique_values(&callback_nodes, "name");
     let callback = |c: &CheckedElement<'_>| Callback {
         name: c.string("name"),
@@ -563,51 +577,55 @@
     };
     let callbacks = callback_nodes.iter().map(callback).collect();
     Sender {
-        name: s.string("name"),
+        name: node.string("name"),
         tenant,
-        tolerance: s.micros("tolerance") / 1_000_000,
+        tolerance: node.micros("tolerance") / 1_000_000,
         secrets,
         callbacks,
     }
 }
 
-fn runner_tls(validator: &mut Validator, t: &CheckedElement<'_>) -> RunnerTls {
-    let identity = match (t.optional("certificate"), t.optional("key-file")) {
+fn runner_tls(validator: &mut Validator, node: &CheckedElement<'_>) -> RunnerTls {
+    let identity = match (node.optional("certificate"), node.optional("key-file")) {
         (Some(chain), Some(key)) => Some((PathBuf::from(chain), PathBuf::from(key))),
         (None, None) => None,
         _ => {
             let message = "only one of certificate and key-file is set".into();
-            validator.add_problem(t, message, "give both, or neither where runners ask for none");
+            validator.add_problem(node, message, "give both, or neither where runners ask for none");
             None
         }
     };
-    let (authority, name) = (PathBuf::from(t.text("authority")), t.string("name"));
-    RunnerTls { authority, name, identity, line: t.line() }
+    let (authority, server_name) = (PathBuf::from(node.text("authority")), node.string("name"));
+    RunnerTls { authority, server_name, identity, line: node.line() }
 }
 
-fn guard(g: &CheckedElement<'_>) -> Guard {
-    let pair = |burst, rate| (g.integer(burst) as u32, g.integer(rate) as u32);
+fn guard(node: &CheckedElement<'_>) -> Guard {
+    let burst_and_rate = |burst, rate| (node.integer(burst) as u32, node.integer(rate) as u32);
     Guard {
-        source: pair("source-burst", "source-rate"),
-        sender: pair("sender-burst", "sender-rate"),
-        sources: g.count("sources"),
-        known_for: g.micros("known-for"),
-        bytes: g.integer("bytes"),
-        balancers: g.children("balancer").iter().filter_map(|b| b.text("address").parse().ok()).collect(),
+        source_limit: burst_and_rate("source-burst", "source-rate"),
+        sender_limit: burst_and_rate("sender-burst", "sender-rate"),
+        max_sources: node.count("sources"),
+        known_source_time: node.micros("known-for"),
+        bytes_per_check: node.integer("bytes"),
+        load_balancers: node
+            .children("balancer")
+            .iter()
+            .filter_map(|b| b.text("address").parse().ok())
+            .collect(),
     }
 }
 
 fn webhook(
     validator: &mut Validator,
-    w: &CheckedElement<'_>,
+    node: &CheckedElement<'_>,
     classes: &[String],
     tenants: &[String],
     functions: &[String],
 ) -> Webhook {
-    let sender_nodes = w.children("sender");
+    let sender_nodes = node.children("sender");
     let names = validator.unique_values(&sender_nodes, "name");
-    let senders = sender_nodes.iter().map(|s| sender(validator, s, w, tenants)).collect();
-    let route_nodes = w.children("route");
+    let senders = sender_nodes.iter().map(|s| sender(validator, s, node, tenants)).collect();
+    let route_nodes = node.children("route");
     validator.unique_values(&route_nodes, "path");
     let mut routes = Vec::new();
     for route in &route_nodes {
@@ -615,38 +633,38 @@
         let class = validator.index_of(route, "class", classes, "class");
         let path = route.text("path");
         let (path, target) = match (path.strip_suffix('*'), route.optional("function")) {
-            (Some(start), None) if start.ends_with('/') => (start, Target::Named),
+            (Some(start), None) if start.ends_with('/') => (start, Target::FromPath),
             (None, Some(_)) => {
                 (path, Target::Function(validator.index_of(route, "function", functions, "function")))
             }
             _ => {
                 let remedy = "name a function, or end the path in /* and leave the function out";
                 validator.add_problem(route, format!("path {path} and function do not fit together"), remedy);
-                (path, Target::Named)
+                (path, Target::FromPath)
             }
         };
         routes.push(Route { path: path.to_owned(), sender, class, target });
     }
     Webhook {
-        listen: w.address("listen"),
-        connections: w.count("connections"),
-        head_bytes: w.count("head-bytes"),
-        headers: w.count("headers"),
-        head_time: w.duration("head-time"),
-        body_bytes: w.count("body-bytes"),
-        body_time: w.duration("body-time"),
-        idle_time: w.duration("idle-time"),
-        write_time: w.duration("write-time"),
-        remember: w.micros("remember"),
-        remember_most: w.count("remember-most"),
-        callbacks: w.count("callbacks"),
-        remember_bytes: w.count("remember-bytes"),
-        waiters: w.count("waiters"),
-        guard: guard(&w.child_or_default("guard")),
-        tls: w.child("tls").map(|t| Tls {
+        listen: node.address("listen"),
+        max_connections: node.count("connections"),
+        max_head_bytes: node.count("head-bytes"),
+        max_headers: node.count("headers"),
+        head_timeout: node.duration("head-time"),
+        max_body_bytes: node.count("body-bytes"),
+        body_timeout: node.duration("body-time"),
+        idle_timeout: node.duration("idle-time"),
+        write_timeout: node.duration("write-time"),
+        answer_retention: node.micros("remember"),
+        max_remembered_ids: node.count("remember-most"),
+        max_callbacks: node.count("callbacks"),
+        max_remembered_bytes: node.count("remember-bytes"),
+        max_waiters: node.count("waiters"),
+        guard: guard(&node.child_or_default("guard")),
+        tls: node.child("tls").map(|t| Tls {
             certificate: PathBuf::from(t.text("certificate")),
             key_file: PathBuf::from(t.text("key-file")),
-            clients: t.optional("clients").map(PathBuf::from),
+            client_authorities: t.optional("clients").map(PathBuf::from),
             line: t.line(),
         }),
         senders,
--- a/crates/badgerwind-settings/src/schema.rs
+++ b/crates/badgerwind-settings/src/schema.rs
@@ -1,5 +1,5 @@
-//! The table of elements and attributes of a settings document. Both the validation and the published schema are
-//! derived from it.
+//! The table of elements and attributes of a settings document. Both the validation and the published schema
+//! are derived from it.
 
 use std::fmt::Write;
 
@@ -790,8 +790,9 @@
     ],
 };
 
-/// The schema in XSD 1.0. Child elements may occur in any order, which XSD 1.0 can express only by a repeated choice.
-/// The number of occurrences is therefore stated in the documentation of each element, and enforced by the validation.
+/// The schema in XSD 1.0. Child elements may occur in any order, which XSD 1.0 can express only by a repeated
+/// choice. The number of occurrences is therefore stated in the documentation of each element, and enforced
+/// by the validation.
 pub fn xsd() -> String {
     let mut out = String::from(
         "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n\
--- a/crates/badgerwind-settings/src/typed.rs
+++ b/crates/badgerwind-settings/src/typed.rs
@@ -1,4 +1,4 @@
-//! The settings as the daemon uses them.
+//! The typed settings that the daemon uses.
 
 use badgerwind::interface::Span;
 use std::net::{IpAddr, SocketAddr};
@@ -8,89 +8,89 @@
 /// All settings of one front end.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the module is told.
+    /// The settings of the decision module.
     pub router: badgerwind::interface::Settings,
-    /// Seed of the module's chance; 0: drawn at each start.
+    /// Seed of the module's random numbers; 0 draws a seed at each start.
     pub seed: u64,
-    /// Names of the classes, by their place.
+    /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// Names of the tenants, by their place.
+    /// The names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// Names of the zones, by their place.
+    /// The names of the zones, by index.
     pub zones: Vec<String>,
     /// The functions.
     pub functions: Vec<Function>,
-    /// Calls owed an answer at once.
-    pub most_held: usize,
+    /// Maximum number of unanswered calls.
+    pub max_calls: usize,
     /// The webhook front.
     pub webhook: Webhook,
-    /// The runners.
+    /// The connections to runners.
     pub runners: Runners,
-    /// The list service.
+    /// The service that lists runners.
     pub list: List,
     /// Messages between front ends.
     pub peers: Option<Peers>,
-    /// What the front ends divide among themselves.
+    /// Budgets that the front ends divide among themselves.
     pub budgets: Option<Budgets>,
-    /// How a zone that fails is left.
+    /// How front ends leave a zone that fails.
     pub leaving: Option<Leaving>,
     /// The control service.
     pub control: Option<Control>,
     /// The log.
     pub log: Log,
-    /// Where figures are served.
+    /// The address at which metrics are served.
     pub metrics: Option<SocketAddr>,
-    /// How long an orderly stop may take.
-    pub stop_within: Duration,
+    /// How long a graceful stop may take.
+    pub stop_timeout: Duration,
 }
 
 /// A function.
 #[derive(Clone, Debug)]
 pub struct Function {
-    /// Its name.
+    /// The name.
     pub name: String,
     /// Memory of one copy, in MB.
     pub memory_mb: f64,
-    /// Calls that one copy runs at a time.
+    /// Number of calls that one copy runs concurrently.
     pub lanes: u32,
-    /// Usual time of a load.
+    /// Typical time to load a copy.
     pub load_time: Option<Span>,
 }
 
-/// The webhook front.
+/// The front for signed webhooks.
 #[derive(Clone, Debug)]
 pub struct Webhook {
-    /// Where it listens.
+    /// The listen address.
     pub listen: SocketAddr,
-    /// Connections at once.
-    pub connections: usize,
-    /// Bytes of a head.
-    pub head_bytes: usize,
-    /// Header lines of a head.
-    pub headers: usize,
-    /// Time for a head.
-    pub head_time: Duration,
-    /// Bytes of a body.
-    pub body_bytes: usize,
-    /// Time for a body.
-    pub body_time: Duration,
-    /// An idle connection closes after this.
-    pub idle_time: Duration,
-    /// Time for a sender to read an answer.
-    pub write_time: Duration,
-    /// How long an id's final answer is remembered.
-    pub remember: Span,
-    /// Ids remembered at once.
-    pub remember_most: usize,
-    /// Callbacks that may be owed at once.
-    pub callbacks: usize,
-    /// Bytes of answers remembered at once.
-    pub remember_bytes: usize,
-    /// Repeats that may wait for one answer.
-    pub waiters: usize,
+    /// Maximum number of open connections.
+    pub max_connections: usize,
+    /// Maximum size of a request's head, in bytes.
+    pub max_head_bytes: usize,
+    /// Maximum number of header lines of a request.
+    pub max_headers: usize,
+    /// Timeout for receiving a head.
+    pub head_timeout: Duration,
+    /// Maximum size of a body, in bytes.
+    pub max_body_bytes: usize,
+    /// Timeout for receiving a body.
+    pub body_timeout: Duration,
+    /// Idle connections are closed after this time.
+    pub idle_timeout: Duration,
+    /// Timeout for a sender to read an answer.
+    pub write_timeout: Duration,
+    /// How long an id and its final answer are remembered.
+    pub answer_retention: Span,
+    /// Maximum number of remembered ids.
+    pub max_remembered_ids: usize,
+    /// Maximum number of calls with an outstanding callback.
+    pub max_callbacks: usize,
+    /// Maximum size of all remembered ids and answers, in bytes.
+    pub max_remembered_bytes: usize,
+    /// Maximum number of repeated calls that wait for the same answer.
+    pub max_waiters: usize,
     /// Budgets for messages whose signature fails.
     pub guard: Guard,
-    /// Senders are met under TLS.
+    /// TLS towards senders; `None` for plain connections.
     pub tls: Option<Tls>,
     /// The senders.
     pub senders: Vec<Sender>,
@@ -101,228 +101,229 @@
 /// Budgets for messages whose signature fails.
 #[derive(Clone, Debug)]
 pub struct Guard {
-    /// Failed checks of one source: at once, and further ones a second.
-    pub source: (u32, u32),
-    /// Failed checks of strangers as one sender: at once, and further ones a second.
-    pub sender: (u32, u32),
-    /// Sources kept apart.
-    pub sources: usize,
-    /// How long a source that signed counts as known.
-    pub known_for: Span,
-    /// A body costs one check more for each so many bytes.
-    pub bytes: u64,
-    /// Load balancers in front.
-    pub balancers: Vec<IpAddr>,
+    /// Failed checks of one source address: burst, and rate per second.
+    pub source_limit: (u32, u32),
+    /// Failed checks as one sender by addresses that are not known to it: burst, and rate per second.
+    pub sender_limit: (u32, u32),
+    /// Maximum number of source addresses with a budget of their own; further ones share a single budget.
+    pub max_sources: usize,
+    /// How long an address counts as known to a sender after a valid signature.
+    pub known_source_time: Span,
+    /// A body counts as one additional check for each this many bytes.
+    pub bytes_per_check: u64,
+    /// The addresses of load balancers in front of the front end.
+    pub load_balancers: Vec<IpAddr>,
 }
 
-/// TLS towards senders; all files are PEM.
+/// TLS towards senders. All files are PEM.
 #[derive(Clone, Debug)]
 pub struct Tls {
-    /// The chain, the own certificate first.
+    /// The certificate chain, beginning with the own certificate.
     pub certificate: PathBuf,
-    /// Its private key.
+    /// The private key.
     pub key_file: PathBuf,
-    /// Authorities of which senders must show a certificate.
-    pub clients: Option<PathBuf>,
-    /// The line that names them.
+    /// Authorities of client certificates, if senders must present one.
+    pub client_authorities: Option<PathBuf>,
+    /// The line in the settings, for error messages.
     pub line: usize,
 }
 
-/// TLS towards runners; all files are PEM.
+/// TLS towards runners. All files are PEM.
 #[derive(Clone, Debug)]
 pub struct RunnerTls {
-    /// Authorities that are trusted.
+    /// The trusted authorities.
     pub authority: PathBuf,
-    /// The name that every runner's certificate bears.
-    pub name: String,
-    /// The own chain and its private key.
+    /// The name in every runner's certificate.
+    pub server_name: String,
+    /// The own certificate chain and private key, if runners require a client certificate.
     pub identity: Option<(PathBuf, PathBuf)>,
-    /// The line that names them.
+    /// The line in the settings, for error messages.
     pub line: usize,
 }
 
 /// A sender of webhooks.
 #[derive(Clone, Debug)]
 pub struct Sender {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its tenant's place.
+    /// The index of its tenant.
     pub tenant: usize,
-    /// How far a timestamp may lie from now, in seconds.
+    /// Maximum difference between a timestamp and the current time, in seconds.
     pub tolerance: u64,
-    /// Its live keys.
+    /// The valid keys.
     pub secrets: Vec<Secret>,
-    /// Where final answers may also be posted.
+    /// Addresses to which final answers may also be posted.
     pub callbacks: Vec<Callback>,
 }
 
 /// An address to which final answers may also be posted.
 #[derive(Clone, Debug)]
 pub struct Callback {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where it listens.
+    /// The address of the receiver.
     pub address: SocketAddr,
-    /// Its path there.
+    /// The path of the request.
     pub path: String,
-    /// The key that signs.
+    /// The file of the key that signs the request.
     pub key_file: PathBuf,
-    /// The line that names it.
+    /// The line in the settings, for error messages.
     pub line: usize,
 }
 
-/// A reference to a key.
+/// A reference to a key of a sender.
 #[derive(Clone, Debug)]
 pub struct Secret {
-    /// Its name in logs.
+    /// The name in logs.
     pub name: String,
-    /// Its file, as written.
+    /// The file, as written in the settings.
     pub file: PathBuf,
-    /// The line that names it.
+    /// The line in the settings, for error messages.
     pub line: usize,
-    /// It counts from then on, in seconds since the Unix epoch.
+    /// The key is valid from then on, in seconds since the Unix epoch.
     pub not_before: Option<i64>,
-    /// It counts until then.
+    /// The key is valid until then, in seconds since the Unix epoch.
     pub not_after: Option<i64>,
 }
 
 /// Which function a route calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// This one, by its place.
+    /// This function, by index.
     Function(usize),
-    /// The one that the path's last part names.
-    Named,
+    /// The function that the last segment of the path names.
+    FromPath,
 }
 
-/// A route.
+/// A path at which a sender's webhooks are accepted.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Its path; for [`Target::Named`] with the slash before the name, and without the name.
+    /// The path; for [`Target::FromPath`] the prefix up to and including the slash before the function's
+    /// name.
     pub path: String,
-    /// Its sender's place.
+    /// The index of its sender.
     pub sender: usize,
-    /// Its class's place.
+    /// The index of its class.
     pub class: usize,
-    /// Its function.
+    /// The function that it calls.
     pub target: Target,
 }
 
-/// How runners are reached.
+/// The connections to runners.
 #[derive(Clone, Debug)]
 pub struct Runners {
-    /// The key that signs calls.
+    /// The file of the key that signs calls.
     pub key_file: PathBuf,
-    /// The line that names it.
+    /// The line in the settings, for error messages.
     pub line: usize,
-    /// Connections to one runner.
-    pub connections: usize,
-    /// A connection not made by then has failed.
-    pub connect_time: Duration,
-    /// An idle connection closes after this.
-    pub idle_time: Duration,
-    /// Bytes of an answer.
-    pub answer_bytes: usize,
-    /// A call-off not confirmed by then counts as done.
-    pub call_off_time: Span,
-    /// A probe not answered by then has failed.
-    pub probe_time: Span,
-    /// Runners are met under TLS.
+    /// Maximum number of connections to one runner.
+    pub max_connections: usize,
+    /// Timeout for establishing a connection.
+    pub connect_timeout: Duration,
+    /// Idle connections are closed after this time.
+    pub idle_timeout: Duration,
+    /// Maximum size of an answer, in bytes.
+    pub max_answer_bytes: usize,
+    /// A cancellation that is not confirmed within this time counts as done.
+    pub cancel_timeout: Span,
+    /// Timeout of a probe.
+    pub probe_timeout: Span,
+    /// TLS towards runners; `None` for plain connections.
     pub tls: Option<RunnerTls>,
 }
 
 /// The service that lists runners.
 #[derive(Clone, Debug)]
 pub struct List {
-    /// Where it listens.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// Where the last list is kept.
+    /// The file that caches the last list.
     pub cache: Option<PathBuf>,
-    /// How long it may hold a question open.
-    pub wait: Duration,
-    /// Pause after a question that failed.
-    pub retry: Duration,
+    /// How long the service may hold a request open.
+    pub poll_timeout: Duration,
+    /// Pause after a failed request.
+    pub retry_delay: Duration,
 }
 
 /// Messages between front ends.
 #[derive(Clone, Debug)]
 pub struct Peers {
-    /// Where this one listens.
+    /// The own listen address.
     pub listen: SocketAddr,
-    /// The key that all share.
+    /// The file of the key that all front ends share.
     pub key_file: PathBuf,
-    /// The line that names it.
+    /// The line in the settings, for error messages.
     pub line: usize,
-    /// The others: number and address.
+    /// Number and address of each other front end.
     pub peers: Vec<(u32, SocketAddr)>,
 }
 
-/// What the front ends divide among themselves.
+/// Budgets that the front ends divide among themselves.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budgets {
-    /// On what terms.
-    pub terms: badgerwind_budgets::Terms,
-    /// The limits, under their version.
-    pub book: badgerwind_budgets::Book,
-    /// What each whole is of, in the same order.
+    /// The settings of the division.
+    pub lease_settings: badgerwind_budgets::Terms,
+    /// The version of the budgets and the limit of each.
+    pub limit_set: badgerwind_budgets::Book,
+    /// The name and resource of each budget, in the order of the limits.
     pub budgets: Vec<Budget>,
-    /// The line that begins them.
+    /// The line in the settings, for error messages.
     pub line: usize,
 }
 
-/// How a zone that fails is left, and returned to.
+/// How front ends leave a zone that fails, and return to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leaving {
-    /// On what terms.
-    pub terms: badgerwind_zones::Terms,
-    /// An operator's word of each zone, and why.
-    pub words: Vec<Option<(badgerwind_zones::Directive, String)>>,
+    /// The settings of the zone state machine.
+    pub settings: badgerwind_zones::Terms,
+    /// The operator's directive for each zone and its reason, if any.
+    pub directives: Vec<Option<(badgerwind_zones::Directive, String)>>,
 }
 
-/// One whole.
+/// The name and the resource of a budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// What it is of.
-    pub of: BudgetOf,
+    /// The resource that it limits.
+    pub resource: BudgetResource,
 }
 
-/// What a whole is of.
+/// The resource that a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BudgetOf {
+pub enum BudgetResource {
     /// Load orders.
     Orders,
-    /// A tenant's quota, by its place.
+    /// The quota of a tenant, by index.
     Tenant(usize),
 }
 
 /// The control service.
 #[derive(Clone, Debug)]
 pub struct Control {
-    /// This front end's name there.
+    /// The name of this front end at the service.
     pub name: String,
-    /// Its fleet's.
+    /// The name of its fleet at the service.
     pub cluster: String,
-    /// Where the set that runs is kept.
-    pub keep: PathBuf,
-    /// How long the service may hold a question open.
-    pub wait: Duration,
-    /// The first pause after a question that failed.
-    pub retry: Span,
-    /// The longest.
-    pub most_retry: Span,
-    /// How long a part waits for another.
-    pub stage: Span,
-    /// The services, in the order in which they are asked.
+    /// The file that stores the parts that run.
+    pub storage_file: PathBuf,
+    /// How long the service may hold a request open.
+    pub poll_timeout: Duration,
+    /// The first and shortest pause after a failed request.
+    pub min_backoff: Span,
+    /// The longest pause after a failed request.
+    pub max_backoff: Span,
+    /// How long an offered part may wait for another part that it needs.
+    pub stage_timeout: Span,
+    /// The addresses of the services, in the order in which they are tried.
     pub services: Vec<SocketAddr>,
 }
 
 /// The log.
 #[derive(Clone, Debug)]
 pub struct Log {
-    /// JSON, or text.
+    /// Whether the format is JSON; otherwise it is text.
     pub json: bool,
-    /// `error`, `warn`, `info` or `debug`.
+    /// The lowest level that is logged: `error`, `warn`, `info` or `debug`.
     pub level: String,
 }
--- a/crates/badgerwind-settings/tests/documents.rs
+++ b/crates/badgerwind-settings/tests/documents.rs
@@ -17,7 +17,7 @@
     assert_eq!(s.classes, ["check-answers", "lodge-return"]);
     let routes: Vec<_> =
         s.webhook.routes.iter().map(|r| (r.path.as_str(), r.class, r.target.clone())).collect();
-    assert_eq!(routes, [("/check/", 0, Target::Named), ("/lodge", 1, Target::Function(1))]);
+    assert_eq!(routes, [("/check/", 0, Target::FromPath), ("/lodge", 1, Target::Function(1))]);
     assert_eq!(s.webhook.senders[0].secrets[1].not_before, Some(1_796_083_200));
     assert_eq!(s.webhook.senders[0].tolerance, 300);
     let report = "<report how=\"answers\" fields=\"active cpu\"/><log";
@@ -25,7 +25,7 @@
     use badgerwind::interface::{ReportField, ReportMode};
     assert_eq!(s2.router.report_mode, ReportMode::Answers);
     assert_eq!(s2.router.report_fields, [ReportField::Active, ReportField::Cpu]);
-    assert_eq!((s.most_held, s.log.json, s.list.wait.as_secs()), (20_000, false, 20));
+    assert_eq!((s.max_calls, s.log.json, s.list.poll_timeout.as_secs()), (20_000, false, 20));
 }
 
 /// The problems of the example with one piece of text changed.
@@ -121,10 +121,13 @@
 #[test]
 fn budgets_are_read_with_their_settings() {
     let b = read("s.xml", &example_with_budgets()).unwrap().budgets.unwrap();
-    assert_eq!(b.budgets[0], Budget { name: "fetches".into(), of: BudgetOf::Orders });
-    assert_eq!(b.budgets[1].of, BudgetOf::Tenant(0));
-    assert_eq!((b.book.version, b.terms.voters.clone(), b.terms.lease), (4, vec![0, 1], 3_000_000));
-    let limit = &b.book.limits[0];
+    assert_eq!(b.budgets[0], Budget { name: "fetches".into(), resource: BudgetResource::Orders });
+    assert_eq!(b.budgets[1].resource, BudgetResource::Tenant(0));
+    assert_eq!(
+        (b.limit_set.version, b.lease_settings.voters.clone(), b.lease_settings.lease),
+        (4, vec![0, 1], 3_000_000)
+    );
+    let limit = &b.limit_set.limits[0];
     assert_eq!((limit.units, limit.floor, limit.members, limit.rest), (30, 2, 3, 10_000_000));
 }
 
@@ -155,9 +158,9 @@
 fn leaving_zones_is_read_and_its_problems_are_named() {
     let leaving = "<leaving beat=\"50ms\" quiet=\"1s\" least-left=\"0.4\"><voter number=\"0\"/><voter number=\"2\"/></leaving><budgets";
     let text = example_with_budgets().replacen("<budgets", leaving, 1);
-    let terms = read("s.xml", &text).unwrap().leaving.unwrap().terms;
-    assert_eq!((terms.voters.clone(), terms.beat, terms.quiet), (vec![0, 2], 50_000, 1_000_000));
-    assert_eq!((terms.least_left_lost, terms.most_quiet, terms.probers), (0.4, 120_000_000, 3));
+    let settings = read("s.xml", &text).unwrap().leaving.unwrap().settings;
+    assert_eq!((settings.voters.clone(), settings.beat, settings.quiet), (vec![0, 2], 50_000, 1_000_000));
+    assert_eq!((settings.least_left_lost, settings.most_quiet, settings.probers), (0.4, 120_000_000, 3));
     for (from, to, want) in [
         (
             "<voter number=\"2\"/></leaving>",
@@ -184,7 +187,7 @@
         "<zone name=\"hall-a\" word=\"leave\" why=\"fire &amp; smoke\"",
         1,
     );
-    let words = read("s.xml", &with_directive).unwrap().leaving.unwrap().words;
+    let words = read("s.xml", &with_directive).unwrap().leaving.unwrap().directives;
     assert_eq!(words[0], Some((badgerwind_zones::Directive::Leave, "fire & smoke".into())));
     for (from, to, want) in [
         (" why=\"fire &amp; smoke\"", "", "word is set without why"),
@@ -196,9 +199,10 @@
         let got = read("s.xml", &with_directive.replacen(from, to, 1)).expect_err(to);
         assert!(got.iter().any(|p| p.to_string().contains(want)), "wanted {want}\ngot {got:#?}");
     }
-    // A directive that is set and removed again by edits leaves the file as it was, except for the white space of the tag.
+    // A directive that is set and removed again by edits leaves the file as it was, except for the white
+    // space of the tag.
     let edited = edit::set_zone_directive(&text, "hall-a", Some(("leave", "fire & smoke"))).unwrap();
-    assert_eq!(read("s.xml", &edited).unwrap().leaving.unwrap().words, words);
+    assert_eq!(read("s.xml", &edited).unwrap().leaving.unwrap().directives, words);
     let back = edit::set_zone_directive(&edited, "hall-a", None).unwrap();
     assert_eq!(back, edit::set_zone_directive(&text, "hall-a", None).unwrap());
     assert_eq!(
