--- a/crates/badgerwind-config/src/client.rs
+++ b/crates/badgerwind-config/src/client.rs
@@ -1,9 +1,9 @@
-//! The front end's side of the configuration stream: a state machine for each type of resource, and the single change
-//! in progress. `docs/protocols/config-stream.md` lists all state transitions.
+//! The front end's side of the configuration stream: a state machine for each type of resource, and the
+//! single change in progress. `docs/protocols/config-stream.md` lists all state transitions.
 //!
-//! Invariants, checked by property tests: a rejected version never runs; version numbers only increase; the report
-//! always states the versions that run; every offer is acknowledged exactly once; a restart resumes with the versions
-//! that run.
+//! Invariants, checked by property tests: a rejected version never runs; version numbers only increase; the
+//! report always states the versions that run; every offer is acknowledged exactly once; a restart resumes
+//! with the versions that run.
 
 use crate::parts::{compose, Digest, Kind, Part};
 use crate::wire::*;
@@ -103,7 +103,8 @@
         /// The request; its health counters are left for the caller to fill in.
         request: Box<DiscoveryRequest>,
     },
-    /// Read the keys that these settings name, replay recorded calls under them, and report [`Input::Prepared`].
+    /// Read the keys that these settings name, replay recorded calls under them, and report
+    /// [`Input::Prepared`].
     Prepare {
         /// Identifies the change.
         ticket: u64,
@@ -208,8 +209,9 @@
 }
 
 impl Client {
-    /// Creates a state machine from the settings file and the stored parts. Returns it with the initial settings. If
-    /// the stored parts no longer fit the file, they are all ignored and the problems are returned.
+    /// Creates a state machine from the settings file and the stored parts. Returns it with the initial
+    /// settings. If the stored parts no longer fit the file, they are all ignored and the problems are
+    /// returned.
     pub fn new(
         (id, cluster): (String, String),
         file: Document,
@@ -285,8 +287,9 @@
                 let open = |s: &&mut KindState| s.open_request == Some(request_id);
                 let Some(state) = self.kinds.get_mut(&kind).filter(open) else { return };
                 state.open_request = None;
-                // Decorrelated jitter: each pause is drawn between the minimum and three times the last one, so that
-                // front ends that lost the service at the same time do not reconnect at the same time.
+                // Decorrelated jitter: each pause is drawn between the minimum and three times the last one,
+                // so that front ends that lost the service at the same time do not reconnect at the same
+                // time.
                 let last = state.backoff.max(min) as f64;
                 let pause = min as f64 + random.clamp(0.0, 1.0) * (3.0 * last - min as f64);
                 state.backoff = (pause as Time).clamp(min, max);
@@ -348,7 +351,8 @@
             if self.kinds[&kind].next_request_at.is_some_and(|at| at <= now) {
                 self.send_request(now, kind, out);
             }
-            // While a change is in progress no offer expires: the offer has not been validated against that change.
+            // While a change is in progress no offer expires: the offer has not been validated against that
+            // change.
             let take_expired = |s: &mut KindState| s.offer.take_if(|o| o.deadline <= now);
             let state = self.kinds.get_mut(&kind).filter(|_| self.change.is_none());
             if let Some(offer) = state.and_then(take_expired) {
@@ -398,7 +402,8 @@
         }
     }
 
-    /// Abandons the change in progress for a newer version of `newer`. Its parts of other types become offers again.
+    /// Abandons the change in progress for a newer version of `newer`. Its parts of other types become offers
+    /// again.
     fn supersede_change(&mut self, newer: Kind) {
         let Some(change) = self.change.take() else { return };
         for part in change.parts.into_iter().filter(|p| p.kind != newer) {
@@ -410,8 +415,8 @@
         }
     }
 
-    /// Validates a response by itself. Returns the new part, `None` if it runs or waits already, or the error, with
-    /// version and digest unless the error must not mark the version as rejected.
+    /// Validates a response by itself. Returns the new part, `None` if it runs or waits already, or the
+    /// error, with version and digest unless the error must not mark the version as rejected.
     #[allow(clippy::type_complexity)] // the type is used only here
     fn validate_response(
         &self,
@@ -465,7 +470,8 @@
         part.map(Some).map_err(|p| (Some((version, digest)), status(3, join_problems(&p))))
     }
 
-    /// Begins a change with the first offer that is valid by itself, or else with all offers if they are valid together.
+    /// Begins a change with the first offer that is valid by itself, or else with all offers if they are
+    /// valid together.
     fn begin_next_change(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.change.is_some() {
             return;
--- a/crates/badgerwind-config/src/lib.rs
+++ b/crates/badgerwind-config/src/lib.rs
@@ -1,6 +1,6 @@
-//! Versioned configuration: the front end's state machine for offered versions, the stored form that survives a
-//! restart, the replay of recorded calls that tries a change without effects, and the rollout in waves by the control
-//! service. The crate does no I/O; time and random numbers are arguments.
+//! Versioned configuration: the front end's state machine for offered versions, the stored form that survives
+//! a restart, the replay of recorded calls that tries a change without effects, and the rollout in waves by
+//! the control service. The crate does no I/O; time and random numbers are arguments.
 //!
 //! The exchange is the state-of-the-world variant of the xDS transport in its JSON mapping, with long polling
 //! (`docs/protocols/config-stream.md`).
--- a/crates/badgerwind-config/src/order_limit.rs
+++ b/crates/badgerwind-config/src/order_limit.rs
@@ -1,12 +1,13 @@
-//! The limit on load orders (rule 5) across a change of settings. The decision module enforces the limit from its own
-//! history. After a change, a new module starts without history while the old one runs until its calls are answered.
-//! This limit counts the orders and calls of both together and holds back orders beyond it.
+//! The limit on load orders (rule 5) across a change of settings. The decision module enforces the limit from
+//! its own history. After a change, a new module starts without history while the old one runs until its
+//! calls are answered. This limit counts the orders and calls of both together and holds back orders beyond
+//! it.
 
 use badgerwind::interface::{Span, Time};
 use std::collections::VecDeque;
 
-/// The limit on load orders of one front end, across all of its decision modules. Within a sliding window it allows
-/// `free` orders plus `share` orders per accepted call.
+/// The limit on load orders of one front end, across all of its decision modules. Within a sliding window it
+/// allows `free` orders plus `share` orders per accepted call.
 #[derive(Debug)]
 pub struct OrderLimit {
     window: Span,
@@ -22,8 +23,8 @@
         OrderLimit { window, free, share, orders: VecDeque::new(), calls: VecDeque::new() }
     }
 
-    /// Replaces the figures of the limit. Orders and calls counted so far still count: orders given under the old
-    /// figures use up the new limit.
+    /// Replaces the figures of the limit. Orders and calls counted so far still count: orders given under the
+    /// old figures use up the new limit.
     pub fn set_limit(&mut self, window: Span, free: f64, share: f64) {
         (self.window, self.free, self.share) = (window, free, share);
     }
--- a/crates/badgerwind-config/src/parts.rs
+++ b/crates/badgerwind-config/src/parts.rs
@@ -1,7 +1,7 @@
 //! The parts of the settings that change independently, and the document composed from them.
 //!
-//! A part is a settings document of the same form and schema that contains only the elements of its kind. Settings of
-//! the single machine stay in its settings file: its listen address, number, zone and key files.
+//! A part is a settings document of the same form and schema that contains only the elements of its kind.
+//! Settings of the single machine stay in its settings file: its listen address, number, zone and key files.
 
 use badgerwind_settings::document::{parse, Node};
 use badgerwind_settings::Problem;
@@ -24,7 +24,8 @@
 }
 
 impl Kind {
-    /// All kinds. Kinds that others refer to come first, which is the best order to publish a change of several kinds.
+    /// All kinds. Kinds that others refer to come first, which is the best order to publish a change of
+    /// several kinds.
     pub const ALL: [Kind; 4] = [Kind::Fleet, Kind::Classes, Kind::Routes, Kind::Limits];
 
     /// The name in paths and reports.
@@ -88,7 +89,8 @@
 pub const MAX_PART_BYTES: usize = 4 * 1024 * 1024;
 
 impl Part {
-    /// Parses a part. Returns the problems, with their lines, if the text is not XML or has elements of another kind.
+    /// Parses a part. Returns the problems, with their lines, if the text is not XML or has elements of
+    /// another kind.
     pub fn parse(kind: Kind, version: u64, text: &str) -> Result<Part, Vec<Problem>> {
         let file = format!("{}:{version}", kind.name());
         let document_problem = |message: String, remedy: &str| Problem {
@@ -138,7 +140,8 @@
     }
 }
 
-/// Composes the settings document from the file and the parts; a part replaces the file's elements of its kind.
+/// Composes the settings document from the file and the parts; a part replaces the file's elements of its
+/// kind.
 pub fn compose<'a>(file: &Node, parts: impl IntoIterator<Item = &'a Part>) -> Node {
     let mut document = file.clone();
     for part in parts {
@@ -154,7 +157,8 @@
             }
             Kind::Routes => {
                 let Some(to) = document.children.iter_mut().find(|c| c.name == "webhook") else { continue };
-                // The same element also contains budgets and certificates, which belong to the single machine.
+                // The same element also contains budgets and certificates, which belong to the single
+                // machine.
                 let routes = |c: &&Node| ROUTE_ELEMENTS.contains(&c.name.as_str());
                 to.children.retain(|c| !routes(&c));
                 for from in part.node.children_named("webhook") {
--- a/crates/badgerwind-config/src/storage.rs
+++ b/crates/badgerwind-config/src/storage.rs
@@ -1,5 +1,5 @@
-//! The stored form of the parts that run: a single file for all types, so that a change of several types is stored
-//! atomically. A checksum detects files that are truncated, corrupted or of another format.
+//! The stored form of the parts that run: a single file for all types, so that a change of several types is
+//! stored atomically. A checksum detects files that are truncated, corrupted or of another format.
 
 use crate::parts::{Kind, Part, MAX_PART_BYTES};
 use sha2::{Digest, Sha256};
--- a/crates/badgerwind-config/src/waves.rs
+++ b/crates/badgerwind-config/src/waves.rs
@@ -1,9 +1,9 @@
 //! The control service's side: which front end is offered which version, and when a wave stops by itself.
 //!
-//! A version is offered to a first share of the front ends. When all of these have run it for the soak time without
-//! failing more calls, it is offered to the rest. The wave stops if too large a share of the front ends that answered
-//! reject the version, or if a front end that runs it fails more calls than before; then no other front end is offered
-//! it. To roll back, publish the old content under a new number.
+//! A version is offered to a first share of the front ends. When all of these have run it for the soak time
+//! without failing more calls, it is offered to the rest. The wave stops if too large a share of the front
+//! ends that answered reject the version, or if a front end that runs it fails more calls than before; then
+//! no other front end is offered it. To roll back, publish the old content under a new number.
 
 use crate::client::Report;
 use crate::parts::Kind;
@@ -25,7 +25,8 @@
     pub soak_time: Time,
     /// A wave stops if more than this share of the front ends that answered reject the version.
     pub max_rejected_share: f64,
-    /// A wave stops if the share of calls not served rises by more than this at a front end that runs the version.
+    /// A wave stops if the share of calls not served rises by more than this at a front end that runs the
+    /// version.
     pub max_failure_increase: f64,
     /// A front end without a request for this long does not hold up a wave.
     pub front_end_timeout: Time,
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Publishes a version and starts its wave. Reusing a number with other content is an error. A version below the
-    /// newest one is stored and not rolled out.
+    /// Publishes a version and starts its wave. Reusing a number with other content is an error. A version
+    /// below the newest one is stored and not rolled out.
     pub fn publish(&mut self, kind: Kind, version: u64, text: Arc<str>) -> Result<(), String> {
         let versions = self.published.entry(kind).or_default();
         if let Some(old) = versions.get(&version) {
@@ -126,8 +127,8 @@
         if newest.is_some_and(|n| version < n) {
             return Ok(());
         }
-        // Front ends that run the version of the previous wave keep it. That version counts as good if it was offered
-        // to all.
+        // Front ends that run the version of the previous wave keep it. That version counts as good if it was
+        // offered to all.
         if let Some(wave) = self.waves.remove(&kind).filter(|w| w.stage == Stage::All) {
             self.last_good.insert(kind, wave.version);
         }
@@ -156,7 +157,8 @@
         self.waves.get(&kind).map(|w| (w.version, &w.stage))
     }
 
-    /// Pins a front end to the versions that it runs, or unpins it. Returns false if the front end is unknown.
+    /// Pins a front end to the versions that it runs, or unpins it. Returns false if the front end is
+    /// unknown.
     pub fn pin(&mut self, id: &str, pinned: bool) -> bool {
         self.front_ends.get_mut(id).map(|f| f.pinned = pinned).is_some()
     }
@@ -258,7 +260,8 @@
         let wave = self.waves.get_mut(&kind);
         let wanted = match wave {
             Some(wave) => {
-                // If no front end was known when the version was published, the first one to ask is the first share.
+                // If no front end was known when the version was published, the first one to ask is the first
+                // share.
                 if wave.first.is_empty() && wave.stage == Stage::First {
                     wave.first.insert(id.to_owned());
                 }
@@ -278,8 +281,8 @@
     }
 }
 
-/// FNV-1a hash of a front end's name and a version. Each version gets a different first share, which stays the same
-/// after a restart of the service.
+/// FNV-1a hash of a front end's name and a version. Each version gets a different first share, which stays
+/// the same after a restart of the service.
 fn wave_hash(id: &str, version: u64) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(id.as_bytes());
--- a/crates/badgerwind-config/src/wire.rs
+++ b/crates/badgerwind-config/src/wire.rs
@@ -1,5 +1,5 @@
-//! The messages of the exchange: DiscoveryRequest and DiscoveryResponse of the xDS transport protocol in the JSON
-//! mapping of protocol buffers. Unused fields are not sent, and are ignored when received.
+//! The messages of the exchange: DiscoveryRequest and DiscoveryResponse of the xDS transport protocol in the
+//! JSON mapping of protocol buffers. Unused fields are not sent, and are ignored when received.
 
 use crate::client::Report;
 use serde::{Deserialize, Serialize};
--- a/crates/badgerwind-control/src/folder.rs
+++ b/crates/badgerwind-control/src/folder.rs
@@ -23,7 +23,8 @@
     |e| FolderError::Io(path.to_owned(), e)
 }
 
-/// The versions of a kind with their files, in ascending order. Files whose names are not numbers are ignored.
+/// The versions of a kind with their files, in ascending order. Files whose names are not numbers are
+/// ignored.
 pub fn versions(folder: &Path, kind: Kind) -> Result<BTreeMap<u64, PathBuf>, FolderError> {
     let path = folder.join(kind.name());
     let entries = match std::fs::read_dir(&path) {
@@ -51,8 +52,8 @@
     }
 }
 
-/// Publishes a text under the next number. Only its form is checked here; each front end checks whether it fits the
-/// other settings.
+/// Publishes a text under the next number. Only its form is checked here; each front end checks whether it
+/// fits the other settings.
 pub fn publish(folder: &Path, kind: Kind, text: &str) -> Result<u64, FolderError> {
     let next = versions(folder, kind)?.last_key_value().map_or(1, |(n, _)| n + 1);
     if text.len() > MAX_PART_BYTES {
@@ -66,8 +67,8 @@
     })?;
     let path = folder.join(kind.name());
     std::fs::create_dir_all(&path).map_err(io(&path))?;
-    // The file is written under another extension and synced before it gets its name, so that the service never reads
-    // an incomplete file.
+    // The file is written under another extension and synced before it gets its name, so that the service
+    // never reads an incomplete file.
     let (temporary, file) = (path.join(format!("{next}.part")), path.join(format!("{next}.xml")));
     let written = std::fs::File::create(&temporary).and_then(|mut f| {
         f.write_all(text.as_bytes())?;
--- a/crates/badgerwind-control/src/lib.rs
+++ b/crates/badgerwind-control/src/lib.rs
@@ -1,5 +1,5 @@
-//! A small control service. Versions are files named `KIND/NUMBER.xml` in a folder; a published version never changes.
-//! The waves of `badgerwind-config` decide which front end is offered which version.
+//! A small control service. Versions are files named `KIND/NUMBER.xml` in a folder; a published version never
+//! changes. The waves of `badgerwind-config` decide which front end is offered which version.
 
 pub mod folder;
 pub mod request;
--- a/crates/badgerwind-control/src/service.rs
+++ b/crates/badgerwind-control/src/service.rs
@@ -173,7 +173,8 @@
         }
     }
 
-    /// Records the report in a request at once, and answers when there is a version to offer or `wait` has passed.
+    /// Records the report in a request at once, and answers when there is a version to offer or `wait` has
+    /// passed.
     async fn answer(&self, kind: Kind, request: &DiscoveryRequest, wait: Duration) -> Response {
         let node = &request.node;
         let resource_request = match ResourceRequest::parse(kind, request) {
