--- a/crates/badgerwind-config/src/waves.rs
+++ b/crates/badgerwind-config/src/waves.rs
@@ -116,7 +116,7 @@
         if let Some(old) = versions.get(&version) {
             return match **old == *text {
                 true => Ok(()),
-                false => Err(format!("{} {version} is published with other content", kind.name())),
+                false => Err(format!("{} {version} is already published with other content", kind.name())),
             };
         }
         let newest = versions.last_key_value().map(|(v, _)| *v);
@@ -196,8 +196,7 @@
         let answered = wave.baselines.len() + wave.rejected.len();
         let share = wave.rejected.len() as f64 / answered.max(1) as f64;
         if !wave.rejected.is_empty() && share > self.policy.max_rejected_share {
-            let why =
-                format!("{} of {answered} front ends that answered turned it down", wave.rejected.len());
+            let why = format!("{} of {answered} front ends that answered rejected it", wave.rejected.len());
             wave.stage = Stage::Stopped(why);
             return;
         }
