--- a/crates/badgerwind-adapter/src/wire.rs
+++ b/crates/badgerwind-adapter/src/wire.rs
@@ -100,7 +100,7 @@
         availability: match e.u64("availability")? {
             0 => Availability::Draining,
             1 => Availability::Ready,
-            2 => Availability::Gone,
+            2 => Availability::Removed,
             other => return Err(format!("unknown availability {other}")),
         },
         born: e.opt("born", Value::as_u64)?.filter(|&t| t > 0),
@@ -161,7 +161,7 @@
                 report: e.row("metrics")?,
             }
         }
-        "TimedOutClient" => Event::ClientGone { id: id()? },
+        "TimedOutClient" => Event::ClientDisconnected { id: id()? },
         "Wakeup" => Event::Alarm { name: e.str("handle")?.into() },
         "Sampled" => Event::Probed {
             worker: e.u32("executor")?,
@@ -202,8 +202,12 @@
         Action::SetAlarm { after, name } => json!({"op": "SetAlarm", "span": after, "handle": &*name}),
         Action::Probe { worker } => json!({"op": "Inspect", "executor": worker}),
         Action::CloseIdle { worker } => json!({"op": "Close", "executor": worker}),
-        Action::Tell { to: None, bytes } => json!({"op": "Post", "to": "*", "data": STANDARD.encode(bytes)}),
-        Action::Tell { to: Some(n), bytes } => json!({"op": "Post", "to": n, "data": STANDARD.encode(bytes)}),
+        Action::SendMessage { to: None, bytes } => {
+            json!({"op": "Post", "to": "*", "data": STANDARD.encode(bytes)})
+        }
+        Action::SendMessage { to: Some(n), bytes } => {
+            json!({"op": "Post", "to": n, "data": STANDARD.encode(bytes)})
+        }
         Action::Subscribe { on } => json!({"op": "Tail", "enable": on}),
         Action::FetchList => json!({"op": "QueryAll"}),
         Action::Log { text } => json!({"op": "SayLog", "message": text}),
--- a/crates/badgerwind-cli/tests/stories.rs
+++ b/crates/badgerwind-cli/tests/stories.rs
@@ -396,7 +396,7 @@
     fn handle(&mut self, _: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Request(r) => {
-                out.push(Action::Tell { to: None, bytes: b"full 7".to_vec() });
+                out.push(Action::SendMessage { to: None, bytes: b"full 7".to_vec() });
                 out.push(Action::Refuse { id: r.id, retry_after: Some(1_500_000) });
             }
             Event::Message { from, bytes } => _ = self.0.try_send((from, bytes)),
--- a/crates/badgerwind-driver/src/driver.rs
+++ b/crates/badgerwind-driver/src/driver.rs
@@ -90,9 +90,9 @@
     }
 
     /// How much the decider remembers; nothing once it has failed.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> RouterStats {
         if self.broken {
-            return Figures::default();
+            return RouterStats::default();
         }
         self.decider.figures()
     }
@@ -142,7 +142,7 @@
                 }
                 for e in &entries {
                     match e.availability {
-                        Availability::Gone => _ = self.workers.remove(&e.worker),
+                        Availability::Removed => _ = self.workers.remove(&e.worker),
                         _ => _ = self.workers.insert(e.worker),
                     }
                 }
@@ -164,7 +164,7 @@
                     held.content = None;
                     self.withhold(&id, out);
                     self.forget_if_done(&id);
-                    self.tell(Event::ClientGone { id }, out);
+                    self.tell(Event::ClientDisconnected { id }, out);
                 }
             }
             Input::StreamBegan { id, attempt, reply } => self.stream_began(id, attempt, reply, out),
@@ -178,7 +178,7 @@
                 }
             }
             Input::PresumedRestart { worker } => self.tell(Event::PresumedRestart { worker }, out),
-            Input::Parts(parts) => self.tell(Event::Parts(parts), out),
+            Input::Parts(parts) => self.tell(Event::LocalQuotas(parts), out),
             Input::Heard { from, bytes } => self.tell(Event::Message { from, bytes }, out),
         }
     }
@@ -274,7 +274,7 @@
                     out.push(Output::Log { text });
                     self.settle(&id, Final::Failed(Failure::Overdue), None, out);
                     self.forget_if_done(&id);
-                    self.tell(Event::ClientGone { id }, out);
+                    self.tell(Event::ClientDisconnected { id }, out);
                 }
             }
             Timer::Order(order) => self.order_ended(order, Outcome::Timeout, 0, out),
@@ -390,7 +390,7 @@
                 }
             }
             Action::CloseIdle { worker } => out.push(Output::CloseIdle { worker }),
-            Action::Tell { to, mut bytes } => {
+            Action::SendMessage { to, mut bytes } => {
                 bytes.truncate(256);
                 out.push(Output::Tell { to, bytes });
             }
--- a/crates/badgerwind-driver/src/lib.rs
+++ b/crates/badgerwind-driver/src/lib.rs
@@ -27,8 +27,8 @@
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
 
     /// How much it remembers, for those who watch it.
-    fn figures(&self) -> Figures {
-        Figures::default()
+    fn figures(&self) -> RouterStats {
+        RouterStats::default()
     }
 }
 
@@ -37,8 +37,8 @@
         badgerwind::Router::handle(self, now, event, out);
     }
 
-    fn figures(&self) -> Figures {
-        badgerwind::Router::figures(self)
+    fn figures(&self) -> RouterStats {
+        badgerwind::Router::stats(self)
     }
 }
 
@@ -47,7 +47,7 @@
         (**self).handle(now, event, out);
     }
 
-    fn figures(&self) -> Figures {
+    fn figures(&self) -> RouterStats {
         (**self).figures()
     }
 }
@@ -167,7 +167,7 @@
         worker: WorkerId,
     },
     /// What of the fleet's wholes is this front end's own from now on.
-    Parts(Parts),
+    Parts(LocalQuotas),
     /// A message from another front end.
     Heard {
         /// The sender's number.
--- a/crates/badgerwind-driver/tests/books.rs
+++ b/crates/badgerwind-driver/tests/books.rs
@@ -203,7 +203,7 @@
     let (mut d, s) = rig(vec![]);
     let mut out = Vec::new();
     d.on(0, [list(&[7]), call(1, 11, 1_000), Input::CallerLeft { id: id(1), keeps: true }], &mut out);
-    assert!(matches!(s.told.borrow().last(), Some(Event::ClientGone { .. })));
+    assert!(matches!(s.told.borrow().last(), Some(Event::ClientDisconnected { .. })));
     assert_eq!((d.owed(), d.remembered()), (0, 0));
 }
 
@@ -244,7 +244,7 @@
     assert!(finals(&out).is_empty());
     d.on(1_100, [], &mut out);
     assert_eq!(finals(&out), [(11, &Final::Failed(Failure::Overdue))]);
-    assert!(matches!(s.told.borrow().last(), Some(Event::ClientGone { .. })));
+    assert!(matches!(s.told.borrow().last(), Some(Event::ClientDisconnected { .. })));
 }
 
 #[test]
--- a/crates/badgerwind-gateway/src/dispatch.rs
+++ b/crates/badgerwind-gateway/src/dispatch.rs
@@ -220,7 +220,7 @@
         self.metrics.batch_time.observe(took.as_secs_f64());
     }
 
-    fn remembered(&mut self, figures: Figures) {
+    fn remembered(&mut self, figures: RouterStats) {
         self.metrics.remembered(&figures);
     }
 }
--- a/crates/badgerwind-gateway/src/engine.rs
+++ b/crates/badgerwind-gateway/src/engine.rs
@@ -38,7 +38,7 @@
     fn settled(&mut self, owed: usize, took: Duration);
 
     /// How much the module remembers after a batch.
-    fn remembered(&mut self, _figures: Figures) {}
+    fn remembered(&mut self, _figures: RouterStats) {}
 }
 
 /// What a backend tells the driver.
@@ -137,7 +137,7 @@
     workers: BTreeMap<WorkerId, WorkerEntry>,
     order_limit: OrderLimit,
     /// What of the fleet's limits is this front end's own: a module that begins is told.
-    parts: Option<Parts>,
+    parts: Option<LocalQuotas>,
 }
 
 impl<B: Backend> Modules<B> {
--- a/crates/badgerwind-gateway/src/metrics.rs
+++ b/crates/badgerwind-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Figures of the daemon, in OpenMetrics text.
 
-use badgerwind::interface::{Figures, Outcome, Span};
+use badgerwind::interface::{Outcome, RouterStats, Span};
 use badgerwind_config::Report;
 use badgerwind_http::{Conn, Limits, Response};
 use prometheus_client::encoding::text::encode;
@@ -178,7 +178,7 @@
         self.answer_time.observe(lag as f64 / 1e6);
     }
 
-    pub(crate) fn remembered(&self, figures: &Figures) {
+    pub(crate) fn remembered(&self, figures: &RouterStats) {
         let parts = [
             ("workers", figures.workers),
             ("ready_workers", figures.ready),
--- a/crates/badgerwind-gateway/src/platform/discovery.rs
+++ b/crates/badgerwind-gateway/src/platform/discovery.rs
@@ -83,7 +83,7 @@
             freshness.listed_whole(&named);
         }
         for listed in &news.entries {
-            let gone = listed.entry.availability == Availability::Gone;
+            let gone = listed.entry.availability == Availability::Removed;
             freshness.listed(listed.entry.worker, gone);
         }
         let entries = news.entries.iter().map(|l| l.entry.clone()).collect();
--- a/crates/badgerwind-gateway/src/platform/executors.rs
+++ b/crates/badgerwind-gateway/src/platform/executors.rs
@@ -78,7 +78,7 @@
                 (e.address, e.reach) = (*address, Reach::new(pause));
             }
             e.entry = entry.clone();
-            e.gone = entry.availability == Availability::Gone;
+            e.gone = entry.availability == Availability::Removed;
             e.leaving = match entry.availability {
                 Availability::Ready => None,
                 _ => e.leaving.or(Some(now)),
--- a/crates/badgerwind-gateway/src/shares.rs
+++ b/crates/badgerwind-gateway/src/shares.rs
@@ -7,7 +7,7 @@
 use crate::metrics::{ByBudget, Metrics};
 use crate::peers::Peers;
 use async_channel::Sender;
-use badgerwind::interface::{Parts, Settings as RouterSettings};
+use badgerwind::interface::{LocalQuotas, Settings as RouterSettings};
 use badgerwind_budgets::demand::reserve;
 use badgerwind_budgets::{BadTerms, Demand, Member, Message, Node, Standing, Time, To};
 use badgerwind_members::{Members, Message as MembersMessage};
@@ -36,7 +36,7 @@
     node: Node,
     members: Members,
     here: Vec<Here>,
-    told: Option<Parts>,
+    told: Option<LocalQuotas>,
     rng: StdRng,
     coordinator: Option<Member>,
 }
@@ -171,7 +171,7 @@
         }
     }
 
-    fn tick(&self, pace: Duration) -> Option<Parts> {
+    fn tick(&self, pace: Duration) -> Option<LocalQuotas> {
         let mut state = self.state();
         let now = self.clock.now();
         let State { budgets, router, node, members, here, told, rng, coordinator } = &mut *state;
@@ -307,8 +307,8 @@
     f64::from(limit.units) / calls.max(1e-9)
 }
 
-fn parts(budgets: &Budgets, node: &Node, at: Time, router: &RouterSettings) -> Parts {
-    let mut parts = Parts { orders: None, tenants: vec![None; router.tenants.len()] };
+fn parts(budgets: &Budgets, node: &Node, at: Time, router: &RouterSettings) -> LocalQuotas {
+    let mut parts = LocalQuotas { orders: None, tenants: vec![None; router.tenants.len()] };
     for (n, (b, limit)) in budgets.budgets.iter().zip(&budgets.book.limits).enumerate() {
         let usable = node.usable(at, n) as f64;
         match b.of {
--- a/crates/badgerwind-gateway/src/zones.rs
+++ b/crates/badgerwind-gateway/src/zones.rs
@@ -149,7 +149,7 @@
         for e in &mut entries {
             let open = node.open(e.worker, e.zone as usize);
             match e.availability {
-                Availability::Gone => _ = listed.remove(&e.worker),
+                Availability::Removed => _ = listed.remove(&e.worker),
                 _ => _ = listed.insert(e.worker, (e.clone(), open)),
             }
             if !open && e.availability == Availability::Ready {
--- a/crates/badgerwind-platform/src/board.rs
+++ b/crates/badgerwind-platform/src/board.rs
@@ -82,7 +82,7 @@
         }
         for l in news.entries {
             match l.entry.availability {
-                Availability::Gone => _ = self.all.remove(&l.entry.worker),
+                Availability::Removed => _ = self.all.remove(&l.entry.worker),
                 _ => _ = self.all.insert(l.entry.worker, l),
             }
         }
@@ -208,7 +208,7 @@
     let availability = match r[10] {
         0 => Availability::Ready,
         1 => Availability::Draining,
-        2 => Availability::Gone,
+        2 => Availability::Removed,
         _ => return None,
     };
     let (zone, kind) = (u32::from(r[11]), u32::from(r[12]));
--- a/crates/badgerwind-platform/src/config.rs
+++ b/crates/badgerwind-platform/src/config.rs
@@ -190,7 +190,7 @@
     let availability = match m.phase.as_str() {
         "in_service" => Availability::Ready,
         "terminating" => Availability::Draining,
-        "terminated" => Availability::Gone,
+        "terminated" => Availability::Removed,
         other => return Err(format!("phase {other:?} is not in_service, terminating or terminated")),
     };
     let entry = WorkerEntry {
--- a/crates/badgerwind-protocol/src/list.rs
+++ b/crates/badgerwind-protocol/src/list.rs
@@ -58,7 +58,7 @@
             availability: match self.state {
                 State::Ready => Availability::Ready,
                 State::Draining => Availability::Draining,
-                State::Gone => Availability::Gone,
+                State::Gone => Availability::Removed,
             },
             born: self.started,
         }
--- a/crates/badgerwind-scale/src/rows/front_end.rs
+++ b/crates/badgerwind-scale/src/rows/front_end.rs
@@ -516,7 +516,7 @@
             Action::SetAlarm { after, name } => self.schedule(self.now + after, Pending::Alarm { name }),
             Action::Probe { .. }
             | Action::CloseIdle { .. }
-            | Action::Tell { .. }
+            | Action::SendMessage { .. }
             | Action::Subscribe { .. }
             | Action::FetchList
             | Action::Log { .. } => {}
--- a/crates/badgerwind-scale/src/rows/hard_cases.rs
+++ b/crates/badgerwind-scale/src/rows/hard_cases.rs
@@ -141,7 +141,7 @@
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
     front_end.run(WARM_UP);
     let cell = surroundings.entries().into_iter().filter(|e| e.worker / CELL_WORKERS == LOST_CELL);
-    let gone = cell.map(|e| WorkerEntry { availability: Availability::Gone, ..e }).collect();
+    let gone = cell.map(|e| WorkerEntry { availability: Availability::Removed, ..e }).collect();
     front_end.take_costs();
     front_end.list(ListKind::Changes, gone);
     front_end.run(SECOND);
--- a/crates/badgerwind-scale/src/rows/list_frames.rs
+++ b/crates/badgerwind-scale/src/rows/list_frames.rs
@@ -30,7 +30,7 @@
     let availability = match entry.availability {
         Availability::Ready => 0,
         Availability::Draining => 1,
-        Availability::Gone => 2,
+        Availability::Removed => 2,
     };
     bytes.extend(entry.worker.to_be_bytes());
     bytes.extend([127, 0, 0, 1]);
--- a/crates/badgerwind-scale/src/rows/lists.rs
+++ b/crates/badgerwind-scale/src/rows/lists.rs
@@ -54,7 +54,7 @@
 /// Workers of the lost zone, as gone.
 fn lost_zone(surroundings: &Surroundings) -> Vec<WorkerEntry> {
     let entries = surroundings.entries().into_iter().filter(|e| e.zone == LOST_ZONE);
-    entries.map(|e| WorkerEntry { availability: Availability::Gone, ..e }).collect()
+    entries.map(|e| WorkerEntry { availability: Availability::Removed, ..e }).collect()
 }
 
 /// What changes of the list cost the call path.
@@ -129,7 +129,7 @@
         let worker = 1 + change * (workers / CHANGES).max(1) % workers;
         taken_in += front_end.list(ListKind::Changes, listed(worker, Availability::Draining));
         front_end.run(DRAIN);
-        taken_in += front_end.list(ListKind::Changes, listed(worker, Availability::Gone));
+        taken_in += front_end.list(ListKind::Changes, listed(worker, Availability::Removed));
         front_end.run(DRAIN);
         taken_in += front_end.list(ListKind::Changes, listed(worker, Availability::Ready));
         front_end.run(SECOND);
@@ -178,7 +178,7 @@
     let pause = RESTART_WAVE / (3 * restarted.len().max(1)) as Span;
     front_end.take_costs();
     for worker in restarted {
-        for availability in [Availability::Draining, Availability::Gone, Availability::Ready] {
+        for availability in [Availability::Draining, Availability::Removed, Availability::Ready] {
             let born = (availability == Availability::Ready).then(|| front_end.now());
             let change = WorkerEntry { availability, born, ..worker.clone() };
             front_end.list(ListKind::Changes, vec![change]);
@@ -266,7 +266,7 @@
         let after = |change: &[WorkerEntry]| first_workers(surroundings, seed, WARM_UP, COMPARED, change);
         let (unchanged, same) = (after(&[]), after(&[]));
         let worker = most_used(&unchanged);
-        let one = listed(worker, Availability::Gone);
+        let one = listed(worker, Availability::Removed);
         let zone = lost_zone(&surroundings);
         let (by_worker, by_zone) = (after(&one), after(&zone));
         let figure = |metric, share| Measurement { metric, value: of_thousand(share) };
@@ -380,7 +380,7 @@
         peers.run(WARM_UP);
         let alike = peers.run(20 * SECOND);
         let worker = most_used(peers.one.first_workers());
-        let by_worker = peers.change(listed(worker, Availability::Gone));
+        let by_worker = peers.change(listed(worker, Availability::Removed));
         peers.run(10 * SECOND);
         let by_zone = peers.change(lost_zone(&surroundings));
         let after_10 = peers.run(10 * SECOND);
--- a/crates/badgerwind-scale/tests/lists.rs
+++ b/crates/badgerwind-scale/tests/lists.rs
@@ -23,7 +23,7 @@
 }
 
 fn gone(workers: impl Iterator<Item = u32>) -> Vec<WorkerEntry> {
-    workers.map(|worker| entry(worker, Availability::Gone)).collect()
+    workers.map(|worker| entry(worker, Availability::Removed)).collect()
 }
 
 #[test]
--- a/crates/badgerwind/src/events.rs
+++ b/crates/badgerwind/src/events.rs
@@ -27,7 +27,7 @@
                 let answer = Answer { outcome, last, lag, mark, crowd, own: 0, waited: 0 };
                 self.on_answer(&id, attempt, answer, actions)
             }
-            Event::ClientGone { id } => self.end(&id, actions),
+            Event::ClientDisconnected { id } => self.end(&id, actions),
             Event::Stopping => self.on_stop(actions),
             Event::Alarm { name } if &*name == "sweep" => self.on_maintenance(actions),
             Event::Loaded { worker, function, outcome, copies, lag } => {
@@ -35,14 +35,14 @@
             }
             Event::Message { from, bytes } => self.on_message(from, &bytes),
             Event::PresumedRestart { worker } => self.state.presume_restart(self.now, worker, MAX_ATTEMPTS),
-            Event::Parts(quotas) => self.state.quotas = quotas,
+            Event::LocalQuotas(quotas) => self.state.quotas = quotas,
             Event::Alarm { .. } | Event::Probed { .. } => {}
         }
     }
 
     /// The current size of the router's state.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    pub fn stats(&self) -> RouterStats {
+        RouterStats {
             workers: self.state.workers.len(),
             ready: self.state.totals.ready,
             cells: self.state.index.cells(),
--- a/crates/badgerwind/src/interface.rs
+++ b/crates/badgerwind/src/interface.rs
@@ -69,7 +69,7 @@
 /// This front end's current part of the fleet's limits. Each value takes precedence over the limit for all
 /// front ends in the settings.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Parts {
+pub struct LocalQuotas {
     /// Load orders in the window of their limit; `None` when the fleet has no common limit.
     pub orders: Option<f64>,
     /// Requests a second within each tenant's share, by tenant index.
@@ -207,7 +207,7 @@
     /// It finishes its requests; nothing new may be sent to it.
     Draining,
     /// It no longer exists.
-    Gone,
+    Removed,
 }
 
 /// An entry in the list of workers.
@@ -348,7 +348,7 @@
     /// The front end is stopping: all open requests get their final answer now.
     Stopping,
     /// The client has disconnected.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
@@ -373,7 +373,7 @@
         worker: WorkerId,
     },
     /// This front end's part of the fleet's limits from now on.
-    Parts(Parts),
+    LocalQuotas(LocalQuotas),
     /// A message from another front end.
     Message {
         /// The number of the sending front end.
@@ -398,7 +398,7 @@
 
 /// The size of a router's state, for monitoring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct RouterStats {
     /// Workers that are listed, or removed with attempts or loads still pending.
     pub workers: usize,
     /// Workers that accept requests.
@@ -478,7 +478,7 @@
         worker: WorkerId,
     },
     /// Send a message to one front end, or to all.
-    Tell {
+    SendMessage {
         /// The number of the front end; `None`: all of them.
         to: Option<u32>,
         /// At most 256 bytes.
--- a/crates/badgerwind/src/records.rs
+++ b/crates/badgerwind/src/records.rs
@@ -163,7 +163,7 @@
         (self.zone, self.cell) = (entry.zone, entry.cell);
         (self.kind, self.size) = (entry.kind as usize, entry.size.max(0.01));
         self.ready = entry.availability == Availability::Ready;
-        self.removed = entry.availability == Availability::Gone;
+        self.removed = entry.availability == Availability::Removed;
         let restarted = entry.born != self.born && entry.born.is_some();
         self.born = entry.born.or(self.born);
         if std::mem::take(&mut self.presumed_restart) {
--- a/crates/badgerwind/src/router_state.rs
+++ b/crates/badgerwind/src/router_state.rs
@@ -62,7 +62,7 @@
     pub peer_rates: BTreeMap<u32, (Time, Vec<f64>)>,
     pub next_message_at: Time,
     /// This front end's part of the fleet's limits.
-    pub quotas: Parts,
+    pub quotas: LocalQuotas,
     /// Mean service time by class; 0: unknown.
     pub class_service: Vec<f64>,
     /// Beliefs older than this are not trusted.
@@ -117,12 +117,12 @@
             }
         });
         let weight = self.workers.get(&id).map_or(0, Worker::weight);
-        if entry.availability == Availability::Gone {
+        if entry.availability == Availability::Removed {
             self.index.remove(id);
         } else {
             self.index.set(id, weight);
         }
-        if restarted || entry.availability == Availability::Gone {
+        if restarted || entry.availability == Availability::Removed {
             self.forget_copies(id, now);
         }
     }
--- a/crates/badgerwind/src/shares.rs
+++ b/crates/badgerwind/src/shares.rs
@@ -51,6 +51,6 @@
         let loads = self.state.best_known_loads(now, span).into_iter();
         let bytes = message::write(&rates, loads, |id| self.state.split_load(id, now, span));
         let to = (self.settings.my_number + 1 + self.rng.u32(0..others)) % self.settings.front_ends;
-        actions.push(Action::Tell { to: Some(to), bytes });
+        actions.push(Action::SendMessage { to: Some(to), bytes });
     }
 }
--- a/crates/badgerwind/tests/cells.rs
+++ b/crates/badgerwind/tests/cells.rs
@@ -85,7 +85,7 @@
     let name = "function-7";
     let lost: BTreeSet<WorkerId> = cells(name, &whole, 16)[0].members.iter().map(|m| m.id).collect();
     assert!(lost.len() <= CELL && lost.contains(&before[7]));
-    change(&mut checked, lost.iter().copied(), Availability::Gone);
+    change(&mut checked, lost.iter().copied(), Availability::Removed);
     let after = first_sends(&mut checked, 50);
     assert!(!lost.contains(&after[7]), "sent to a removed worker");
     for (n, (old, new)) in before.iter().zip(&after).enumerate().filter(|(_, (old, _))| !lost.contains(old)) {
@@ -134,7 +134,7 @@
 fn front_ends_with_lists_of_different_age_mostly_agree() {
     let mut fresh = CheckedRouter::new(planned(), 4_000);
     let mut late = CheckedRouter::new(planned(), 4_000);
-    change(&mut fresh, (1..=4_000).filter(|id| id % 100 == 0), Availability::Gone);
+    change(&mut fresh, (1..=4_000).filter(|id| id % 100 == 0), Availability::Removed);
     let share = moved(&first_sends(&mut fresh, 500), &first_sends(&mut late, 500));
     assert!(share < 0.08, "{share} of the functions went to another worker for 1% of the list");
 }
@@ -143,10 +143,10 @@
 #[test]
 fn a_restarted_front_end_places_as_its_peers_do() {
     let mut old = CheckedRouter::new(planned(), 4_000);
-    change(&mut old, 1..=400, Availability::Gone);
+    change(&mut old, 1..=400, Availability::Removed);
     change(&mut old, 1..=400, Availability::Ready);
     change(&mut old, 4_001..=4_400, Availability::Ready);
-    change(&mut old, 4_001..=4_400, Availability::Gone);
+    change(&mut old, 4_001..=4_400, Availability::Removed);
     let mut restarted = CheckedRouter::new(planned(), 4_000);
     assert_eq!(first_sends(&mut old, 300), first_sends(&mut restarted, 300));
 }
@@ -158,7 +158,7 @@
     let mut checked = CheckedRouter::new(planned(), 2_100);
     let far: Vec<WorkerId> = (1..=2_100).filter(|id| id % 7 != 0).collect();
     let before = first_sends(&mut checked, 200);
-    change(&mut checked, far.iter().copied(), Availability::Gone);
+    change(&mut checked, far.iter().copied(), Availability::Removed);
     let apart = first_sends(&mut checked, 200);
     assert!(apart.iter().all(|id| id % 7 == 0));
     checked.advance(3_600_000 * MS);
@@ -203,7 +203,7 @@
         checked.due.clear();
         checked.answered.clear();
         checked.advance(8 * MS);
-        most = most.max(checked.router.figures().functions);
+        most = most.max(checked.router.stats().functions);
     }
     // A function is kept for eight keep-alives (1,000 calls), and until the next maintenance pass over all
     // functions.
@@ -215,16 +215,16 @@
 fn removed_workers_are_forgotten_in_turn() {
     let mut checked = CheckedRouter::new(planned(), 1_000);
     first_sends(&mut checked, 10);
-    change(&mut checked, 1..=900, Availability::Gone);
-    assert_eq!(checked.router.figures().workers, 1_000);
+    change(&mut checked, 1..=900, Availability::Removed);
+    assert_eq!(checked.router.stats().workers, 1_000);
     checked.advance(20_000 * MS);
-    let stats = checked.router.figures();
+    let stats = checked.router.stats();
     assert_eq!((stats.workers, stats.ready, stats.cells), (100, 100, 1));
 }
 
 /// A new router has no workers, functions or held requests.
 #[test]
 fn a_new_router_is_empty() {
-    let stats = Router::new(1, planned()).figures();
+    let stats = Router::new(1, planned()).stats();
     assert_eq!((stats.workers, stats.functions, stats.waiting, stats.cells), (0, 0, 0, 1));
 }
--- a/crates/badgerwind/tests/common/mod.rs
+++ b/crates/badgerwind/tests/common/mod.rs
@@ -147,7 +147,7 @@
                     self.answered.insert(id.clone(), self.now);
                 }
             }
-            Event::ClientGone { id } => {
+            Event::ClientDisconnected { id } => {
                 self.answered.insert(id.clone(), self.now);
             }
             _ => {}
--- a/crates/badgerwind/tests/module.rs
+++ b/crates/badgerwind/tests/module.rs
@@ -57,7 +57,7 @@
     checked.now += 500 * MS;
     let acts = checked.answer("a", 0, Outcome::Timeout, CopyMark::Untold);
     assert!(acts.contains(&Action::Fail { id: "a".into() }));
-    assert!(checked.event(Event::ClientGone { id: "a".into() }).is_empty());
+    assert!(checked.event(Event::ClientDisconnected { id: "a".into() }).is_empty());
 }
 
 #[test]
@@ -297,7 +297,7 @@
             checked.request(&format!("{n}"), &format!("f{}", rng.u8(0..6)), rng.u64(0..3000) * MS);
         }
         if rng.u8(0..25) == 0 {
-            let state = [Availability::Ready, Availability::Draining, Availability::Gone][rng.usize(0..3)];
+            let state = [Availability::Ready, Availability::Draining, Availability::Removed][rng.usize(0..3)];
             let born = (state == Availability::Ready && rng.bool()).then_some(checked.now);
             let entries = vec![entry(rng.u32(1..6), state, born)];
             checked.event(Event::List { kind: ListKind::Changes, entries });
--- a/crates/badgerwind/tests/sockets.rs
+++ b/crates/badgerwind/tests/sockets.rs
@@ -73,7 +73,7 @@
         checked.advance(500 * MS);
         checked.answer("warm", 0, Outcome::Ok, CopyMark::Warm);
         // No worker is left from now on: requests over their share are refused at once.
-        let entries = vec![entry(1, Availability::Gone, None)];
+        let entries = vec![entry(1, Availability::Removed, None)];
         checked.event(Event::List { kind: ListKind::Changes, entries });
         for n in 0..200 {
             checked.request(&format!("{n}"), "f", 3000 * MS);
@@ -90,7 +90,7 @@
         let early = |a: &&Action| matches!(a, Action::Refuse { id, .. } if checked.answered[id] + 2500 * MS < checked.due[id]);
         assert_eq!(checked.actions.iter().filter(early).count() > 50, refused, "{others:?}");
         let sent = checked.actions.iter().filter_map(|a| match a {
-            Action::Tell { to: Some(to), bytes } => Some((*to, bytes.len())),
+            Action::SendMessage { to: Some(to), bytes } => Some((*to, bytes.len())),
             _ => None,
         });
         let sent: Vec<_> = sent.collect();
@@ -103,7 +103,7 @@
 /// end.
 #[test]
 fn a_local_quota_takes_precedence_over_the_quota_of_all_until_the_next() {
-    let over = |quotas: Vec<Parts>| {
+    let over = |quotas: Vec<LocalQuotas>| {
         let mut set = settings(Effect::Repeatable);
         set.front_ends = 3;
         set.tenants = vec![Tenant { quota_per_s: Some(30.0) }];
@@ -112,9 +112,9 @@
         checked.advance(500 * MS);
         checked.answer("warm", 0, Outcome::Ok, CopyMark::Warm);
         for quotas in quotas {
-            checked.event(Event::Parts(quotas));
+            checked.event(Event::LocalQuotas(quotas));
         }
-        let entries = vec![entry(1, Availability::Gone, None)];
+        let entries = vec![entry(1, Availability::Removed, None)];
         checked.event(Event::List { kind: ListKind::Changes, entries });
         for n in 0..200 {
             checked.request(&format!("{n}"), "f", 3000 * MS);
@@ -123,7 +123,7 @@
         let early = |a: &&Action| matches!(a, Action::Refuse { id, .. } if checked.answered[id] + 2500 * MS < checked.due[id]);
         checked.actions.iter().filter(early).count() > 50
     };
-    let quota = |quota| Parts { orders: None, tenants: vec![quota] };
+    let quota = |quota| LocalQuotas { orders: None, tenants: vec![quota] };
     assert!(over(vec![]), "20 a second here and, as assumed, at the two others: 60 of 30");
     assert!(!over(vec![quota(Some(25.0))]));
     assert!(over(vec![quota(Some(25.0)), quota(Some(10.0))]));
@@ -137,7 +137,7 @@
         let mut set = settings(Effect::Repeatable);
         (set.when_absent, set.load_window, set.load_free) = (WhenAbsent::Miss, 60_000 * MS, 20.0);
         let mut checked = CheckedRouter::new(set, 1);
-        checked.event(Event::Parts(Parts { orders: quota, tenants: vec![] }));
+        checked.event(Event::LocalQuotas(LocalQuotas { orders: quota, tenants: vec![] }));
         for n in 0..46 {
             let known = checked.loads.len();
             checked.request(&format!("{n}"), &format!("f{n}"), 3000 * MS);
@@ -213,7 +213,7 @@
         .actions
         .iter()
         .filter_map(|a| match a {
-            Action::Tell { to: Some(to), bytes } => Some((*to, bytes.clone())),
+            Action::SendMessage { to: Some(to), bytes } => Some((*to, bytes.clone())),
             _ => None,
         })
         .collect();
@@ -331,7 +331,7 @@
         let worker = 100 + n;
         let mut entries = vec![entry(worker, Availability::Ready, None)];
         if n > 0 {
-            entries.push(entry(worker - 1, Availability::Gone, None));
+            entries.push(entry(worker - 1, Availability::Removed, None));
         }
         checked.event(Event::List { kind: ListKind::Changes, entries });
         let id = format!("{n}");
