--- a/crates/badgerwind-adapter/src/lib.rs
+++ b/crates/badgerwind-adapter/src/lib.rs
@@ -1,3 +1,4 @@
-//! The bench's wire. All its words stay in this package; nothing is decided here.
+//! The wire protocol of the operators' bench. Its names are used in this package only. It contains no
+//! decisions.
 
 pub mod wire;
--- a/crates/badgerwind-adapter/src/main.rs
+++ b/crates/badgerwind-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the decision module on the JSON wire: batches on standard input, replies on standard output.
+//! Runs the decision module on the JSON wire protocol: batches on standard input, replies on standard output.
 
 use badgerwind_adapter::wire::Host;
 use std::io::{self, BufRead, Write};
@@ -15,7 +15,7 @@
         match input.read_until(b'\n', &mut line) {
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) => {}
-            Err(e) => return complain(&format!("cannot read standard input: {e}")),
+            Err(e) => return fail(&format!("cannot read standard input: {e}")),
         }
         let reply = match std::str::from_utf8(&line) {
             Ok(text) => host.answer(text),
@@ -24,15 +24,15 @@
         match reply {
             Ok(reply) => {
                 if output.write_all(reply.as_bytes()).and_then(|()| output.flush()).is_err() {
-                    return complain("cannot write standard output");
+                    return fail("cannot write standard output");
                 }
             }
-            Err(text) => return complain(&text),
+            Err(text) => return fail(&text),
         }
     }
 }
 
-fn complain(text: &str) -> ExitCode {
+fn fail(text: &str) -> ExitCode {
     eprintln!("badgerwind-adapter: {text}");
     ExitCode::from(2)
 }
--- a/crates/badgerwind-adapter/src/wire.rs
+++ b/crates/badgerwind-adapter/src/wire.rs
@@ -1,8 +1,9 @@
-//! The JSON wire: batches of events in, replies with actions out. Nothing is decided here.
+//! The JSON wire protocol: decodes batches of events and encodes the resulting actions. It contains no
+//! decisions.
 
 use badgerwind::interface::*;
 use badgerwind::Router;
-use badgerwind_instance::{settings, Fields};
+use badgerwind_instance::{parse_settings, Fields};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use serde::Deserialize;
 use serde_json::{json, Map, Value};
@@ -10,6 +11,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
 
+/// One line of input.
 #[derive(Deserialize)]
 struct Batch {
     time: Time,
@@ -17,21 +19,21 @@
     input: Vec<Map<String, Value>>,
 }
 
-/// The instances of one process, each with a router of its own.
+/// The front ends simulated by one process, each with its own router, by their `endId`.
 #[derive(Default)]
 pub struct Host {
     routers: BTreeMap<u64, Router>,
 }
 
 impl Host {
-    /// Answers one batch; `Err` holds what is wrong with the line.
+    /// Handles one batch and returns the line to reply. The error describes what is malformed in the line.
     pub fn answer(&mut self, line: &str) -> Result<String, String> {
         let batch: Batch = serde_json::from_str(line).map_err(|e| format!("malformed batch: {e}"))?;
         let mut replies = Vec::new();
-        for (place, fields) in batch.input.iter().enumerate() {
+        for (index, fields) in batch.input.iter().enumerate() {
             let event = Fields(fields);
             self.event(batch.time, &event, &mut replies)
-                .map_err(|e| format!("malformed event {place} of batch {}: {e}", batch.turn))?;
+                .map_err(|e| format!("malformed event {index} of batch {}: {e}", batch.turn))?;
         }
         let mut text = json!({"turn": batch.turn, "do": replies}).to_string();
         text.push('\n');
@@ -42,7 +44,7 @@
         let end = event.u64("endId")?;
         match event.str("op")? {
             "Begin" => {
-                let settings = settings(&event.object("info")?);
+                let settings = parse_settings(&event.object("info")?);
                 self.routers.insert(end, Router::new(event.u64("randomSeed")?, settings));
                 return Ok(());
             }
@@ -74,8 +76,8 @@
     }
 }
 
-fn outcome(word: &str) -> Result<Outcome, String> {
-    Ok(match word {
+fn outcome(name: &str) -> Result<Outcome, String> {
+    Ok(match name {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
         "full" => Outcome::Full,
@@ -90,63 +92,63 @@
 }
 
 fn entry(value: &Value) -> Result<WorkerEntry, String> {
-    let e = Fields(value.as_object().ok_or("a list line is not an object")?);
+    let line = Fields(value.as_object().ok_or("a list line is not an object")?);
     Ok(WorkerEntry {
-        worker: e.u32("executor")?,
-        zone: e.u32("regionPart")?,
-        cell: e.u32("pod")?,
-        kind: e.u32("model")?,
-        size: e.get("size", Value::as_f64)?,
-        availability: match e.u64("availability")? {
+        worker: line.u32("executor")?,
+        zone: line.u32("regionPart")?,
+        cell: line.u32("pod")?,
+        kind: line.u32("model")?,
+        size: line.get("size", Value::as_f64)?,
+        availability: match line.u64("availability")? {
             0 => Availability::Draining,
             1 => Availability::Ready,
             2 => Availability::Removed,
             other => return Err(format!("unknown availability {other}")),
         },
-        born: e.opt("born", Value::as_u64)?.filter(|&t| t > 0),
+        born: line.opt("born", Value::as_u64)?.filter(|&t| t > 0),
     })
 }
 
-fn decode(op: &str, e: &Fields) -> Result<Event, String> {
-    let id = || e.str("tid").map(Arc::from);
+fn decode(op: &str, event: &Fields) -> Result<Event, String> {
+    let id = || event.str("tid").map(Arc::from);
     Ok(match op {
         "Discovery" => Event::List {
-            kind: match e.u64("kind")? {
+            kind: match event.u64("kind")? {
                 0 => ListKind::Changes,
                 1 => ListKind::Whole,
                 2 => ListKind::Cached,
                 3 => ListKind::Failed,
                 other => return Err(format!("unknown list kind {other}")),
             },
-            entries: match e.opt("lines", Value::as_array)? {
+            entries: match event.opt("lines", Value::as_array)? {
                 Some(lines) => lines.iter().map(entry).collect::<Result<_, _>>()?,
                 None => Vec::new(),
             },
         },
         "Request" => Event::Request(Request {
             id: id()?,
-            retry: e.opt("againByClient", Value::as_bool)?.unwrap_or(false),
-            tenant: e.opt("billing", Value::as_u64)?.unwrap_or(0) as usize,
-            hint: e.opt("cost", Value::as_u64)?,
-            function: e.str("app")?.into(),
-            memory_mb: e.opt("sizeMb", Value::as_f64)?.unwrap_or(0.0),
-            lanes: e.opt("concurrency", Value::as_f64)?.unwrap_or(0.0) as u32,
-            class: e.u64("priority")? as usize,
-            due: e.u64("due")?,
-            load_time: e.opt("loadMs", Value::as_f64)?.map(|ms| (ms * 1000.0) as Span),
+            retry: event.opt("againByClient", Value::as_bool)?.unwrap_or(false),
+            tenant: event.opt("billing", Value::as_u64)?.unwrap_or(0) as usize,
+            hint: event.opt("cost", Value::as_u64)?,
+            function: event.str("app")?.into(),
+            memory_mb: event.opt("sizeMb", Value::as_f64)?.unwrap_or(0.0),
+            lanes: event.opt("concurrency", Value::as_f64)?.unwrap_or(0.0) as u32,
+            class: event.u64("priority")? as usize,
+            due: event.u64("due")?,
+            load_time: event.opt("loadMs", Value::as_f64)?.map(|ms| (ms * 1000.0) as Span),
         }),
-        "UnderWay" => Event::StreamBegan { id: id()?, attempt: e.u32("leg")? },
+        "UnderWay" => Event::StreamBegan { id: id()?, attempt: event.u32("leg")? },
         "Answer" => {
-            let told = e.opt("info", Value::as_u64)?;
-            let outcome = outcome(e.str("status")?)?;
+            let info = event.opt("info", Value::as_u64)?.unwrap_or(0);
+            let outcome = outcome(event.str("status")?)?;
             Event::Answer {
                 id: id()?,
-                attempt: e.u32("leg")?,
-                worker: e.u32("executor")?,
+                attempt: event.u32("leg")?,
+                worker: event.u32("executor")?,
                 outcome,
-                last: e.opt("final", Value::as_bool)?.unwrap_or(false),
-                lag: e.u64("lag")?,
-                mark: match told.unwrap_or(0) % 8 {
+                last: event.opt("final", Value::as_bool)?.unwrap_or(false),
+                lag: event.u64("lag")?,
+                mark: match info % 8 {
                     1 => CopyMark::Warm,
                     2 => CopyMark::BeganLoad,
                     3 => CopyMark::WaitedForLoad,
@@ -154,37 +156,37 @@
                     _ => CopyMark::Untold,
                 },
                 crowd: match outcome {
-                    // None held, and nothing to say of the copy, comes as null.
-                    Outcome::Ok | Outcome::Full => Some((told.unwrap_or(0) / 8) as u32),
+                    // `info` is null when no requests were at the worker and there is no copy mark.
+                    Outcome::Ok | Outcome::Full => Some((info / 8) as u32),
                     _ => None,
                 },
-                report: e.row("metrics")?,
+                report: event.numbers("metrics")?,
             }
         }
         "TimedOutClient" => Event::ClientDisconnected { id: id()? },
-        "Wakeup" => Event::Alarm { name: e.str("handle")?.into() },
+        "Wakeup" => Event::Alarm { name: event.str("handle")?.into() },
         "Sampled" => Event::Probed {
-            worker: e.u32("executor")?,
-            outcome: outcome(e.str("status")?)?,
-            report: e.row("metrics")?,
+            worker: event.u32("executor")?,
+            outcome: outcome(event.str("status")?)?,
+            report: event.numbers("metrics")?,
         },
         "Heard" => Event::Message {
-            from: e.u32("who")?,
-            bytes: STANDARD.decode(e.str("data")?).map_err(|_| "field 'data' is not base64")?,
+            from: event.u32("who")?,
+            bytes: STANDARD.decode(event.str("data")?).map_err(|_| "field 'data' is not base64")?,
         },
         "Warmed" => Event::Loaded {
-            worker: e.u32("executor")?,
-            function: e.str("app")?.into(),
-            outcome: outcome(e.str("status")?)?,
-            copies: e.u32("number")?,
-            lag: e.u64("lag")?,
+            worker: event.u32("executor")?,
+            function: event.str("app")?.into(),
+            outcome: outcome(event.str("status")?)?,
+            copies: event.u32("number")?,
+            lag: event.u64("lag")?,
         },
         other => return Err(format!("unknown op '{other}'")),
     })
 }
 
 fn encode(end: u64, action: Action) -> Value {
-    let mut v = match action {
+    let mut value = match action {
         Action::Send { id, worker, timeout: None } => {
             json!({"op": "Forward", "tid": &*id, "executor": worker})
         }
@@ -212,6 +214,6 @@
         Action::FetchList => json!({"op": "QueryAll"}),
         Action::Log { text } => json!({"op": "SayLog", "message": text}),
     };
-    v["endId"] = end.into();
-    v
+    value["endId"] = end.into();
+    value
 }
--- a/crates/badgerwind-adapter/tests/wire.rs
+++ b/crates/badgerwind-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire: values go through unchanged, malformed lines are told plainly.
+//! The wire protocol: values pass unchanged, and malformed lines give clear errors.
 
 use badgerwind_adapter::wire::Host;
 use serde_json::{json, Value};
@@ -38,7 +38,8 @@
     assert_eq!(batch(&mut host, 5, 1, vec![]), json!({"turn": 1, "do": []}));
     let id = "5d3a91c4-006a-4ed3-a783-865c8a48c969";
     let reply = batch(&mut host, 1000, 2, vec![begin(), list(), request(id)]);
-    let sent = reply["do"].as_array().unwrap().iter().find(|a| a["op"] == "Forward").expect("it is sent");
+    let sent =
+        reply["do"].as_array().unwrap().iter().find(|a| a["op"] == "Forward").expect("a Forward action");
     assert_eq!(sent, &json!({"op": "Forward", "endId": 3, "tid": id, "executor": 4294967295u32}));
     let answer = json!({"op": "Answer", "endId": 3, "tid": id, "status": "ok", "final": true, "lag": 18500,
                         "executor": 4294967295u32, "info": 9, "leg": 0, "metrics": null});
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn malformed_lines_are_told_in_plain_words() {
+fn malformed_lines_give_clear_errors() {
     let bad = [
         ("{", "malformed batch"),
         (r#"{"time":1,"turn":1}"#, "missing field `input`"),
@@ -78,9 +79,9 @@
         (r#"{"time":1,"turn":1,"input":[{"op":"Wakeup","endId":9,"handle":"x"}]}"#, "has not begun"),
         (r#"{"time":1,"turn":1,"input":[{"op":"Wakeup","endId":"x","handle":"x"}]}"#, "wrong type"),
     ];
-    for (line, word) in bad {
-        let told = Host::default().answer(line).expect_err(line);
-        assert!(told.contains(word), "{told}");
+    for (line, expected) in bad {
+        let error = Host::default().answer(line).expect_err(line);
+        assert!(error.contains(expected), "{error}");
     }
 }
 
@@ -99,10 +100,10 @@
     assert_eq!(run(), run());
 }
 
-/// With no copy mark, a crowd of none comes as null: it was taken for "not told", and a worker that turned one
-/// tenant away without a queue for a worker with a full one.
+/// With no copy mark, a crowd of 0 is encoded as null. It was mistaken for a missing crowd mark, and a worker
+/// that refused one tenant without a queue for a worker with a full queue.
 #[test]
-fn a_null_mark_is_a_crowd_of_none() {
+fn a_null_mark_is_a_crowd_of_zero() {
     for (info, sent_again) in [(json!(null), false), (json!(8 * 9), true)] {
         let mut host = Host::default();
         let mut start = begin();
--- a/crates/badgerwind-gateway/src/platform/shell.rs
+++ b/crates/badgerwind-gateway/src/platform/shell.rs
@@ -92,7 +92,7 @@
             names: config.names.clone(),
             set: config.router.clone(),
             transport: config.transport,
-            shares: Shares::of(&config.limits, config.transport.most_held),
+            shares: Shares::of(&config.limits, config.transport.max_open_requests),
             inputs,
             tasks: LocalExecutor::new(),
             scratch: RefCell::new(vec![0; 64 * 1024]),
--- a/crates/badgerwind-instance/src/lib.rs
+++ b/crates/badgerwind-instance/src/lib.rs
@@ -1,143 +1,151 @@
-//! The object called the settings, which the platform gives to each instance of a front end: on the simulator's wire
-//! in its first message, on sockets in the configuration. Read in this one place for both. No I/O, no decisions.
+//! Parser of the settings object that the platform gives to each front end: in the first message of the
+//! simulator's wire protocol, or in the configuration of a front end on sockets. It does no I/O and contains
+//! no decisions.
 
 #![warn(missing_docs)]
 
 use badgerwind::interface::*;
 use serde_json::{Map, Value};
 
-/// Typed access to the fields of an object; an error names the field.
+/// Typed access to the fields of a JSON object. Errors name the field.
 pub struct Fields<'a>(pub &'a Map<String, Value>);
 
 impl<'a> Fields<'a> {
-    /// A field that must be there.
+    /// A required field.
     pub fn get<T>(&self, name: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<T, String> {
         let value = self.0.get(name).ok_or_else(|| format!("field '{name}' is missing"))?;
         read(value).ok_or_else(|| format!("field '{name}' has the wrong type or range"))
     }
-    /// A field that may be absent or null.
+    /// An optional field: `None` if it is absent or null.
     pub fn opt<T>(&self, name: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<Option<T>, String> {
         match self.0.get(name) {
             None | Some(Value::Null) => Ok(None),
             Some(_) => self.get(name, read).map(Some),
         }
     }
-    /// A whole number.
+    /// A required unsigned integer.
     pub fn u64(&self, name: &str) -> Result<u64, String> {
         self.get(name, Value::as_u64)
     }
-    /// A whole number below 2^32.
+    /// A required unsigned integer below 2^32.
     pub fn u32(&self, name: &str) -> Result<u32, String> {
-        self.get(name, |v| v.as_u64().and_then(|n| u32::try_from(n).ok()))
+        self.get(name, |value| value.as_u64().and_then(|n| u32::try_from(n).ok()))
     }
-    /// A text.
+    /// A required string.
     pub fn str(&self, name: &str) -> Result<&'a str, String> {
         self.get(name, Value::as_str)
     }
-    /// An object.
+    /// A required object.
     pub fn object(&self, name: &str) -> Result<Fields<'a>, String> {
         self.get(name, Value::as_object).map(Fields)
     }
-    /// Numbers; an odd one counts as 0.
-    pub fn row(&self, name: &str) -> Result<Option<Vec<f64>>, String> {
-        self.opt(name, |v| v.as_array().map(|row| row.iter().map(|x| x.as_f64().unwrap_or(0.0)).collect()))
+    /// An optional array of numbers. An entry that is no number counts as 0.
+    pub fn numbers(&self, name: &str) -> Result<Option<Vec<f64>>, String> {
+        self.opt(name, |value| {
+            value.as_array().map(|row| row.iter().map(|number| number.as_f64().unwrap_or(0.0)).collect())
+        })
     }
-    // Settings are read leniently: an absent or odd figure is taken as none.
-    /// A figure of the settings; an absent or odd one is taken as none.
-    pub fn f(&self, name: &str) -> f64 {
+    /// A number of the settings. Settings are parsed leniently: a missing or invalid value counts as 0, an
+    /// empty string or an empty array.
+    pub fn number(&self, name: &str) -> f64 {
         self.0.get(name).and_then(Value::as_f64).filter(|x| x.is_finite()).unwrap_or(0.0)
     }
-    /// The same as a whole number.
-    pub fn n(&self, name: &str) -> u64 {
-        self.f(name).max(0.0) as u64
+    /// A number of the settings as an unsigned integer; a negative one counts as 0.
+    pub fn integer(&self, name: &str) -> u64 {
+        self.number(name).max(0.0) as u64
     }
-    /// A flag of the settings.
-    pub fn yes(&self, name: &str) -> bool {
+    /// A flag of the settings; false if missing or invalid.
+    pub fn flag(&self, name: &str) -> bool {
         self.0.get(name).and_then(Value::as_bool).unwrap_or(false)
     }
-    /// A word of the settings.
-    pub fn word(&self, name: &str) -> &'a str {
+    /// A string of the settings; empty if missing or invalid.
+    pub fn text(&self, name: &str) -> &'a str {
         self.0.get(name).and_then(Value::as_str).unwrap_or("")
     }
-    /// A list of the settings.
-    pub fn rows(&self, name: &str) -> &'a [Value] {
+    /// An array of the settings; empty if missing or invalid.
+    pub fn array(&self, name: &str) -> &'a [Value] {
         self.0.get(name).and_then(Value::as_array).map_or(&[], Vec::as_slice)
     }
 }
 
-/// The settings that the object holds (section 5 of the wire's page); what it lacks is taken as none.
-pub fn settings(info: &Fields) -> Settings {
+/// Parses the settings of the router (section 5 of the wire protocol). Missing limits and prices count as
+/// none.
+pub fn parse_settings(info: &Fields) -> Settings {
     let empty = Map::new();
     let part = |name: &str| Fields(info.0.get(name).and_then(Value::as_object).unwrap_or(&empty));
     let (allowed, charges, rules, facts, report) =
         (part("allowed"), part("charges"), part("rules"), part("specifics"), part("report"));
-    let objects = |name: &str| info.rows(name).iter().filter_map(Value::as_object).map(Fields);
+    let objects = |name: &str| info.array(name).iter().filter_map(Value::as_object).map(Fields);
     Settings {
-        front_ends: info.n("peersTotal") as u32,
-        my_number: info.n("myNumber") as u32,
-        my_zone: info.n("myZone") as u32,
+        front_ends: info.integer("peersTotal") as u32,
+        my_number: info.integer("myNumber") as u32,
+        my_zone: info.integer("myZone") as u32,
         classes: objects("classes")
-            .map(|c| Class {
-                aim: c.n("aim"),
-                deadline: c.n("hardLimit"),
-                aim_stretch: c.f("aimStretch"),
-                effect: match c.word("effect") {
+            .map(|class| Class {
+                aim: class.integer("aim"),
+                deadline: class.integer("hardLimit"),
+                aim_stretch: class.number("aimStretch"),
+                effect: match class.text("effect") {
                     "repeatable" => Effect::Repeatable,
                     "by_key" => Effect::ByKey,
                     _ => Effect::Once,
                 },
-                group: match c.word("group") {
+                group: match class.text("group") {
                     "all" => Group::All,
                     "zone" => Group::Zone,
                     _ => Group::Cell,
                 },
-                window: c.n("window"),
-                worth: c.f("worth"),
-                late_worth: c.f("lateWorth"),
-                streaming: c.yes("streaming"),
+                window: class.integer("window"),
+                worth: class.number("worth"),
+                late_worth: class.number("lateWorth"),
+                streaming: class.flag("streaming"),
             })
             .collect(),
         tenants: objects("orgs")
-            .map(|t| Tenant { quota_per_s: t.0.get("quotaPerS").and_then(Value::as_f64) })
+            .map(|tenant| Tenant { quota_per_s: tenant.0.get("quotaPerS").and_then(Value::as_f64) })
             .collect(),
-        over_share_worth: info.f("overShareWorth"),
-        discovery: if info.word("discovery") == "ask" { Discovery::Ask } else { Discovery::Push },
-        ask_within: rules.n("askWithin"),
-        when_absent: if facts.word("whenAbsent") == "miss" { WhenAbsent::Miss } else { WhenAbsent::Load },
-        keep_alive: facts.n("staysLoaded"),
-        memory_mb: facts.rows("memoryMbByKind").iter().map(|m| m.as_f64().unwrap_or(0.0)).collect(),
-        order_timeout: facts.n("orderLimit"),
-        may_order: facts.yes("placementCalls"),
-        marks_warm: facts.yes("marksCold"),
-        marks_crowd: facts.yes("tellsCrowd"),
-        load_window: facts.n("loadsWithin"),
-        load_free: facts.f("freeLoads"),
-        load_share: facts.f("loadsPerRequest"),
-        idle_price: facts.f("idlePrice"),
-        fetch_price: charges.f("origin"),
-        zone_price: charges.f("crossZone"),
-        max_attempts: allowed.n("maxAttempts") as u32,
-        may_cancel: allowed.yes("mayCancel"),
-        may_duplicate: allowed.yes("mayDuplicate"),
-        may_probe: allowed.yes("mayProbe"),
-        may_message: allowed.yes("peers"),
-        max_retry_after: if allowed.yes("retryAfter") { allowed.n("maxRetryAfter") } else { 0 },
-        answer_slack: rules.n("answerSlack"),
-        drain_grace: rules.n("stopSendingWithin"),
-        cold_from: rules.f("coldFrom"),
-        warm_after: rules.n("warmAfter"),
-        fall_multiple: rules.f("tipMultiple"),
-        fall_window: rules.n("fall"),
-        round: info.n("round"),
-        report_mode: match report.word("how") {
+        over_share_worth: info.number("overShareWorth"),
+        discovery: if info.text("discovery") == "ask" { Discovery::Ask } else { Discovery::Push },
+        ask_within: rules.integer("askWithin"),
+        when_absent: if facts.text("whenAbsent") == "miss" { WhenAbsent::Miss } else { WhenAbsent::Load },
+        keep_alive: facts.integer("staysLoaded"),
+        memory_mb: facts
+            .array("memoryMbByKind")
+            .iter()
+            .map(|memory| memory.as_f64().unwrap_or(0.0))
+            .collect(),
+        order_timeout: facts.integer("orderLimit"),
+        may_order: facts.flag("placementCalls"),
+        marks_warm: facts.flag("marksCold"),
+        marks_crowd: facts.flag("tellsCrowd"),
+        load_window: facts.integer("loadsWithin"),
+        load_free: facts.number("freeLoads"),
+        load_share: facts.number("loadsPerRequest"),
+        idle_price: facts.number("idlePrice"),
+        fetch_price: charges.number("origin"),
+        zone_price: charges.number("crossZone"),
+        max_attempts: allowed.integer("maxAttempts") as u32,
+        may_cancel: allowed.flag("mayCancel"),
+        may_duplicate: allowed.flag("mayDuplicate"),
+        may_probe: allowed.flag("mayProbe"),
+        may_message: allowed.flag("peers"),
+        max_retry_after: if allowed.flag("retryAfter") { allowed.integer("maxRetryAfter") } else { 0 },
+        answer_slack: rules.integer("answerSlack"),
+        drain_grace: rules.integer("stopSendingWithin"),
+        cold_from: rules.number("coldFrom"),
+        warm_after: rules.integer("warmAfter"),
+        fall_multiple: rules.number("tipMultiple"),
+        fall_window: rules.integer("fall"),
+        round: info.integer("round"),
+        report_mode: match report.text("how") {
             "answers" => ReportMode::Answers,
             "probe" => ReportMode::Probe,
             _ => ReportMode::None,
         },
         report_fields: report
-            .rows("fields")
+            .array("fields")
             .iter()
-            .map(|f| match f.as_str() {
+            .map(|field| match field.as_str() {
                 Some("active") => ReportField::Active,
                 Some("waiting") => ReportField::Waiting,
                 Some("cpu") => ReportField::Cpu,
@@ -149,7 +157,7 @@
     }
 }
 
-/// The words by which places are named outside, in their order.
+/// The outer names of classes, tenants, zones and kinds, by their index in the router.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// Request classes.
@@ -162,42 +170,43 @@
     pub kinds: Vec<String>,
 }
 
-/// Reads the names.
-pub fn names(info: &Fields) -> Names {
-    let own = |name: &str| {
-        let rows = info.rows(name).iter();
-        rows.map(|r| r.get("name").and_then(Value::as_str).unwrap_or("").to_owned()).collect()
+/// Parses the outer names.
+pub fn parse_names(info: &Fields) -> Names {
+    let names_of = |name: &str| {
+        let objects = info.array(name).iter();
+        objects.map(|object| object.get("name").and_then(Value::as_str).unwrap_or("").to_owned()).collect()
     };
-    let words = |name: &str| info.rows(name).iter().map(|w| w.as_str().unwrap_or("").to_owned()).collect();
+    let strings =
+        |name: &str| info.array(name).iter().map(|text| text.as_str().unwrap_or("").to_owned()).collect();
     Names {
-        classes: own("classes"),
-        tenants: own("orgs"),
-        zones: words("failureDomains"),
-        kinds: words("kinds"),
+        classes: names_of("classes"),
+        tenants: names_of("orgs"),
+        zones: strings("failureDomains"),
+        kinds: strings("kinds"),
     }
 }
 
-/// Figures that concern a shell rather than the module.
+/// Settings of the connections to executors and senders, which do not concern the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transport {
-    /// A connection not made by then has failed.
+    /// Time after which a connection attempt has failed.
     pub connect_timeout: Span,
-    /// Idle connections are closed by the other side after this.
+    /// Time after which the other side closes an idle connection.
     pub idle_close: Span,
-    /// Attempts that one connection carries at once.
+    /// Maximum number of concurrent attempts on a connection.
     pub streams: usize,
-    /// Requests that may be open.
-    pub most_held: usize,
+    /// Maximum number of open requests.
+    pub max_open_requests: usize,
 }
 
-/// Reads the figures of transport.
-pub fn transport(info: &Fields) -> Transport {
+/// Parses the settings of the connections.
+pub fn parse_transport(info: &Fields) -> Transport {
     let empty = Map::new();
     let allowed = Fields(info.0.get("allowed").and_then(Value::as_object).unwrap_or(&empty));
     Transport {
-        connect_timeout: allowed.n("connectTimeout"),
-        idle_close: allowed.n("idleClose"),
-        streams: allowed.n("streamsPerConn").max(1) as usize,
-        most_held: allowed.n("mostHeld").max(1) as usize,
+        connect_timeout: allowed.integer("connectTimeout"),
+        idle_close: allowed.integer("idleClose"),
+        streams: allowed.integer("streamsPerConn").max(1) as usize,
+        max_open_requests: allowed.integer("mostHeld").max(1) as usize,
     }
 }
--- a/crates/badgerwind-platform/src/config.rs
+++ b/crates/badgerwind-platform/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::board::{Listed, News};
 use badgerwind::interface::*;
-use badgerwind_instance::{names, settings, transport, Fields, Names, Transport};
+use badgerwind_instance::{parse_names, parse_settings, parse_transport, Fields, Names, Transport};
 use serde::Deserialize;
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
@@ -136,7 +136,7 @@
 pub fn read(text: &[u8]) -> Result<Config, BadConfig> {
     let raw: Raw = serde_json::from_slice(text).map_err(|e| BadConfig::Form(e.to_string()))?;
     let info = Fields(&raw.settings);
-    let names = names(&info);
+    let names = parse_names(&info);
     if names.classes.is_empty() {
         return Err(bad("settings.classes", "names no class; at least one is needed"));
     }
@@ -174,8 +174,8 @@
         board: raw.board,
         last: raw.known.rev,
         known,
-        router: settings(&info),
-        transport: transport(&info),
+        router: parse_settings(&info),
+        transport: parse_transport(&info),
         names,
     })
 }
