--- a/crates/badgerwind/src/events.rs
+++ b/crates/badgerwind/src/events.rs
@@ -4,7 +4,7 @@
 //! cost search, holds requests for warm lanes that free soon, and observes the five rules. See
 //! docs/design/module.md.
 
-use crate::feedback::MAX_ATTEMPTS;
+use crate::feedback::MAX_LIMIT;
 use crate::interface::*;
 use crate::message;
 use crate::records::*;
@@ -34,7 +34,7 @@
                 self.on_loaded(worker, &function, LoadResult { outcome, copies, lag }, actions)
             }
             Event::Message { from, bytes } => self.on_message(from, &bytes),
-            Event::PresumedRestart { worker } => self.state.presume_restart(self.now, worker, MAX_ATTEMPTS),
+            Event::PresumedRestart { worker } => self.state.presume_restart(self.now, worker, MAX_LIMIT),
             Event::LocalQuotas(quotas) => self.state.quotas = quotas,
             Event::Alarm { .. } | Event::Probed { .. } => {}
         }
@@ -55,7 +55,7 @@
     /// Applies a list. Rule 3 follows from it: a worker that is not `ready` gets nothing new from now on. A
     /// restart, however it was announced, leaves a worker without copies, cold, and with new health.
     fn on_list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) {
-        self.state.apply_list(self.now, kind, entries, MAX_ATTEMPTS);
+        self.state.apply_list(self.now, kind, entries, MAX_LIMIT);
     }
 
     /// Sets the first alarm at a random time, so that front ends do not run their maintenance in step.
--- a/crates/badgerwind/src/feedback.rs
+++ b/crates/badgerwind/src/feedback.rs
@@ -9,7 +9,7 @@
 const MISPREDICTIONS: usize = 3; // Mispredictions at several workers after which older beliefs are dropped.
 const OVERDUE_SHARE: f64 = 0.01; // Share of the attempts that take longer than the overdue factor allows.
 pub(crate) const BACKOFF: u64 = 4; // First back-off of a tripped worker, in maintenance intervals.
-pub(crate) const MAX_ATTEMPTS: f64 = 64.0; // Limit of own attempts at a worker before it was ever cut.
+pub(crate) const MAX_LIMIT: f64 = 64.0; // Attempt limit of a worker before a cut, and its upper bound.
 const CUT: f64 = 0.7; // Limit after a full or late answer, as a share of the attempts in flight.
 pub(crate) const KIND_PAUSE: u64 = 8; // First pause of a kind of traffic: the keep-alive divided by this.
 const QUEUED: u32 = 4; // Requests for the function at a worker from which `full` means a full queue.
@@ -90,7 +90,7 @@
             let limit = f64::from(worker.in_flight + 1) * CUT;
             (worker.attempt_limit, worker.limit_cut_at) = (limit.min(worker.attempt_limit).max(1.0), now);
         } else if outcome == Ok && !late {
-            worker.attempt_limit = (worker.attempt_limit + 1.0 / worker.attempt_limit).min(MAX_ATTEMPTS);
+            worker.attempt_limit = (worker.attempt_limit + 1.0 / worker.attempt_limit).min(MAX_LIMIT);
         }
         let unserved = function.mean_service == 0.0;
         match outcome {
