--- a/crates/badgerwind/tests/many.rs
+++ b/crates/badgerwind/tests/many.rs
@@ -148,8 +148,8 @@
         set.my_number = n;
         let mut checked = CheckedRouter::new(set.clone(), 0);
         checked.router = Router::new(u64::from(n), set);
-        let born = |w: u32| (w == 1).then_some(1_000_000);
-        let entries = (1..=20).map(|w| entry(w, Availability::Ready, born(w))).collect();
+        let born = |worker: u32| (worker == 1).then_some(1_000_000);
+        let entries = (1..=20).map(|worker| entry(worker, Availability::Ready, born(worker))).collect();
         checked.event(Event::List { kind: ListKind::Whole, entries });
         all.insert(n, (checked, 0));
     }
@@ -205,9 +205,9 @@
     // The worker with the copy restarts, and all others but one drain, before the next plan is made.
     let owner = checked.sends("29")[0];
     let spared = if owner == 8 { 7 } else { 8 };
-    let entries = (1..=8).filter(|&w| w != spared).map(|w| match w == owner {
-        true => entry(w, Availability::Ready, Some(checked.now)),
-        false => entry(w, Availability::Draining, None),
+    let entries = (1..=8).filter(|&worker| worker != spared).map(|worker| match worker == owner {
+        true => entry(worker, Availability::Ready, Some(checked.now)),
+        false => entry(worker, Availability::Draining, None),
     });
     let entries = entries.collect();
     checked.event(Event::List { kind: ListKind::Changes, entries });
--- a/crates/badgerwind/tests/module.rs
+++ b/crates/badgerwind/tests/module.rs
@@ -26,20 +26,23 @@
     checked.request("warm", "f", 3000 * MS);
     checked.now += 100 * MS;
     checked.answer("warm", 0, Outcome::Ok, CopyMark::Warm);
-    let w = checked.sends("warm")[0];
-    (checked, w)
+    let worker = checked.sends("warm")[0];
+    (checked, worker)
 }
 
 #[test]
 fn a_request_waits_for_a_busy_warm_lane_and_goes_out_when_it_frees() {
-    let (mut checked, w) = warmed(Effect::Repeatable);
+    let (mut checked, worker) = warmed(Effect::Repeatable);
     for id in ["1", "2", "3"] {
         checked.request(id, "f", 3000 * MS);
     }
-    assert_eq!((checked.sends("1"), checked.sends("2"), checked.sends("3")), (vec![w], vec![w], vec![]));
+    assert_eq!(
+        (checked.sends("1"), checked.sends("2"), checked.sends("3")),
+        (vec![worker], vec![worker], vec![])
+    );
     checked.now += 50 * MS;
     checked.answer("1", 0, Outcome::Ok, CopyMark::Warm);
-    assert_eq!(checked.sends("3"), vec![w]);
+    assert_eq!(checked.sends("3"), vec![worker]);
 }
 
 #[test]
@@ -81,12 +84,12 @@
 
 #[test]
 fn a_by_key_request_is_resent_only_in_its_zone() {
-    let (mut checked, w) = warmed(Effect::ByKey);
+    let (mut checked, worker) = warmed(Effect::ByKey);
     checked.request("a", "f", 3000 * MS);
     checked.now += 10 * MS;
     checked.answer("a", 0, Outcome::Error, CopyMark::Untold);
     checked.advance(1500 * MS);
-    assert!(checked.sends("a").iter().all(|o| o % 2 == w % 2));
+    assert!(checked.sends("a").iter().all(|o| o % 2 == worker % 2));
     checked.advance(1490 * MS);
     if checked.attempts["a"].len() > 1 {
         checked.answer("a", 1, Outcome::Timeout, CopyMark::Untold);
@@ -96,14 +99,14 @@
 
 #[test]
 fn nothing_goes_to_a_worker_that_drains_until_it_is_back() {
-    let (mut checked, w) = warmed(Effect::Repeatable);
-    let entries = vec![entry(w, Availability::Draining, None)];
+    let (mut checked, worker) = warmed(Effect::Repeatable);
+    let entries = vec![entry(worker, Availability::Draining, None)];
     checked.event(Event::List { kind: ListKind::Changes, entries });
     checked.request("a", "f", 3000 * MS);
     checked.advance(200 * MS);
-    assert!(!checked.sends("a").contains(&w));
+    assert!(!checked.sends("a").contains(&worker));
     // It returns under the same id with a new start: ready again, but without copies.
-    let entries = vec![entry(w, Availability::Ready, Some(checked.now))];
+    let entries = vec![entry(worker, Availability::Ready, Some(checked.now))];
     checked.event(Event::List { kind: ListKind::Changes, entries });
     checked.request("b", "f", 3000 * MS);
     checked.advance(100 * MS);
@@ -126,38 +129,38 @@
 
 #[test]
 fn a_silent_worker_is_noticed_and_what_may_be_repeated_goes_elsewhere() {
-    let (mut checked, w) = warmed(Effect::Repeatable);
+    let (mut checked, worker) = warmed(Effect::Repeatable);
     checked.request("a", "f", 3000 * MS);
     checked.request("b", "f", 3000 * MS);
-    assert_eq!(checked.sends("a"), vec![w]);
+    assert_eq!(checked.sends("a"), vec![worker]);
     checked.advance(1600 * MS);
     assert!(checked.actions.contains(&Action::Cancel { id: "a".into(), attempt: 0 }), "cancelled in time");
     checked.answer("a", 0, Outcome::Cancelled, CopyMark::Untold);
     checked.advance(100 * MS);
     // The copies that were ordered elsewhere meanwhile are loaded.
     for order in 0..checked.loads.len() {
-        if checked.loads[order].1 != w {
+        if checked.loads[order].1 != worker {
             checked.loaded(order, Outcome::Ok, checked.loads[order].3);
         }
     }
-    assert!(checked.sends("a").get(1).is_some_and(|&o| o != w), "{:?}", checked.sends("a"));
+    assert!(checked.sends("a").get(1).is_some_and(|&o| o != worker), "{:?}", checked.sends("a"));
     checked.request("c", "f", 3000 * MS);
-    assert!(!checked.sends("c").contains(&w));
+    assert!(!checked.sends("c").contains(&worker));
 }
 
 #[test]
 fn fast_failures_do_not_attract_traffic_and_a_bad_fleet_is_still_used() {
-    let (mut checked, w) = warmed(Effect::Repeatable);
+    let (mut checked, worker) = warmed(Effect::Repeatable);
     for n in 0..6 {
         let id = format!("e{n}");
         checked.request(&id, "f", 3000 * MS);
-        if checked.sends(&id) == vec![w] {
+        if checked.sends(&id) == vec![worker] {
             checked.now += 2 * MS;
             checked.answer(&id, 0, Outcome::Error, CopyMark::Untold);
         }
     }
     checked.request("x", "f", 3000 * MS);
-    assert!(!checked.sends("x").contains(&w), "tripped");
+    assert!(!checked.sends("x").contains(&worker), "tripped");
     // When all workers fail, all are used.
     let mut one = CheckedRouter::new(settings(Effect::Repeatable), 1);
     for n in 0..8 {
@@ -174,14 +177,14 @@
 
 #[test]
 fn a_worker_that_refuses_gets_no_calls_for_a_while() {
-    let (mut checked, w) = warmed(Effect::Repeatable);
+    let (mut checked, worker) = warmed(Effect::Repeatable);
     for id in ["1", "2"] {
         checked.request(id, "f", 3000 * MS);
     }
     checked.now += 5 * MS;
     checked.answer("1", 0, Outcome::Full, CopyMark::Untold);
     checked.request("3", "f", 3000 * MS);
-    assert!(!checked.sends("3").contains(&w), "it has just refused one");
+    assert!(!checked.sends("3").contains(&worker), "it has just refused one");
 }
 
 #[test]
@@ -332,7 +335,7 @@
     let preferred = |seed| {
         let mut out = Vec::new();
         let mut r = Router::new(seed, settings(Effect::Repeatable));
-        let entries = (1..9).map(|w| entry(w, Availability::Ready, None)).collect();
+        let entries = (1..9).map(|worker| entry(worker, Availability::Ready, None)).collect();
         r.handle(1, Event::List { kind: ListKind::Cached, entries }, &mut out);
         r.handle(2, Event::Request(request("a", "f", 3_000_000)), &mut out);
         out.into_iter().find_map(|a| if let Action::Send { worker, .. } = a { Some(worker) } else { None })
--- a/crates/badgerwind/tests/sockets.rs
+++ b/crates/badgerwind/tests/sockets.rs
@@ -13,15 +13,15 @@
     checked.request("warm", "f", 3000 * MS);
     checked.now += 100 * MS;
     checked.answer("warm", 0, Outcome::Ok, CopyMark::Warm);
-    let w = checked.sends("warm")[0];
-    (checked, w)
+    let worker = checked.sends("warm")[0];
+    (checked, worker)
 }
 
 /// 6% of connections broke while their executors kept serving. Each break tripped an executor and forgot its
 /// copies, and four calls in ten were refused.
 #[test]
 fn one_broken_connection_does_not_take_a_worker_out_but_a_second_does() {
-    let (mut checked, w) = warmed();
+    let (mut checked, worker) = warmed();
     checked.request("a", "f", 3000 * MS);
     checked.now += 10 * MS;
     checked.answer("a", 0, Outcome::Reset, CopyMark::Untold);
@@ -30,19 +30,19 @@
         checked.answer("a", 1, Outcome::Ok, CopyMark::Warm);
     }
     checked.request("b", "f", 3000 * MS);
-    assert_eq!(checked.sends("b"), [w], "its copy is still believed");
+    assert_eq!(checked.sends("b"), [worker], "its copy is still believed");
     checked.now += 10 * MS;
     checked.answer("b", 0, Outcome::Reset, CopyMark::Untold);
     checked.advance(20 * MS);
     checked.request("c", "f", 3000 * MS);
-    assert_ne!(checked.sends("c"), [w], "two breaks in a row, without a success between");
+    assert_ne!(checked.sends("c"), [worker], "two breaks in a row, without a success between");
 }
 
 /// The broken connection of an order made the router forget copies that were loaded.
 #[test]
 fn an_order_cut_off_says_nothing_of_the_copies() {
     for (outcome, trusted) in [(Outcome::Reset, true), (Outcome::ConnectFailed, false)] {
-        let (mut checked, w) = warmed();
+        let (mut checked, worker) = warmed();
         // Renewal asks for the copies before they expire.
         (0..30).for_each(|n| {
             checked.request(&format!("{n}"), "f", 3000 * MS);
@@ -52,11 +52,11 @@
         });
         checked.advance(9_800 * MS);
         let order = checked.loads.len().checked_sub(1).expect("it is renewed");
-        assert_eq!(checked.loads[order].1, w);
+        assert_eq!(checked.loads[order].1, worker);
         checked.now += 5 * MS;
         checked.loaded(order, outcome, 0);
         checked.request("after", "f", 3000 * MS);
-        assert_eq!(checked.sends("after") == [w], trusted, "{outcome:?}");
+        assert_eq!(checked.sends("after") == [worker], trusted, "{outcome:?}");
     }
 }
 
@@ -184,7 +184,8 @@
         let mut stayed = 0;
         for n in 0..40 {
             // Means of 8 and of 1 by a mass of 8, as two logarithms.
-            let announced = |w: u32| [0, w as u8, if loaded && w == preferred { 224 } else { 128 }, 176];
+            let announced =
+                |worker: u32| [0, worker as u8, if loaded && worker == preferred { 224 } else { 128 }, 176];
             let bytes = std::iter::once(0).chain((1..=6).flat_map(announced)).collect();
             checked.event(Event::Message { from: 1 + n % 200, bytes });
             let id = format!("{n}");
@@ -271,7 +272,7 @@
 #[test]
 fn errors_of_functions_never_served_do_not_count_against_workers() {
     for known in [false, true] {
-        let (mut checked, w) = warmed();
+        let (mut checked, worker) = warmed();
         for n in 0..6 {
             let id = format!("bad {n}");
             checked.request(&id, if known { "f" } else { "nobody's" }, 3000 * MS);
@@ -284,7 +285,7 @@
             }
         }
         checked.request("good", "f", 3000 * MS);
-        assert_eq!(checked.sends("good") == [w], !known, "known: {known}");
+        assert_eq!(checked.sends("good") == [worker], !known, "known: {known}");
         if !known {
             let tried: usize = (0..6).map(|n| checked.sends(&format!("bad {n}")).len()).sum();
             assert!(tried <= 8, "each is answered at its first error once the name is doubtful: {tried}");
