--- a/crates/badgerwind-driver/src/lib.rs
+++ b/crates/badgerwind-driver/src/lib.rs
@@ -30,8 +30,8 @@
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
 
     /// Sizes of the module's state, for monitoring.
-    fn figures(&self) -> Figures {
-        Figures::default()
+    fn figures(&self) -> RouterStats {
+        RouterStats::default()
     }
 }
 
@@ -40,8 +40,8 @@
         badgerwind::Router::handle(self, now, event, out);
     }
 
-    fn figures(&self) -> Figures {
-        badgerwind::Router::figures(self)
+    fn figures(&self) -> RouterStats {
+        badgerwind::Router::stats(self)
     }
 }
 
@@ -50,7 +50,7 @@
         (**self).handle(now, event, out);
     }
 
-    fn figures(&self) -> Figures {
+    fn figures(&self) -> RouterStats {
         (**self).figures()
     }
 }
@@ -173,7 +173,7 @@
         worker: WorkerId,
     },
     /// This front end's parts of the fleet-wide limits, from now on.
-    Parts(Parts),
+    Parts(LocalQuotas),
     /// A message from another front end.
     Message {
         /// The sender's number.
--- a/crates/badgerwind-driver/tests/driver.rs
+++ b/crates/badgerwind-driver/tests/driver.rs
@@ -229,7 +229,7 @@
         [list(&[7]), call(1, 11, 1_000), Input::CallerDisconnected { id: id(1), finish_started: true }],
         &mut out,
     );
-    assert!(matches!(module.events.borrow().last(), Some(Event::ClientGone { .. })));
+    assert!(matches!(module.events.borrow().last(), Some(Event::ClientDisconnected { .. })));
     assert_eq!((driver.unanswered(), driver.tracked_calls()), (0, 0));
 }
 
@@ -270,7 +270,7 @@
     assert!(final_answers(&out).is_empty());
     driver.on_batch(1_100, [], &mut out);
     assert_eq!(final_answers(&out), [(11, &FinalAnswer::Failed(Failure::Overdue))]);
-    assert!(matches!(module.events.borrow().last(), Some(Event::ClientGone { .. })));
+    assert!(matches!(module.events.borrow().last(), Some(Event::ClientDisconnected { .. })));
 }
 
 #[test]
--- a/crates/badgerwind-platform/src/discovery.rs
+++ b/crates/badgerwind-platform/src/discovery.rs
@@ -87,7 +87,7 @@
         }
         for listed in update.entries {
             match listed.entry.availability {
-                Availability::Gone => _ = self.executors.remove(&listed.entry.worker),
+                Availability::Removed => _ = self.executors.remove(&listed.entry.worker),
                 _ => _ = self.executors.insert(listed.entry.worker, listed),
             }
         }
@@ -230,7 +230,7 @@
     let availability = match bytes[10] {
         0 => Availability::Ready,
         1 => Availability::Draining,
-        2 => Availability::Gone,
+        2 => Availability::Removed,
         _ => return None,
     };
     let (zone, kind) = (u32::from(bytes[11]), u32::from(bytes[12]));
