--- a/crates/badgerwind/src/maintenance.rs
+++ b/crates/badgerwind/src/maintenance.rs
@@ -71,7 +71,9 @@
                 self.state.totals.include(worker);
                 if newly && now > self.state.logged_at + self.settings.keep_alive / 4 {
                     self.state.logged_at = now;
-                    actions.push(Action::Log { text: format!("worker {} does not answer", attempt.worker) });
+                    actions.push(Action::Log {
+                        text: format!("worker {} answers nothing: taken out", attempt.worker),
+                    });
                 }
             }
         }
