--- a/crates/badgerwind-settings/src/typed.rs
+++ b/crates/badgerwind-settings/src/typed.rs
@@ -261,9 +261,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budgets {
     /// On what terms.
-    pub terms: badgerwind_budgets::Terms,
+    pub terms: badgerwind_budgets::LeaseSettings,
     /// The limits, under their version.
-    pub book: badgerwind_budgets::Book,
+    pub book: badgerwind_budgets::LimitSet,
     /// What each whole is of, in the same order.
     pub budgets: Vec<Budget>,
     /// The line that begins them.
@@ -274,7 +274,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leaving {
     /// On what terms.
-    pub terms: badgerwind_zones::Terms,
+    pub terms: badgerwind_zones::Settings,
     /// An operator's word of each zone, and why.
     pub words: Vec<Option<(badgerwind_zones::Directive, String)>>,
 }
