--- a/crates/badgerwind-gateway/src/control.rs
+++ b/crates/badgerwind-gateway/src/control.rs
@@ -3,7 +3,7 @@
 //! `badgerwind-config`.
 
 use crate::clock::Clock;
-use crate::engine::{Control, Terms};
+use crate::engine::{Control, ModuleSettings};
 use crate::front::{Front, Rules};
 use crate::log_limit::LogLimit;
 use crate::runners::Runners;
@@ -279,8 +279,8 @@
                 let seed = if settings.seed == 0 { fastrand::u64(..) } else { settings.seed };
                 let decider = Box::new(Router::new(seed, settings.router.clone()));
                 let (done, wait) = async_channel::bounded(1);
-                let terms = Terms::new(limits(&settings), &settings.router);
-                let change = Control::Change { decider, terms, done };
+                let settings = ModuleSettings::new(limits(&settings), &settings.router);
+                let change = Control::ChangeModule { decider, settings, done };
                 if me.engine.send(change).await.is_err() {
                     return;
                 }
--- a/crates/badgerwind-gateway/src/dispatch.rs
+++ b/crates/badgerwind-gateway/src/dispatch.rs
@@ -95,11 +95,11 @@
     type Content = Arc<Content>;
     type Reply = Reply;
 
-    fn module(content: &Arc<Content>) -> u64 {
+    fn module_number(content: &Arc<Content>) -> u64 {
         content.module
     }
 
-    fn handed(content: &Arc<Content>) -> Time {
+    fn accepted_at(content: &Arc<Content>) -> Time {
         content.handed
     }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    fn carry(&mut self, now: Time, output: OutputOf<Self>) {
+    fn execute(&mut self, now: Time, output: OutputOf<Self>) {
         let (runners, report) = (self.runners.clone(), self.report.clone());
         match output {
             Output::Answer { id, origin, answer, attempts, worker, lag } => {
@@ -215,12 +215,12 @@
         self.shares.as_ref().is_none_or(|s| s.order())
     }
 
-    fn settled(&mut self, owed: usize, took: Duration) {
-        self.metrics.held.set(owed as i64);
+    fn on_batch_done(&mut self, unanswered: usize, took: Duration) {
+        self.metrics.held.set(unanswered as i64);
         self.metrics.batch_time.observe(took.as_secs_f64());
     }
 
-    fn remembered(&mut self, figures: Figures) {
+    fn record_stats(&mut self, figures: Figures) {
         self.metrics.remembered(&figures);
     }
 }
--- a/crates/badgerwind-gateway/src/engine.rs
+++ b/crates/badgerwind-gateway/src/engine.rs
@@ -1,6 +1,6 @@
-//! The engine: it alone owns the driver. What is ready together is handed over together, and what the driver asks
-//! for is carried out by a backend, which reports back. Rounds, lag, batches, changes of module and the end of an
-//! engine are written here once, whatever comes in and goes out.
+//! The engine: the task that owns the driver. It passes all inputs that are ready to the driver as one batch
+//! and has a backend execute the driver's outputs, whose results come back as inputs. Rounds, lag, batches,
+//! changes of module and shutdown are implemented here once for all protocols.
 
 use crate::clock::Clock;
 use async_channel::{Receiver, Sender};
@@ -14,42 +14,42 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A way in and out around the driver: what its calls are made of, and how what the driver asks for leaves.
+/// The protocol around the driver: the types that make up a call, and the execution of the driver's outputs.
 pub trait Backend {
-    /// Whom to answer.
+    /// Where the answer to a call goes.
     type Origin;
-    /// What a worker needs of a call.
+    /// The part of a call that is sent to a worker.
     type Content: Clone;
     /// A worker's answer.
     type Reply;
-    /// The module that knows the places that a call names.
-    fn module(content: &Self::Content) -> u64;
-    /// When its front handed a call over.
-    fn handed(content: &Self::Content) -> Time;
-    /// Something is about to be told to the driver.
+    /// The number of the module whose settings give the call's indices (class, tenant) their meaning.
+    fn module_number(content: &Self::Content) -> u64;
+    /// When the front passed the call to the engine.
+    fn accepted_at(content: &Self::Content) -> Time;
+    /// Called for each input before the driver processes it.
     fn observe(&mut self, now: Time, input: &InputOf<Self>);
-    /// Carries out one output; it comes back by an input of its own where an end is owed.
-    fn carry(&mut self, now: Time, output: OutputOf<Self>);
-    /// Whether a load order may go out by what the front ends share; it is counted if so.
+    /// Executes one output. If the driver expects a result, it is sent as an input of its own.
+    fn execute(&mut self, now: Time, output: OutputOf<Self>);
+    /// Whether the limit that the front ends share permits a load order; a permitted order is counted.
     fn may_order(&mut self, _now: Time) -> bool {
         true
     }
-    /// All outputs of a batch were carried out.
-    fn settled(&mut self, owed: usize, took: Duration);
+    /// Called when all outputs of a batch were executed.
+    fn on_batch_done(&mut self, unanswered: usize, took: Duration);
 
-    /// How much the module remembers after a batch.
-    fn remembered(&mut self, _figures: Figures) {}
+    /// Records how much state the module holds after a batch.
+    fn record_stats(&mut self, _stats: Figures) {}
 }
 
-/// What a backend tells the driver.
+/// The driver's inputs with the types of a backend.
 pub type InputOf<B> =
     badgerwind_driver::Input<<B as Backend>::Origin, <B as Backend>::Content, <B as Backend>::Reply>;
-/// What the driver asks a backend for.
+/// The driver's outputs with the types of a backend.
 pub type OutputOf<B> = Output<<B as Backend>::Origin, <B as Backend>::Content, <B as Backend>::Reply>;
 
-/// What the engine itself needs of the settings that a module runs under.
+/// The settings of a module that the engine itself applies.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct ModuleSettings {
     pub limits: Limits,
     round: Span,
     load_window: Span,
@@ -57,286 +57,305 @@
     load_share: f64,
 }
 
-impl Terms {
-    pub fn new(limits: Limits, set: &Settings) -> Self {
-        let &Settings { round, load_window, load_free, load_share, .. } = set;
-        Terms { limits, round, load_window, load_free, load_share }
+impl ModuleSettings {
+    pub fn new(limits: Limits, router: &Settings) -> Self {
+        let &Settings { round, load_window, load_free, load_share, .. } = router;
+        ModuleSettings { limits, round, load_window, load_free, load_share }
     }
 }
 
-/// What the engine is told beside its inputs.
+/// Commands to the engine, apart from the driver's inputs.
 pub enum Control {
-    /// Fail what is still owed and end.
-    End,
-    /// From now on new calls go to this module; the one before answers what it holds and ends. The new one's number
-    /// comes back once that is so.
-    Change { decider: Box<dyn Decider + Send>, terms: Terms, done: Sender<u64> },
+    /// Fail all unanswered calls and end.
+    Stop,
+    /// Send new calls to this module from now on. The previous module completes its own calls and ends. The
+    /// number of the new module is sent to `done` once it is in use.
+    ChangeModule { decider: Box<dyn Decider + Send>, settings: ModuleSettings, done: Sender<u64> },
 }
 
 /// Why the engine has ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum EngineEnd {
-    Asked,
+    /// It was stopped, or all senders of its inputs are gone.
+    Stopped,
+    /// The decision module failed, with this text.
     ModuleFailed(String),
 }
 
-/// Inputs handed over at once, at the most; what is left waits for the next round.
-const MOST_BATCH: usize = 4096;
+/// Most inputs in one batch; the rest wait for the next round.
+const MAX_BATCH: usize = 4096;
 
+/// Owns the driver: collects inputs into batches and has the backend execute the outputs.
 pub struct Engine<B: Backend> {
     pub clock: Clock,
     pub inputs: Receiver<InputOf<B>>,
     pub control: Receiver<Control>,
-    /// Calls owed an answer, for the orderly stop.
-    pub owed: Arc<AtomicUsize>,
-    /// How far this front end runs behind.
+    /// Number of unanswered calls, which the orderly shutdown waits for.
+    pub unanswered: Arc<AtomicUsize>,
+    /// How late this front end processes its inputs.
     pub lag: Arc<Mutex<Lag>>,
     pub backend: B,
 }
 
-enum Next<I> {
+/// What ends the wait for the next batch.
+enum Event<I> {
     Input(Option<I>),
-    Due,
+    TimerDue,
     Control(Control),
 }
 
-type TheDriver<B> =
+/// A driver with the types of a backend.
+type DriverOf<B> =
     Driver<Box<dyn Decider + Send>, <B as Backend>::Origin, <B as Backend>::Content, <B as Backend>::Reply>;
 
-/// Load orders of one module: their numbers begin with its own.
-const NUMBERS: u32 = 40;
-/// Modules that still answer what they hold beside the newest; a further change waits for the oldest.
-const MOST_LEAVING: usize = 4;
+/// A load order's number holds the number of its module in the bits from this one on.
+const MODULE_NUMBER_SHIFT: u32 = 40;
+/// Most previous modules that may complete their calls at the same time; a further change waits until the
+/// oldest has ended.
+const MAX_DRAINING: usize = 4;
 
-/// Another module, its settings, and whom to tell its number.
-type Change = (Box<dyn Decider + Send>, Terms, Sender<u64>);
+/// A new module, its settings, and the channel that receives its number.
+type ModuleChange = (Box<dyn Decider + Send>, ModuleSettings, Sender<u64>);
 
-/// Another module has taken its place.
-struct Leaving<B: Backend> {
+/// A module that was replaced and completes its calls.
+struct DrainingModule<B: Backend> {
     number: u64,
-    driver: TheDriver<B>,
-    /// Until then calls can still come that a front judged by its settings.
+    driver: DriverOf<B>,
+    /// Until then calls may still arrive that a front checked against this module's settings.
     until: Time,
 }
 
-impl<B: Backend> Leaving<B> {
-    fn stays(&self, now: Time) -> bool {
+impl<B: Backend> DrainingModule<B> {
+    fn is_needed(&self, now: Time) -> bool {
         self.driver.tracked_calls() > 0 || now < self.until
     }
 }
 
-/// How long a call may be on its way from a front to its module, in microseconds.
-const ON_THE_WAY: Span = 500_000;
+/// Longest time between a front's check of a call and its arrival at the module, in microseconds.
+const HANDOVER_TIME: Span = 500_000;
 
-/// The modules: the newest takes calls, those before it answer what they hold.
+/// All running modules: the current one accepts calls, the previous ones complete theirs.
 struct Modules<B: Backend> {
-    newest: TheDriver<B>,
+    current: DriverOf<B>,
     number: u64,
-    leaving: Vec<Leaving<B>>,
-    waiting: VecDeque<Change>,
+    draining: Vec<DrainingModule<B>>,
+    pending_changes: VecDeque<ModuleChange>,
     workers: BTreeMap<WorkerId, WorkerEntry>,
     order_limit: OrderLimit,
-    /// What of the fleet's limits is this front end's own: a module that begins is told.
-    parts: Option<Parts>,
+    /// This front end's share of the fleet's limits, which a new module receives when it starts.
+    local_quotas: Option<Parts>,
 }
 
 impl<B: Backend> Modules<B> {
-    fn new(decider: Box<dyn Decider + Send>, t: &Terms) -> Self {
+    fn new(decider: Box<dyn Decider + Send>, settings: &ModuleSettings) -> Self {
         Modules {
-            newest: Driver::new(decider, t.limits),
+            current: Driver::new(decider, settings.limits),
             number: 0,
-            leaving: Vec::new(),
-            waiting: VecDeque::new(),
+            draining: Vec::new(),
+            pending_changes: VecDeque::new(),
             workers: BTreeMap::new(),
-            order_limit: OrderLimit::new(t.load_window, t.load_free, t.load_share),
-            parts: None,
+            order_limit: OrderLimit::new(settings.load_window, settings.load_free, settings.load_share),
+            local_quotas: None,
         }
     }
 
-    /// A batch: each input to the module that it concerns.
-    fn on(&mut self, now: Time, inputs: impl Iterator<Item = InputOf<B>>, out: &mut Vec<OutputOf<B>>) {
-        let (mut own, mut late) = (Vec::new(), Vec::new());
-        let mut others: Vec<Vec<InputOf<B>>> = self.leaving.iter().map(|_| Vec::new()).collect();
+    /// Processes a batch: passes each input to the module that it concerns.
+    fn on_batch(&mut self, now: Time, inputs: impl Iterator<Item = InputOf<B>>, out: &mut Vec<OutputOf<B>>) {
+        let (mut for_current, mut late) = (Vec::new(), Vec::new());
+        let mut for_draining: Vec<Vec<InputOf<B>>> = self.draining.iter().map(|_| Vec::new()).collect();
         for input in inputs {
-            let holder = |id: &RequestId| self.leaving.iter().position(|l| l.driver.contains(id));
-            let place = match &input {
+            let module_of =
+                |id: &RequestId| self.draining.iter().position(|module| module.driver.contains(id));
+            let index = match &input {
                 Input::Call(call) => {
                     self.order_limit.record_call(now);
-                    let number = B::module(&call.content);
-                    let place = self.leaving.iter().position(|l| l.number == number);
-                    if number != self.number && place.is_none() {
+                    let number = B::module_number(&call.content);
+                    let index = self.draining.iter().position(|module| module.number == number);
+                    if number != self.number && index.is_none() {
                         late.push(input);
                         continue;
                     }
-                    place
+                    index
                 }
                 Input::List { kind, entries } => {
                     if matches!(kind, ListKind::Whole | ListKind::Cached) {
                         self.workers.clear();
                     }
-                    self.workers.extend(entries.iter().map(|e| (e.worker, e.clone())));
-                    for other in &mut others {
-                        other.push(Input::List { kind: *kind, entries: entries.clone() });
+                    self.workers.extend(entries.iter().map(|entry| (entry.worker, entry.clone())));
+                    for inputs in &mut for_draining {
+                        inputs.push(Input::List { kind: *kind, entries: entries.clone() });
                     }
                     None
                 }
                 Input::Parts(parts) => {
-                    self.parts = Some(parts.clone());
-                    others.iter_mut().for_each(|other| other.push(Input::Parts(parts.clone())));
+                    self.local_quotas = Some(parts.clone());
+                    for_draining.iter_mut().for_each(|inputs| inputs.push(Input::Parts(parts.clone())));
                     None
                 }
                 Input::PresumedRestart { worker } => {
                     let worker = *worker;
-                    others.iter_mut().for_each(|other| other.push(Input::PresumedRestart { worker }));
+                    for_draining.iter_mut().for_each(|inputs| inputs.push(Input::PresumedRestart { worker }));
                     None
                 }
                 Input::CallerDisconnected { id, .. }
                 | Input::StreamBegan { id, .. }
-                | Input::AttemptEnded { id, .. } => holder(id),
+                | Input::AttemptEnded { id, .. } => module_of(id),
                 Input::OrderEnded { order, .. } => {
-                    let number = order.0 >> NUMBERS;
-                    self.leaving.iter().position(|l| l.number == number)
+                    let number = order.0 >> MODULE_NUMBER_SHIFT;
+                    self.draining.iter().position(|module| module.number == number)
                 }
-                // Only the newest still asks and listens.
+                // Only the current module sends probes and messages.
                 Input::ProbeEnded { .. } | Input::Message { .. } => None,
             };
-            match place {
-                Some(n) => others[n].push(input),
-                None => own.push(input),
+            match index {
+                Some(index) => for_draining[index].push(input),
+                None => for_current.push(input),
             }
         }
-        for (leaving, inputs) in self.leaving.iter_mut().zip(others) {
-            leaving.driver.on_batch(now, inputs, out);
+        for (module, inputs) in self.draining.iter_mut().zip(for_draining) {
+            module.driver.on_batch(now, inputs, out);
         }
-        // A call of a module that has ended: nobody knows its places, and it never ran.
+        // The module of these calls has ended, so their indices have no meaning any more. They never ran.
         for input in late {
             let Input::Call(Call { request, origin, .. }) = input else { continue };
             let answer = FinalAnswer::Refused { by: Refusal::TooManyCalls, retry_after: None };
             out.push(Output::Answer { id: request.id, origin, answer, attempts: 0, worker: None, lag: 0 });
         }
-        self.newest.on_batch(now, own, out);
-        self.leaving.retain(|l| l.stays(now));
-        while self.leaving.len() < MOST_LEAVING {
-            let Some((decider, terms, done)) = self.waiting.pop_front() else { break };
-            self.change(now, decider, &terms, out);
-            let _ = done.try_send(self.number); // whoever asked may have left
+        self.current.on_batch(now, for_current, out);
+        self.draining.retain(|module| module.is_needed(now));
+        while self.draining.len() < MAX_DRAINING {
+            let Some((decider, settings, done)) = self.pending_changes.pop_front() else { break };
+            self.replace_module(now, decider, &settings, out);
+            let _ = done.try_send(self.number); // the receiver may be gone
         }
     }
 
-    /// Another module takes calls from now on. It is told the runners as they are listed; what stands loaded where
-    /// it finds by its own order of workers, which follows from names alone.
-    fn change(
+    /// Makes another module the current one. It receives the list of workers. It finds the loaded copies
+    /// through its preference order of workers, which depends on names alone.
+    fn replace_module(
         &mut self,
         now: Time,
         decider: Box<dyn Decider + Send>,
-        terms: &Terms,
+        settings: &ModuleSettings,
         out: &mut Vec<OutputOf<B>>,
     ) {
         self.number += 1;
-        let fresh = Driver::new(decider, terms.limits).with_first_order(self.number << NUMBERS);
-        let old = std::mem::replace(&mut self.newest, fresh);
-        self.leaving.push(Leaving { number: self.number - 1, driver: old, until: now + ON_THE_WAY });
-        self.order_limit.change(terms.load_window, terms.load_free, terms.load_share);
+        let new = Driver::new(decider, settings.limits).with_first_order(self.number << MODULE_NUMBER_SHIFT);
+        let old = std::mem::replace(&mut self.current, new);
+        self.draining.push(DrainingModule {
+            number: self.number - 1,
+            driver: old,
+            until: now + HANDOVER_TIME,
+        });
+        self.order_limit.change(settings.load_window, settings.load_free, settings.load_share);
         let entries = self.workers.values().cloned().collect();
         let list = Input::List { kind: ListKind::Whole, entries };
-        self.newest.on_batch(now, self.parts.clone().map(Input::Parts).into_iter().chain([list]), out);
+        self.current.on_batch(
+            now,
+            self.local_quotas.clone().map(Input::Parts).into_iter().chain([list]),
+            out,
+        );
     }
 
-    fn owed(&self) -> usize {
-        self.newest.unanswered() + self.leaving.iter().map(|l| l.driver.unanswered()).sum::<usize>()
+    fn unanswered(&self) -> usize {
+        self.current.unanswered()
+            + self.draining.iter().map(|module| module.driver.unanswered()).sum::<usize>()
     }
 
     fn next_wake(&self) -> Option<Time> {
-        let all = self.leaving.iter().map(|l| &l.driver).chain([&self.newest]);
-        let waits = (!self.waiting.is_empty()).then(|| self.leaving.iter().map(|l| l.until).min());
-        all.filter_map(TheDriver::<B>::next_wake).chain(waits.flatten()).min()
+        let all = self.draining.iter().map(|module| &module.driver).chain([&self.current]);
+        let oldest_ends =
+            (!self.pending_changes.is_empty()).then(|| self.draining.iter().map(|module| module.until).min());
+        all.filter_map(DriverOf::<B>::next_wake).chain(oldest_ends.flatten()).min()
     }
 
     fn stop(&mut self, now: Time, out: &mut Vec<OutputOf<B>>) {
-        self.leaving.iter_mut().for_each(|l| l.driver.stop(now, out));
-        self.newest.stop(now, out);
+        self.draining.iter_mut().for_each(|module| module.driver.stop(now, out));
+        self.current.stop(now, out);
     }
 
     fn fail_all(&mut self, now: Time, why: Failure, out: &mut Vec<OutputOf<B>>) {
-        self.leaving.iter_mut().for_each(|l| l.driver.fail_all(now, why, out));
-        self.newest.fail_all(now, why, out);
+        self.draining.iter_mut().for_each(|module| module.driver.fail_all(now, why, out));
+        self.current.fail_all(now, why, out);
     }
 }
 
 impl<B: Backend> Engine<B> {
-    /// Runs until told to end or the module fails. Every call is answered before it returns.
-    pub async fn run(mut self, decider: Box<dyn Decider + Send>, terms: Terms) -> EngineEnd {
-        let mut modules = Modules::<B>::new(decider, &terms);
-        let mut round = Duration::from_micros(terms.round);
+    /// Runs until it is stopped or the module fails. Every call is answered before it returns.
+    pub async fn run(mut self, decider: Box<dyn Decider + Send>, settings: ModuleSettings) -> EngineEnd {
+        let mut modules = Modules::<B>::new(decider, &settings);
+        let mut round = Duration::from_micros(settings.round);
         let (mut batch, mut out) = (Vec::new(), Vec::new());
         let mut last = Instant::now().checked_sub(round).unwrap_or_else(Instant::now);
         loop {
-            // What the engine itself answered waits for the next batch, not for the next input.
+            // Results that the engine itself produced are processed at once, without waiting for another
+            // input.
             let wake = if batch.is_empty() { modules.next_wake() } else { Some(self.clock.now()) };
-            match self.next(wake).await {
-                Next::Control(Control::End) => {
-                    // What was handed over and has not had its turn is owed its answer as well.
+            match self.next_event(wake).await {
+                Event::Control(Control::Stop) => {
+                    // Calls that are still queued must be answered as well.
                     while let Ok(input) = self.inputs.try_recv() {
                         batch.push(input);
                     }
-                    modules.on(self.clock.now(), batch.drain(..), &mut out);
+                    modules.on_batch(self.clock.now(), batch.drain(..), &mut out);
                     modules.stop(self.clock.now(), &mut out);
-                    self.carry(&mut out, &mut modules.order_limit, &mut batch);
-                    self.backend.settled(0, Duration::ZERO);
-                    return EngineEnd::Asked;
+                    self.execute(&mut out, &mut modules.order_limit, &mut batch);
+                    self.backend.on_batch_done(0, Duration::ZERO);
+                    return EngineEnd::Stopped;
                 }
-                Next::Control(Control::Change { decider, terms, done }) => {
-                    round = Duration::from_micros(terms.round);
-                    modules.waiting.push_back((decider, terms, done));
+                Event::Control(Control::ChangeModule { decider, settings, done }) => {
+                    round = Duration::from_micros(settings.round);
+                    modules.pending_changes.push_back((decider, settings, done));
                 }
-                Next::Input(None) => return EngineEnd::Asked,
-                Next::Input(Some(input)) => batch.push(input),
-                Next::Due => {}
+                Event::Input(None) => return EngineEnd::Stopped,
+                Event::Input(Some(input)) => batch.push(input),
+                Event::TimerDue => {}
             }
-            // No more often than a round: what comes meanwhile is handed over together.
+            // At most one batch per round: inputs that arrive in between are processed together.
             if let Some(rest) = round.checked_sub(last.elapsed()).filter(|r| !r.is_zero()) {
                 Timer::after(rest).await;
             }
-            while batch.len() < MOST_BATCH {
+            while batch.len() < MAX_BATCH {
                 let Ok(input) = self.inputs.try_recv() else { break };
                 batch.push(input);
             }
             last = Instant::now();
-            let began = self.clock.now();
-            // Late by its own alarm, beyond the round that it waits for anyway; or by the oldest call that waited.
-            let overdue = wake.map_or(0, |at| began.saturating_sub(at));
-            let waited = batch.iter().map(|i| match i {
-                Input::Call(call) => began.saturating_sub(B::handed(&call.content)),
+            let started = self.clock.now();
+            // Lateness is the delay of the timer or of the oldest call in the batch, whichever is greater,
+            // minus the round that every input waits for.
+            let overdue = wake.map_or(0, |at| started.saturating_sub(at));
+            let waited = batch.iter().map(|input| match input {
+                Input::Call(call) => started.saturating_sub(B::accepted_at(&call.content)),
                 _ => 0,
             });
             let late = waited.max().unwrap_or(0).max(overdue).saturating_sub(round.as_micros() as Span);
             for input in &batch {
-                self.backend.observe(began, input);
+                self.backend.observe(started, input);
             }
-            modules.on(self.clock.now(), batch.drain(..), &mut out);
-            self.owed.store(modules.owed(), Ordering::Relaxed);
-            let failed = self.carry(&mut out, &mut modules.order_limit, &mut batch);
+            modules.on_batch(self.clock.now(), batch.drain(..), &mut out);
+            self.unanswered.store(modules.unanswered(), Ordering::Relaxed);
+            let failed = self.execute(&mut out, &mut modules.order_limit, &mut batch);
             let took = last.elapsed();
             self.lag
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .observe(began, late.max(took.as_micros() as Span));
-            self.backend.settled(modules.owed(), took);
-            self.backend.remembered(modules.newest.figures());
+                .observe(started, late.max(took.as_micros() as Span));
+            self.backend.on_batch_done(modules.unanswered(), took);
+            self.backend.record_stats(modules.current.figures());
             if let Some(text) = failed {
                 modules.fail_all(self.clock.now(), Failure::ModuleFailed, &mut out);
-                self.carry(&mut out, &mut modules.order_limit, &mut batch);
-                self.backend.settled(0, Duration::ZERO);
+                self.execute(&mut out, &mut modules.order_limit, &mut batch);
+                self.backend.on_batch_done(0, Duration::ZERO);
                 return EngineEnd::ModuleFailed(text);
             }
         }
     }
 
-    async fn next(&self, wake: Option<Time>) -> Next<InputOf<B>> {
-        let input = async { Next::Input(self.inputs.recv().await.ok()) };
+    async fn next_event(&self, wake: Option<Time>) -> Event<InputOf<B>> {
+        let input = async { Event::Input(self.inputs.recv().await.ok()) };
         let control = async {
             match self.control.recv().await {
-                Ok(c) => Next::Control(c),
+                Ok(command) => Event::Control(command),
                 Err(_) => futures_lite::future::pending().await,
             }
         };
@@ -345,34 +364,34 @@
                 Some(at) => _ = Timer::at(self.clock.instant(at)).await,
                 None => futures_lite::future::pending().await,
             }
-            Next::Due
+            Event::TimerDue
         };
         control.or(input).or(due).await
     }
 
-    /// Carries out what the driver asked for; the text of the module's failure, if it has failed. What is answered
-    /// here goes into the next batch.
-    fn carry(
+    /// Executes the driver's outputs and returns the text of the module's failure, if it has failed. Results
+    /// that are known here are added to the next batch.
+    fn execute(
         &mut self,
         out: &mut Vec<OutputOf<B>>,
         order_limit: &mut OrderLimit,
-        again: &mut Vec<InputOf<B>>,
+        next_batch: &mut Vec<InputOf<B>>,
     ) -> Option<String> {
         let (now, mut failed) = (self.clock.now(), None);
         for output in out.drain(..) {
             match output {
-                // Beyond the limit that holds for old and new modules together: it is answered as turned away.
+                // The order limit holds for all modules together; an order beyond it ends as rejected.
                 Output::Order { order, copies, .. }
                     if copies > 0 && !(order_limit.try_order(now) && self.backend.may_order(now)) =>
                 {
-                    again.push(Input::OrderEnded { order, outcome: Outcome::Full, copies: 0 });
+                    next_batch.push(Input::OrderEnded { order, outcome: Outcome::Full, copies: 0 });
                 }
                 Output::Log { text } => tracing::warn!("{text}"),
                 Output::ModuleFailed { text } => {
                     tracing::error!("the decision module failed: {text}");
                     failed = failed.or(Some(text));
                 }
-                output => self.backend.carry(now, output),
+                output => self.backend.execute(now, output),
             }
         }
         failed
--- a/crates/badgerwind-gateway/src/platform/mod.rs
+++ b/crates/badgerwind-gateway/src/platform/mod.rs
@@ -11,7 +11,7 @@
 mod wire;
 
 use crate::clock::Clock;
-use crate::engine::{Control, Engine, EngineEnd, Terms};
+use crate::engine::{Control, Engine, EngineEnd, ModuleSettings};
 use async_signal::{Signal, Signals};
 use badgerwind::Router;
 use badgerwind_driver::{Decider, Limits};
@@ -127,12 +127,12 @@
         clock,
         inputs: from_shell,
         control: controls,
-        owed: Arc::default(),
+        unanswered: Arc::default(),
         lag: Arc::default(),
         backend: Platform(shell.clone()),
     };
     let decider: Box<dyn Decider + Send> = Box::new(Router::new(config.seed, config.router.clone()));
-    let terms = Terms::new(limits(&config, shell.shares.open_requests), &config.router);
+    let terms = ModuleSettings::new(limits(&config, shell.shares.open_requests), &config.router);
     config.known.iter().for_each(|n| shell.news(n));
     let discovery = Rc::new(Discovery {
         address: Cell::new(config.discovery),
@@ -168,13 +168,13 @@
             futures_lite::future::pending().await
         };
         shell.stop((accepting, listener), longest).or(further).await;
-        let _ = control.send(Control::End).await;
+        let _ = control.send(Control::Stop).await;
         futures_lite::future::pending::<EngineEnd>().await
     };
     let end = smol::block_on(tasks.run(ended.or(stop)));
     shell.clients.flush();
     match end {
-        EngineEnd::Asked => Ok(()),
+        EngineEnd::Stopped => Ok(()),
         EngineEnd::ModuleFailed(text) => Err(PlatformError::ModuleFailed(text)),
     }
 }
--- a/crates/badgerwind-gateway/src/platform/shell.rs
+++ b/crates/badgerwind-gateway/src/platform/shell.rs
@@ -176,11 +176,11 @@
     type Content = Rc<Content>;
     type Reply = Vec<u8>;
 
-    fn module(_: &Rc<Content>) -> u64 {
+    fn module_number(_: &Rc<Content>) -> u64 {
         0
     }
 
-    fn handed(content: &Rc<Content>) -> Time {
+    fn accepted_at(content: &Rc<Content>) -> Time {
         content.handed
     }
 
@@ -204,7 +204,7 @@
         }
     }
 
-    fn carry(&mut self, now: Time, output: OutputOf<Self>) {
+    fn execute(&mut self, now: Time, output: OutputOf<Self>) {
         let shell = &self.0;
         match output {
             Output::Answer { id, origin, answer, attempts, lag, .. } => {
@@ -246,7 +246,7 @@
         }
     }
 
-    fn settled(&mut self, _: usize, _: Duration) {
+    fn on_batch_done(&mut self, _: usize, _: Duration) {
         self.0.executors.flush(&self.0);
         self.0.clients.flush();
     }
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::control::{Follower, Following};
 use crate::dispatch::Dispatch;
-use crate::engine::{Control, Engine, EngineEnd, Terms};
+use crate::engine::{Control, Engine, EngineEnd, ModuleSettings};
 use crate::front::{bounds, guard_bounds, Counts, Front, Rules};
 use crate::list::Lister;
 use crate::metrics::{self, Metrics};
@@ -240,11 +240,12 @@
         shares: shares.clone(),
         zones: zones.clone(),
     };
-    let engine = Engine { clock, inputs, control: controls, owed: owed.clone(), lag: lag.clone(), backend };
+    let engine =
+        Engine { clock, inputs, control: controls, unanswered: owed.clone(), lag: lag.clone(), backend };
     let seed = if settings.seed == 0 { fastrand::u64(..) } else { settings.seed };
     let decider = decider.unwrap_or_else(|| Box::new(Router::new(seed, set.clone())));
     let (end, ended) = async_channel::bounded(1);
-    let terms = Terms::new(limits(&settings), set);
+    let terms = ModuleSettings::new(limits(&settings), set);
     let thread = std::thread::Builder::new().name("engine".into());
     thread
         .spawn(move || {
@@ -393,7 +394,7 @@
         let Running { front, control, ended, owed, within, accepting, shares, _tasks, .. } = self;
         let failed = |end: Result<EngineEnd, async_channel::RecvError>| match end {
             Ok(EngineEnd::ModuleFailed(text)) => Stopped::ModuleFailed(text),
-            Ok(EngineEnd::Asked) => Stopped::Orderly,
+            Ok(EngineEnd::Stopped) => Stopped::Orderly,
             Err(_) => Stopped::ModuleFailed("the engine's thread has ended".into()),
         };
         let asked = async {
@@ -430,7 +431,7 @@
             Timer::after(LAST_WORDS).await;
             return end;
         }
-        let _ = control.send(Control::End).await;
+        let _ = control.send(Control::Stop).await;
         let end = failed(ended.recv().await);
         Timer::after(LAST_WORDS).await;
         end
--- a/crates/badgerwind-gateway/tests/engine.rs
+++ b/crates/badgerwind-gateway/tests/engine.rs
@@ -1,17 +1,18 @@
-//! The engine's end: what was handed over before it is owed an answer, whether or not it has had its turn. What never ran, or may
-//! run again, is refused, so that its client can try elsewhere.
+//! Shutdown of the engine: every call that was queued before it is answered, even if no batch has included
+//! the call yet. A call that never ran, or that may run again, is refused, so that its client can try another
+//! front end.
 
 use badgerwind::interface::*;
 use badgerwind::Router;
 use badgerwind_driver::{Call, FinalAnswer, Limits, Output};
 use badgerwind_gateway::clock::Clock;
-use badgerwind_gateway::engine::{Backend, Control, Engine, EngineEnd, InputOf, OutputOf, Terms};
+use badgerwind_gateway::engine::{Backend, Control, Engine, EngineEnd, InputOf, ModuleSettings, OutputOf};
 use badgerwind_platform::config;
 use badgerwind_standins::platform::configuration;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Keeps whom it answered, and how.
+/// Records the origin of each answered call and whether the call was refused.
 struct Answers(Arc<Mutex<Vec<(u32, bool)>>>);
 
 impl Backend for Answers {
@@ -19,23 +20,23 @@
     type Content = ();
     type Reply = ();
 
-    fn module(_: &()) -> u64 {
+    fn module_number(_: &()) -> u64 {
         0
     }
-    fn handed(_: &()) -> Time {
+    fn accepted_at(_: &()) -> Time {
         0
     }
     fn observe(&mut self, _: Time, _: &InputOf<Self>) {}
-    fn carry(&mut self, _: Time, output: OutputOf<Self>) {
+    fn execute(&mut self, _: Time, output: OutputOf<Self>) {
         if let Output::Answer { origin, answer, .. } = output {
             self.0.lock().unwrap().push((origin, matches!(answer, FinalAnswer::Refused { .. })));
         }
     }
-    fn settled(&mut self, _: usize, _: Duration) {}
+    fn on_batch_done(&mut self, _: usize, _: Duration) {}
 }
 
 #[test]
-fn a_call_that_has_not_had_its_turn_when_the_end_comes_is_answered() {
+fn calls_still_queued_at_shutdown_are_answered() {
     let address = "127.0.0.1:1".parse().unwrap();
     let config = config::read(configuration(address, address, &[]).to_string().as_bytes()).unwrap();
     let limits = Limits {
@@ -46,9 +47,9 @@
         cancel_timeout: 1_000_000,
         answer_slack: 8_000,
     };
-    let (clock, told) = (Clock::start(), Arc::<Mutex<Vec<(u32, bool)>>>::default());
-    let (inputs, from_fronts) = async_channel::unbounded();
-    let (control, controls) = async_channel::bounded(1);
+    let (clock, answers) = (Clock::start(), Arc::<Mutex<Vec<(u32, bool)>>>::default());
+    let (inputs, input_receiver) = async_channel::unbounded();
+    let (control, control_receiver) = async_channel::bounded(1);
     for origin in 0..3u32 {
         let request = Request {
             id: format!("c{origin}").into(),
@@ -64,17 +65,17 @@
         };
         inputs.try_send(badgerwind_driver::Input::Call(Call { request, origin, content: () })).unwrap();
     }
-    control.try_send(Control::End).unwrap();
+    control.try_send(Control::Stop).unwrap();
     let engine = Engine {
         clock,
-        inputs: from_fronts,
-        control: controls,
-        owed: Arc::default(),
+        inputs: input_receiver,
+        control: control_receiver,
+        unanswered: Arc::default(),
         lag: Arc::default(),
-        backend: Answers(told.clone()),
+        backend: Answers(answers.clone()),
     };
-    let terms = Terms::new(limits, &config.router);
-    let end = smol::block_on(engine.run(Box::new(Router::new(1, config.router)), terms));
-    assert_eq!(end, EngineEnd::Asked);
-    assert_eq!(*told.lock().unwrap(), [(0, true), (1, true), (2, true)]);
+    let settings = ModuleSettings::new(limits, &config.router);
+    let end = smol::block_on(engine.run(Box::new(Router::new(1, config.router)), settings));
+    assert_eq!(end, EngineEnd::Stopped);
+    assert_eq!(*answers.lock().unwrap(), [(0, true), (1, true), (2, true)]);
 }
