--- a/crates/badgerwind-gateway/src/platform/clients.rs
+++ b/crates/badgerwind-gateway/src/platform/clients.rs
@@ -1,7 +1,7 @@
-//! The web servers' connections.
+//! FastCGI connections from web servers.
 
-use super::shell::{Caller, Content, Input, Shell};
-use super::wire::{is_short, Wire};
+use super::runtime::{Caller, Content, Input, Runtime};
+use super::stream::{is_descriptor_limit, Stream};
 use badgerwind::interface::*;
 use badgerwind_driver::{Call, Failure, FinalAnswer};
 use badgerwind_platform::client::{Answer, ClientConnection, ClientEvent};
@@ -15,90 +15,94 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A connection that says nothing, or half a request, is closed after this.
-const SILENT: Span = 2_000_000;
-/// One that was answered and asks nothing more; the platform's own clients leave sooner.
-const IDLE: Span = 6_000_000;
-/// One that does not take its answers.
-const SLOW: Span = 5_000_000;
-/// Reads from one connection before others have their turn.
-const READS: usize = 4;
-/// The same, as a multiple, when what is here is read for the last time.
-const LAST_READS: usize = 16;
-/// How long accepting rests when descriptors are short, so that it does not spin.
-const REST: Duration = Duration::from_millis(20);
-/// Connections taken in before others have their turn: who connects without end would hold up those who ask.
-const ACCEPTS: usize = 16;
-/// Connections asked for their place before a newcomer goes without one.
-const ASKED_FOR_ROOM: usize = 8;
+/// A connection is closed if no request, or only part of one, arrives within this time, in microseconds.
+const REQUEST_TIMEOUT: Span = 2_000_000;
+/// A connection without open requests is closed after this time, in microseconds. The platform's own clients
+/// close theirs sooner.
+const IDLE_TIMEOUT: Span = 6_000_000;
+/// A connection whose client does not read its answers is closed after this time, in microseconds.
+const WRITE_TIMEOUT: Span = 5_000_000;
+/// Most reads from one connection before other tasks run.
+const READS_PER_TURN: usize = 4;
+/// Most turns of [`READS_PER_TURN`] reads for one connection when input is read for the last time.
+const MAX_FINAL_TURNS: usize = 16;
+/// Pause of the accept loop when no descriptor is free, so that it does not spin.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Most connections accepted before other tasks run; otherwise a flood of connections would delay requests.
+const ACCEPTS_PER_TURN: usize = 16;
+/// Most idle connections tried for eviction before a new connection is rejected.
+const MAX_EVICTION_ATTEMPTS: usize = 8;
 
+/// A connection from a web server.
 pub(super) struct Connection {
     number: u64,
     peer: SocketAddr,
-    wire: Wire,
-    machine: RefCell<ClientConnection>,
+    stream: Stream,
+    protocol: RefCell<ClientConnection>,
     opened: Time,
-    /// When something was last said, or answered.
-    last: Cell<Time>,
-    /// Since when a request or record has been coming in.
-    coming: Cell<Option<Time>>,
-    /// Since when answers wait to be taken.
-    stuck: Cell<Option<Time>>,
-    asked: Cell<bool>,
-    calls: RefCell<BTreeMap<u16, Open>>,
-    /// Its client has closed it.
-    ended: Cell<bool>,
+    /// When something was last received, or answered.
+    last_active: Cell<Time>,
+    /// Since when an incomplete request or record has been arriving.
+    receiving_since: Cell<Option<Time>>,
+    /// Since when answers wait for the client to read them.
+    unsent_since: Cell<Option<Time>>,
+    /// Whether a request has ever arrived on it.
+    had_request: Cell<bool>,
+    calls: RefCell<BTreeMap<u16, OpenRequest>>,
+    /// The client has closed it.
+    peer_closed: Cell<bool>,
     closing: Cell<bool>,
     dirty: Cell<bool>,
 }
 
 /// An open request.
-struct Open {
+struct OpenRequest {
     serial: u64,
     id: RequestId,
-    /// Bytes of its body.
+    /// Size of its body.
     bytes: usize,
 }
 
+/// All connections from web servers, and their open requests.
 #[derive(Default)]
 pub(super) struct Clients {
     connections: RefCell<HashMap<u64, Rc<Connection>>>,
     next: Cell<u64>,
     dirty: RefCell<Vec<Rc<Connection>>>,
-    /// Ids of open requests.
+    /// The ids of open requests.
     ids: RefCell<HashSet<RequestId>>,
-    /// Bytes of bodies of open requests.
-    bodies: Cell<usize>,
+    /// Total size of the bodies of open requests.
+    body_bytes: Cell<usize>,
 }
 
 impl Clients {
-    /// Requests open.
+    /// Number of open requests.
     pub(super) fn open(&self) -> usize {
         self.ids.borrow().len()
     }
 
-    /// Whether every answer given was taken.
+    /// Whether every answer was written.
     pub(super) fn all_sent(&self) -> bool {
-        self.connections.borrow().values().all(|c| c.machine.borrow().output().is_empty())
+        self.connections.borrow().values().all(|connection| connection.protocol.borrow().output().is_empty())
     }
 
-    /// Answers a request, unless its client has left or its number now stands for another.
-    pub(super) fn answer(&self, shell: &Shell, to: &Caller, answer: &FinalAnswer<Vec<u8>>) {
-        let Some(c) = self.connections.borrow().get(&to.connection).cloned() else { return };
+    /// Answers a request, unless its client has disconnected or its number now belongs to another request.
+    pub(super) fn answer(&self, runtime: &Runtime, to: &Caller, answer: &FinalAnswer<Vec<u8>>) {
+        let Some(connection) = self.connections.borrow().get(&to.connection).cloned() else { return };
         {
-            let mut calls = c.calls.borrow_mut();
+            let mut calls = connection.calls.borrow_mut();
             if calls.get(&to.number).is_none_or(|open| open.serial != to.serial) {
                 return;
             }
             if let Some(open) = calls.remove(&to.number) {
-                self.forget(&open);
+                self.release(&open);
             }
         }
         let answer = match answer {
             FinalAnswer::Served(body) => Answer { status: 200, retry_after_ms: None, body },
             FinalAnswer::Refused { retry_after, .. } => {
-                let stay_away = retry_after.filter(|&t| t > 0).map(|t| t.div_ceil(1000));
-                Answer { status: 503, retry_after_ms: stay_away, body: b"" }
+                let retry_after_ms = retry_after.filter(|&t| t > 0).map(|t| t.div_ceil(1000));
+                Answer { status: 503, retry_after_ms, body: b"" }
             }
             FinalAnswer::Failed(Failure::DuplicateId) => {
                 Answer { status: 409, retry_after_ms: None, body: b"" }
@@ -106,140 +110,154 @@
             FinalAnswer::Failed(Failure::Overdue) => Answer { status: 504, retry_after_ms: None, body: b"" },
             FinalAnswer::Failed(_) => Answer { status: 502, retry_after_ms: None, body: b"" },
         };
-        c.machine.borrow_mut().answer(to.number, &answer);
-        c.last.set(shell.clock.now());
-        self.mark(c);
+        connection.protocol.borrow_mut().answer(to.number, &answer);
+        connection.last_active.set(runtime.clock.now());
+        self.mark_dirty(connection);
     }
 
-    fn forget(&self, open: &Open) {
+    fn release(&self, open: &OpenRequest) {
         self.ids.borrow_mut().remove(&open.id);
-        self.bodies.set(self.bodies.get() - open.bytes);
+        self.body_bytes.set(self.body_bytes.get() - open.bytes);
     }
 
-    fn mark(&self, c: Rc<Connection>) {
-        if !c.dirty.replace(true) {
-            self.dirty.borrow_mut().push(c);
+    fn mark_dirty(&self, connection: Rc<Connection>) {
+        if !connection.dirty.replace(true) {
+            self.dirty.borrow_mut().push(connection);
         }
     }
 
-    /// Writes what is ready, one write for each connection.
+    /// Writes all pending answers, one write per connection.
     pub(super) fn flush(&self) {
-        for c in self.dirty.take() {
-            c.dirty.set(false);
-            c.flush();
-            // Its task waits for the rest to go out, or ends.
-            let m = c.machine.borrow();
-            if !m.output().is_empty() || m.is_input_closed() || c.closing.get() {
-                c.wire.wake();
+        for connection in self.dirty.take() {
+            connection.dirty.set(false);
+            connection.flush();
+            // The connection's task waits for the rest to be written, or ends.
+            let protocol = connection.protocol.borrow();
+            if !protocol.output().is_empty() || protocol.is_input_closed() || connection.closing.get() {
+                connection.stream.wake();
             }
         }
     }
 
-    fn full(&self, shell: &Shell) -> bool {
-        self.connections.borrow().len() >= shell.shares.client_connections
+    fn is_full(&self, runtime: &Runtime) -> bool {
+        self.connections.borrow().len() >= runtime.shares.client_connections
     }
 
-    /// Makes room for one more connection: one on which nothing is open goes; false where there is none.
-    pub(super) fn evict(&self, shell: &Shell) -> bool {
-        for _ in 0..ASKED_FOR_ROOM {
+    /// Makes room for one more connection by closing one without open requests; false if there is none.
+    pub(super) fn evict(&self, runtime: &Runtime) -> bool {
+        for _ in 0..MAX_EVICTION_ATTEMPTS {
             let connections = self.connections.borrow();
-            let idle = connections.values().filter(|c| c.idle());
-            // Those that never asked go first, then those that have been silent for longest.
-            let Some(victim) = idle
-                .min_by_key(|c| (c.asked.get(), c.machine.borrow().is_receiving(), c.last.get()))
+            let idle = connections.values().filter(|connection| connection.is_idle());
+            // Connections that never sent a request go first, then those that were inactive for longest.
+            let Some(candidate) = idle
+                .min_by_key(|connection| {
+                    (
+                        connection.had_request.get(),
+                        connection.protocol.borrow().is_receiving(),
+                        connection.last_active.get(),
+                    )
+                })
                 .cloned()
             else {
                 return false;
             };
             drop(connections);
-            if shell.close_if_idle(&victim) {
+            if runtime.close_if_idle(&candidate) {
                 return true;
             }
         }
         false
     }
 
-    /// Closes what has been silent, half said or not taken for too long.
-    pub(super) fn sweep(&self, shell: &Shell, now: Time) {
+    /// Closes connections that were inactive, sent an incomplete request or did not read their answers for
+    /// too long.
+    pub(super) fn maintain(&self, runtime: &Runtime, now: Time) {
         let all: Vec<_> = self.connections.borrow().values().cloned().collect();
-        for c in all {
+        for connection in all {
             let since = |at: Option<Time>, span| at.is_some_and(|at| now > at + span);
-            let quiet = c.idle();
-            let silent = quiet && !c.asked.get() && now > c.opened + SILENT;
-            let idle = quiet && now > c.last.get() + IDLE;
-            let half = quiet && since(c.coming.get(), SILENT);
-            if half || since(c.stuck.get(), SLOW) {
-                c.close();
+            let has_no_requests = connection.is_idle();
+            let silent =
+                has_no_requests && !connection.had_request.get() && now > connection.opened + REQUEST_TIMEOUT;
+            let idle = has_no_requests && now > connection.last_active.get() + IDLE_TIMEOUT;
+            let incomplete = has_no_requests && since(connection.receiving_since.get(), REQUEST_TIMEOUT);
+            if incomplete || since(connection.unsent_since.get(), WRITE_TIMEOUT) {
+                connection.close();
             } else if silent || idle {
-                shell.close_if_idle(&c);
+                runtime.close_if_idle(&connection);
             }
         }
     }
 
-    /// Reads what has come on all connections: a request is taken once its last byte is here, read or not.
-    pub(super) fn read_all(&self, shell: &Shell) {
+    /// Reads what has arrived on all connections: a request counts as received once its last byte is in the
+    /// socket's buffer.
+    pub(super) fn read_all(&self, runtime: &Runtime) {
         let all: Vec<_> = self.connections.borrow().values().cloned().collect();
-        for c in all.iter().filter(|c| !c.closing.get()) {
-            // One that sends faster than it is read would hold up the end.
-            let _ = (0..LAST_READS).find(|_| !shell.take_in(c));
-            self.mark(c.clone());
+        for connection in all.iter().filter(|connection| !connection.closing.get()) {
+            // Limited, since a client that sends faster than it is read would delay the shutdown.
+            let _ = (0..MAX_FINAL_TURNS).find(|_| !runtime.read_input(connection));
+            self.mark_dirty(connection.clone());
         }
     }
 
-    fn held(&self) -> usize {
+    fn buffered_bytes(&self) -> usize {
         let connections = self.connections.borrow();
-        self.bodies.get() + connections.values().map(|c| c.machine.borrow().buffered_bytes()).sum::<usize>()
+        self.body_bytes.get()
+            + connections
+                .values()
+                .map(|connection| connection.protocol.borrow().buffered_bytes())
+                .sum::<usize>()
     }
 }
 
 impl Connection {
     fn close(&self) {
         self.closing.set(true);
-        self.wire.wake();
+        self.stream.wake();
     }
 
-    /// Whether nothing is open on it, and every answer was taken.
-    fn idle(&self) -> bool {
-        let m = self.machine.borrow();
-        !self.closing.get() && m.unanswered() == 0 && m.output().is_empty()
+    /// Whether it has no open request, and every answer was written.
+    fn is_idle(&self) -> bool {
+        let protocol = self.protocol.borrow();
+        !self.closing.get() && protocol.unanswered() == 0 && protocol.output().is_empty()
     }
 
     fn flush(&self) {
-        let mut m = self.machine.borrow_mut();
-        if m.output().is_empty() {
+        let mut protocol = self.protocol.borrow_mut();
+        if protocol.output().is_empty() {
             return;
         }
-        match self.wire.write(m.output()) {
-            Ok(n) => m.on_written(n),
+        match self.stream.write(protocol.output()) {
+            Ok(n) => protocol.on_written(n),
             Err(_) => self.closing.set(true),
         }
-        if m.output().is_empty() {
-            self.stuck.set(None);
+        if protocol.output().is_empty() {
+            self.unsent_since.set(None);
         }
     }
 }
 
-impl Shell {
-    /// Takes connections in until the front end stops.
+impl Runtime {
+    /// Accepts connections until the front end stops.
     pub(super) async fn accept(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         loop {
-            // Without a free descriptor the system answers so whether or not anybody waits to be let in.
-            if listener.readable().await.is_err() || !self.let_in(&listener, ACCEPTS) {
-                Timer::after(REST).await;
+            // Without a free descriptor, accept fails whether or not a connection is waiting.
+            if listener.readable().await.is_err() || !self.accept_waiting(&listener, ACCEPTS_PER_TURN) {
+                Timer::after(ACCEPT_PAUSE).await;
             }
-            // The tasks of those that went have their turn before more are let in, so that descriptors are not held twice.
+            // The tasks of evicted connections run before more are accepted, so that their descriptors are
+            // free by then.
             yield_now().await;
         }
     }
 
-    /// Lets in those that wait now, so many at the most; false where the first could not be.
-    fn let_in(self: &Rc<Self>, listener: &Async<TcpListener>, most: usize) -> bool {
-        for n in 0..most {
+    /// Accepts up to `limit` waiting connections; false if the first could not be accepted.
+    fn accept_waiting(self: &Rc<Self>, listener: &Async<TcpListener>, limit: usize) -> bool {
+        for n in 0..limit {
             let evicted = match listener.get_ref().accept().and_then(|(s, from)| Ok((Async::new(s)?, from))) {
-                Ok((stream, peer)) => self.admit(stream, peer),
+                Ok((stream, peer)) => self.add_connection(stream, peer),
                 Err(e) if e.kind() == ErrorKind::WouldBlock || n > 0 => return true,
                 Err(e) => {
-                    self.not_let_in(&e);
+                    self.on_accept_error(&e);
                     return false;
                 }
             };
@@ -250,105 +268,110 @@
         true
     }
 
-    /// Lets in all that wait: they were taken in when the machine took them in.
-    pub(super) async fn let_in_all(self: &Rc<Self>, listener: &Async<TcpListener>) {
+    /// Accepts all waiting connections, since the operating system has established them already.
+    pub(super) async fn accept_all(self: &Rc<Self>, listener: &Async<TcpListener>) {
         for _ in 0..2 * self.shares.client_connections {
             let before = self.clients.next.get();
-            let came = self.let_in(listener, ACCEPTS);
+            let accepted = self.accept_waiting(listener, ACCEPTS_PER_TURN);
             yield_now().await;
-            if came && self.clients.next.get() == before {
+            if accepted && self.clients.next.get() == before {
                 return;
             }
         }
     }
 
-    /// Most likely for want of descriptors: one that only holds its own gives it up.
-    fn not_let_in(&self, e: &std::io::Error) {
-        let evicted = is_short(e) && self.clients.evict(self);
-        if let Some(more) = self.complaints.accept.may(self.clock.now()) {
+    /// Handles a failure to accept. If no descriptor was free, an idle connection is closed.
+    fn on_accept_error(&self, e: &std::io::Error) {
+        let evicted = is_descriptor_limit(e) && self.clients.evict(self);
+        if let Some(more) = self.log_limits.accept.may(self.clock.now()) {
             tracing::warn!(
                 evicted,
                 more,
-                "a connection cannot be accepted: {e}; the descriptor limit is below the configuration's limits.sockets"
+                "cannot accept a connection: {e}; the descriptor limit is below the configuration's limits.sockets"
             );
         }
     }
 
-    /// A connection comes in; whether another one went for it.
-    fn admit(self: &Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) -> bool {
-        let full = self.clients.full(self);
+    /// Adds an accepted connection; returns whether another one was evicted for it.
+    fn add_connection(self: &Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) -> bool {
+        let full = self.clients.is_full(self);
         if full && !self.clients.evict(self) {
-            return false; // dropped: a close
+            return false; // dropping the stream closes it
         }
         let number = self.clients.next.replace(self.clients.next.get() + 1);
         let now = self.clock.now();
-        let c = Rc::new(Connection {
+        let connection = Rc::new(Connection {
             number,
             peer,
-            wire: Wire::new(stream),
-            machine: RefCell::default(),
+            stream: Stream::new(stream),
+            protocol: RefCell::default(),
             opened: now,
-            last: Cell::new(now),
-            coming: Cell::default(),
-            stuck: Cell::default(),
-            asked: Cell::default(),
+            last_active: Cell::new(now),
+            receiving_since: Cell::default(),
+            unsent_since: Cell::default(),
+            had_request: Cell::default(),
             calls: RefCell::default(),
-            ended: Cell::default(),
+            peer_closed: Cell::default(),
             closing: Cell::default(),
             dirty: Cell::default(),
         });
-        self.clients.connections.borrow_mut().insert(number, c.clone());
-        self.tasks.spawn(self.clone().serve(c)).detach();
+        self.clients.connections.borrow_mut().insert(number, connection.clone());
+        self.tasks.spawn(self.clone().serve_client(connection)).detach();
         full
     }
 
-    /// Closes a connection on which nothing is open, unless a request has come meanwhile that only was not read yet. Whether it
-    /// was closed.
-    fn close_if_idle(&self, c: &Rc<Connection>) -> bool {
-        let before = c.last.get();
-        self.take_in(c);
-        let closes = c.idle() && (c.ended.get() || c.last.get() == before);
-        if closes {
-            c.close();
+    /// Closes a connection without open requests, unless an unread request has arrived on it. Returns whether
+    /// it was closed.
+    fn close_if_idle(&self, connection: &Rc<Connection>) -> bool {
+        let before = connection.last_active.get();
+        self.read_input(connection);
+        let closed =
+            connection.is_idle() && (connection.peer_closed.get() || connection.last_active.get() == before);
+        if closed {
+            connection.close();
         } else {
-            c.wire.wake();
+            connection.stream.wake();
         }
-        closes
+        closed
     }
 
-    /// Reads what has come on a connection; whether more may be there.
-    fn take_in(&self, c: &Rc<Connection>) -> bool {
-        let mut heard = Vec::new();
-        for _ in 0..READS {
-            if c.ended.get() || c.closing.get() {
+    /// Reads and processes what has arrived on a connection; returns whether more may be available.
+    fn read_input(&self, connection: &Rc<Connection>) -> bool {
+        let mut events = Vec::new();
+        for _ in 0..READS_PER_TURN {
+            if connection.peer_closed.get() || connection.closing.get() {
                 return false;
             }
             let mut scratch = self.scratch.borrow_mut();
-            match c.wire.read(&mut scratch) {
+            match connection.stream.read(&mut scratch) {
                 Ok(Some(0)) => {
-                    c.ended.set(true);
+                    connection.peer_closed.set(true);
                     drop(scratch);
-                    self.left(c);
+                    self.on_client_closed(connection);
                     return false;
                 }
                 Ok(Some(n)) => {
                     let now = self.clock.now();
-                    c.last.set(now);
-                    let mut m = c.machine.borrow_mut();
-                    m.on_bytes(&scratch[..n], &mut heard);
-                    let coming = if m.is_receiving() { c.coming.get().or(Some(now)) } else { None };
-                    c.coming.set(coming);
-                    drop((m, scratch));
-                    for h in heard.drain(..) {
-                        self.heard(c, now, h);
+                    connection.last_active.set(now);
+                    let mut protocol = connection.protocol.borrow_mut();
+                    protocol.on_bytes(&scratch[..n], &mut events);
+                    let receiving_since = if protocol.is_receiving() {
+                        connection.receiving_since.get().or(Some(now))
+                    } else {
+                        None
+                    };
+                    connection.receiving_since.set(receiving_since);
+                    drop((protocol, scratch));
+                    for event in events.drain(..) {
+                        self.on_event(connection, now, event);
                     }
                     if n < 4096 {
-                        return false; // most likely all there was
+                        return false; // most likely nothing is left
                     }
                 }
                 Ok(None) => return false,
                 Err(_) => {
-                    c.closing.set(true);
+                    connection.closing.set(true);
                     return false;
                 }
             }
@@ -356,97 +379,104 @@
         true
     }
 
-    /// Nobody waits any more for what is open on a connection. Whoever closed it is not told apart from one that still
-    /// reads: the platform's web servers close both ways at once, and what nobody waits for is not to begin.
-    fn left(&self, c: &Connection) {
-        c.machine.borrow_mut().on_closed();
-        for open in c.calls.take().into_values() {
-            self.clients.forget(&open);
-            self.tell(Input::CallerDisconnected { id: open.id, finish_started: false });
+    /// Reports the open requests of a closed connection to the engine. A client that closed only its sending
+    /// side is treated as disconnected, too: the platform's web servers close both directions at once, and a
+    /// call that nobody waits for must not start.
+    fn on_client_closed(&self, connection: &Connection) {
+        connection.protocol.borrow_mut().on_closed();
+        for open in connection.calls.take().into_values() {
+            self.clients.release(&open);
+            self.send_input(Input::CallerDisconnected { id: open.id, finish_started: false });
         }
     }
 
-    async fn serve(self: Rc<Self>, c: Rc<Connection>) {
-        while !c.closing.get() {
-            c.wire.ready(!c.ended.get(), || !c.machine.borrow().output().is_empty()).await;
-            // Also where nothing more is taken in: a withdrawal or a close behind it counts.
-            self.take_in(&c);
-            c.flush();
-            let mut m = c.machine.borrow_mut();
-            if m.output().is_empty() {
-                c.stuck.set(None);
-            } else if c.stuck.get().is_none() {
-                c.stuck.set(Some(self.clock.now()));
+    async fn serve_client(self: Rc<Self>, connection: Rc<Connection>) {
+        while !connection.closing.get() {
+            connection
+                .stream
+                .ready(!connection.peer_closed.get(), || !connection.protocol.borrow().output().is_empty())
+                .await;
+            // Read even if no more requests are accepted: an abort or a close may follow.
+            self.read_input(&connection);
+            connection.flush();
+            let mut protocol = connection.protocol.borrow_mut();
+            if protocol.output().is_empty() {
+                connection.unsent_since.set(None);
+            } else if connection.unsent_since.get().is_none() {
+                connection.unsent_since.set(Some(self.clock.now()));
             }
-            if m.buffered_bytes() > self.shares.answer_bytes {
-                m.close_input();
+            if protocol.buffered_bytes() > self.shares.answer_bytes {
+                protocol.close_input();
             }
-            let over = m.output().is_empty() && m.unanswered() == 0;
-            if over && (c.ended.get() || m.is_input_closed())
-                || m.discard_limit_exceeded()
-                || m.output().len() > self.shares.answer_bytes
+            let finished = protocol.output().is_empty() && protocol.unanswered() == 0;
+            if finished && (connection.peer_closed.get() || protocol.is_input_closed())
+                || protocol.discard_limit_exceeded()
+                || protocol.output().len() > self.shares.answer_bytes
             {
-                c.closing.set(true);
+                connection.closing.set(true);
             }
         }
-        self.clients.connections.borrow_mut().remove(&c.number);
-        self.left(&c);
+        self.clients.connections.borrow_mut().remove(&connection.number);
+        self.on_client_closed(&connection);
     }
 
-    fn heard(&self, c: &Rc<Connection>, now: Time, heard: ClientEvent) {
-        c.asked.set(true);
-        let (number, params, body) = match heard {
+    fn on_event(&self, connection: &Rc<Connection>, now: Time, event: ClientEvent) {
+        connection.had_request.set(true);
+        let (number, params, body) = match event {
             ClientEvent::Request { number, params, body } => (number, params, body),
             ClientEvent::Aborted { number } => {
-                if let Some(open) = c.calls.borrow_mut().remove(&number) {
-                    self.clients.forget(&open);
-                    self.tell(Input::CallerDisconnected { id: open.id, finish_started: false });
+                if let Some(open) = connection.calls.borrow_mut().remove(&number) {
+                    self.clients.release(&open);
+                    self.send_input(Input::CallerDisconnected { id: open.id, finish_started: false });
                 }
                 return;
             }
         };
-        let plain = |status| {
-            c.machine.borrow_mut().answer(number, &Answer { status, retry_after_ms: None, body: b"" });
+        let answer_status = |status| {
+            connection
+                .protocol
+                .borrow_mut()
+                .answer(number, &Answer { status, retry_after_ms: None, body: b"" });
         };
-        let f = match fields::read(&params, &self.names) {
-            Ok(ParsedRequest::Health) => return plain(if self.stopping.get() { 503 } else { 200 }),
-            Ok(ParsedRequest::Call(f)) => f,
+        let call = match fields::read(&params, &self.names) {
+            Ok(ParsedRequest::Health) => return answer_status(if self.stopping.get() { 503 } else { 200 }),
+            Ok(ParsedRequest::Call(call)) => call,
             Err(e) => {
-                if let Some(more) = self.complaints.request.may(now) {
-                    tracing::warn!(peer = %c.peer, more, "a request cannot be used: {e}; it is answered 400");
+                if let Some(more) = self.log_limits.request.may(now) {
+                    tracing::warn!(peer = %connection.peer, more, "invalid request: {e}; answered with status 400");
                 }
-                return plain(400);
+                return answer_status(400);
             }
         };
-        let id: RequestId = f.id.as_str().into();
+        let id: RequestId = call.id.as_str().into();
         if self.clients.ids.borrow().contains(&id) {
-            return plain(409);
+            return answer_status(409);
         }
         let full = self.clients.open() >= self.shares.open_requests
-            || self.clients.held() > self.shares.request_bytes;
-        if full || self.closed.get() {
-            return plain(503);
+            || self.clients.buffered_bytes() > self.shares.request_bytes;
+        if full || self.intake_closed.get() {
+            return answer_status(503);
         }
         let serial = self.clients.next.replace(self.clients.next.get() + 1);
         self.clients.ids.borrow_mut().insert(id.clone());
         let bytes = body.len();
-        self.clients.bodies.set(self.clients.bodies.get() + bytes);
-        c.calls.borrow_mut().insert(number, Open { serial, id: id.clone(), bytes });
-        let key: FunctionId = f.key.as_str().into();
+        self.clients.body_bytes.set(self.clients.body_bytes.get() + bytes);
+        connection.calls.borrow_mut().insert(number, OpenRequest { serial, id: id.clone(), bytes });
+        let function: FunctionId = call.key.as_str().into();
         let request = Request {
             id: id.clone(),
-            retry: f.retry,
-            tenant: f.tenant,
+            retry: call.retry,
+            tenant: call.tenant,
             hint: None,
-            function: key.clone(),
-            memory_mb: f.memory_mb,
-            lanes: f.lanes,
-            class: f.class,
-            due: now + f.wait,
-            load_time: f.load_time,
+            function: function.clone(),
+            memory_mb: call.memory_mb,
+            lanes: call.lanes,
+            class: call.class,
+            due: now + call.wait,
+            load_time: call.load_time,
         };
-        let content = Rc::new(Content { id, class: f.class, key, body, handed: now });
-        let origin = Caller { connection: c.number, number, serial };
-        self.tell(Input::Call(Call { request, origin, content }));
+        let content = Rc::new(Content { id, class: call.class, function, body, accepted_at: now });
+        let origin = Caller { connection: connection.number, number, serial };
+        self.send_input(Input::Call(Call { request, origin, content }));
     }
 }
--- a/crates/badgerwind-gateway/src/platform/connection.rs
+++ b/crates/badgerwind-gateway/src/platform/connection.rs
@@ -1,8 +1,9 @@
-//! One connection to an executor: what is written on it and when, what its answers and its end prove.
+//! One connection to an executor: when queued lines are written, and what its answers and its end imply for
+//! calls, orders and probes.
 
 use super::freshness::name;
-use super::shell::{Content, Input, Shell};
-use super::wire::{is_short, Wire};
+use super::runtime::{Content, Input, Runtime};
+use super::stream::{is_descriptor_limit, Stream};
 use badgerwind::interface::*;
 use badgerwind_driver::AttemptEnd;
 use badgerwind_freshness::Permit;
@@ -16,21 +17,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What goes out with an attempt, and how often it was put on a connection that broke before it was out whole.
+/// The content of an attempt, and how often it was queued again because a connection broke before its last
+/// byte was written.
 #[derive(Clone)]
-pub(super) struct Out {
+pub(super) struct CallContent {
     content: Rc<Content>,
-    again: u8,
+    resends: u8,
 }
 
-impl Out {
-    pub(super) fn new(content: Rc<Content>) -> Out {
-        Out { content, again: 0 }
+impl CallContent {
+    pub(super) fn new(content: Rc<Content>) -> CallContent {
+        CallContent { content, resends: 0 }
     }
 
-    /// The function that is called.
+    /// The key of the called function.
     pub(super) fn key(&self) -> &str {
-        &self.content.key
+        &self.content.function
     }
 
     pub(super) fn content(&self) -> &Content {
@@ -38,173 +40,180 @@
     }
 }
 
-/// Connections that may break under one attempt before its last byte is out: then the executor counts as unreachable.
-const AGAIN: u8 = 2;
-/// Pause before a connection is tried again for which there was no descriptor.
-const SHORT: Duration = Duration::from_millis(2);
-/// Reads from one connection before others have their turn.
-const READS: usize = 4;
-/// The board's word and an attempt's first byte cross; this much of the drain's grace is left unused, in microseconds.
-const MARGIN: Span = 5_000;
-
+/// How often an attempt is queued again after a connection broke before its last byte was written. After that
+/// the executor counts as unreachable.
+const MAX_RESENDS: u8 = 2;
+/// Pause before a connection that failed for want of a descriptor is tried again.
+const DESCRIPTOR_PAUSE: Duration = Duration::from_millis(2);
+/// Most reads from one connection before other tasks run.
+const READS_PER_TURN: usize = 4;
+/// How long before the end of the drain grace attempts stop being sent, in microseconds. The drain event and
+/// the first byte of an attempt may cross on the network.
+const DRAIN_MARGIN: Span = 5_000;
+
+/// A connection to an executor, and the tasks queued on it.
 pub(super) struct Connection {
     pub worker: WorkerId,
-    wire: RefCell<Option<Rc<Wire>>>,
-    pub link: RefCell<Link<Out>>,
-    /// The other side has ended it, or has sent what cannot be read: its task acts on it next.
-    over: Cell<Option<Over>>,
-    /// What did not go out ends so.
-    unsent: Cell<Outcome>,
+    stream: RefCell<Option<Rc<Stream>>>,
+    pub link: RefCell<Link<CallContent>>,
+    /// How the executor ended the connection, if it did; the connection's task handles it.
+    remote_end: Cell<Option<RemoteEnd>>,
+    /// The outcome of tasks that were not sent.
+    unsent_outcome: Cell<Outcome>,
     closing: Cell<bool>,
     dirty: Cell<bool>,
-    door: Cell<Door>,
-    /// What was put on it last keeps it for itself until nothing is on it.
-    kept: Cell<bool>,
+    acceptance: Cell<Acceptance>,
+    /// Whether the last task queued here must not share the connection until it has ended.
+    exclusive: Cell<bool>,
 }
 
-/// How the other side ended a connection.
+/// How the executor ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Over {
+enum RemoteEnd {
     Closed,
-    Spoilt,
+    /// It sent something that cannot be parsed.
+    ProtocolError,
 }
 
-/// How far a new connection has come.
+/// Whether the executor has accepted a new connection, judged by the first answers on it. An executor whose
+/// connection table is full rejects everything on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Door {
-    /// Nothing was answered on it yet.
-    Unseen,
-    /// Calls were turned away on it, and nothing else came.
-    TurnedAway,
-    /// Something was answered otherwise.
-    Inside,
+enum Acceptance {
+    /// No answer has arrived yet.
+    Unknown,
+    /// All answers so far were rejections.
+    Rejected,
+    /// Some answer was not a rejection.
+    Accepted,
 }
 
 impl Connection {
-    /// One that is to come up.
+    /// A connection that is yet to be established.
     pub(super) fn new(worker: WorkerId, now: Time) -> Connection {
         Connection {
             worker,
-            wire: RefCell::default(),
+            stream: RefCell::default(),
             link: RefCell::new(Link::new(now)),
-            over: Cell::default(),
-            unsent: Cell::new(Outcome::ConnectFailed),
+            remote_end: Cell::default(),
+            unsent_outcome: Cell::new(Outcome::ConnectFailed),
             closing: Cell::default(),
             dirty: Cell::default(),
-            door: Cell::new(Door::Unseen),
-            kept: Cell::default(),
+            acceptance: Cell::new(Acceptance::Unknown),
+            exclusive: Cell::default(),
         }
     }
 
-    /// Whether something was taken in over it.
-    pub(super) fn proven(&self) -> bool {
-        self.door.get() == Door::Inside
+    /// Whether the executor has accepted work over it.
+    pub(super) fn is_accepted(&self) -> bool {
+        self.acceptance.get() == Acceptance::Accepted
     }
 
-    /// How much is on it.
-    pub(super) fn busy(&self) -> usize {
+    /// Number of tasks queued or unanswered on it.
+    pub(super) fn task_count(&self) -> usize {
         self.link.borrow().task_count()
     }
 
-    /// Whether it is the first time since its last write that something is put on it.
-    pub(super) fn becomes_dirty(&self) -> bool {
+    /// Marks that it has something to write; false if it was marked already.
+    pub(super) fn mark_dirty(&self) -> bool {
         !self.dirty.replace(true)
     }
 
-    /// Its lines are about to be written.
-    pub(super) fn becomes_clean(&self) {
+    /// Removes the mark, just before its lines are written.
+    pub(super) fn clear_dirty(&self) {
         self.dirty.set(false);
     }
 
-    /// Has its task wait until the rest of its lines can go out.
-    pub(super) fn wake_for_the_rest(&self) {
-        let wire = self.wire.borrow();
-        if let Some(wire) = wire.as_ref().filter(|_| !self.link.borrow().output().is_empty()) {
-            wire.wake();
+    /// Wakes its task if some output is left, so that it waits for the socket to become writable.
+    pub(super) fn wake_for_output(&self) {
+        let stream = self.stream.borrow();
+        if let Some(stream) = stream.as_ref().filter(|_| !self.link.borrow().output().is_empty()) {
+            stream.wake();
         }
     }
 
-    /// What is put on it next keeps it for itself, or does not.
-    pub(super) fn keep_for_one(&self, kept: bool) {
-        self.kept.set(kept);
+    /// Sets whether the task queued next may not share the connection.
+    pub(super) fn set_exclusive(&self, exclusive: bool) {
+        self.exclusive.set(exclusive);
     }
 
-    /// Whether more than one call may be on it.
-    pub(super) fn shared(&self) -> bool {
-        !self.kept.get()
+    /// Whether more than one call may be queued on it.
+    pub(super) fn is_shareable(&self) -> bool {
+        !self.exclusive.get()
     }
 
-    pub(super) fn closes(&self) -> bool {
+    pub(super) fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
     pub(super) fn is_up(&self) -> bool {
-        self.wire.borrow().is_some()
+        self.stream.borrow().is_some()
     }
 
-    /// Whether new work waits on it.
+    /// Whether new work is queued on it.
     pub(super) fn has_new_work(&self) -> bool {
-        self.link.borrow().queued().any(|task| task.new_work(Out::key).is_some())
+        self.link.borrow().queued().any(|task| task.new_work(CallContent::key).is_some())
     }
 
-    /// The function of the first new work that waits on it.
+    /// The function of the first new work that is queued on it.
     pub(super) fn first_new_work(&self) -> Option<FunctionId> {
-        self.link.borrow().queued().find_map(|task| task.new_work(Out::key)).map(FunctionId::from)
+        self.link.borrow().queued().find_map(|task| task.new_work(CallContent::key)).map(FunctionId::from)
     }
 
-    pub(super) fn idle(&self) -> bool {
-        self.link.borrow().task_count() == 0 && self.wire.borrow().is_some()
+    pub(super) fn is_idle(&self) -> bool {
+        self.link.borrow().task_count() == 0 && self.stream.borrow().is_some()
     }
 
-    /// Whether it takes something new.
-    pub(super) fn takes(&self, task: &Task<Out>) -> bool {
+    /// Whether the task may be queued on it.
+    pub(super) fn accepts(&self, task: &Task<CallContent>) -> bool {
         let id = match task {
             Task::Attempt { id, .. } => id,
             _ => "",
         };
-        !self.closing.get() && self.over.get().is_none() && self.link.borrow().accepts(id)
+        !self.closing.get() && self.remote_end.get().is_none() && self.link.borrow().accepts(id)
     }
 
     pub(super) fn close(&self) {
         self.closing.set(true);
-        if let Some(wire) = &*self.wire.borrow() {
-            wire.wake();
+        if let Some(stream) = &*self.stream.borrow() {
+            stream.wake();
         }
     }
 
-    /// Takes nothing new; closed at once where nothing is out on it.
+    /// Stops accepting tasks; closes the connection at once if no task is on it.
     pub(super) fn retire(&self) {
         self.link.borrow_mut().retire();
-        if self.wire.borrow().is_none() {
-            self.unsent.set(Outcome::Moot);
+        if self.stream.borrow().is_none() {
+            self.unsent_outcome.set(Outcome::Moot);
             self.close();
-        } else if self.idle() {
+        } else if self.is_idle() {
             self.close();
         }
     }
 }
 
-impl Shell {
-    /// Begins what waits on a connection, and writes what its socket takes.
-    pub(super) fn push_out(self: &Rc<Self>, c: &Rc<Connection>) {
-        let Some(wire) = c.wire.borrow().clone() else { return };
+impl Runtime {
+    /// Starts the tasks queued on a connection, and writes as much as its socket accepts.
+    pub(super) fn write_queued(self: &Rc<Self>, connection: &Rc<Connection>) {
+        let Some(stream) = connection.stream.borrow().clone() else { return };
         let (now, mut ends) = (self.clock.now(), Vec::new());
-        // Looked at again now that the first byte goes: what was queued may not go out after the drain's limit, nor to one of
-        // which nobody has told for too long whether it takes work.
-        let leaving = self.executors.leaving(c.worker);
-        let barred = leaving.is_some_and(|at| now + MARGIN > at + self.set.drain_grace);
-        let permit = if barred { Permit::Denied(Outcome::ConnectFailed) } else { self.permit(c, now) };
-        let mut link = c.link.borrow_mut();
+        // Checked again here, just before the first byte is sent: queued work must not be sent after the
+        // drain grace, nor to an executor whose state has not been confirmed for too long.
+        let draining_since = self.executors.draining_since(connection.worker);
+        let drain_ended =
+            draining_since.is_some_and(|at| now + DRAIN_MARGIN > at + self.settings.drain_grace);
+        let permit =
+            if drain_ended { Permit::Denied(Outcome::ConnectFailed) } else { self.permit(connection, now) };
+        let mut link = connection.link.borrow_mut();
         link.start_queued(now, |task, out| self.start(now, permit, task, out), &mut ends);
-        let failed = match wire.write(link.output()) {
+        let failed = match stream.write(link.output()) {
             Ok(n) => {
-                let owed = link.awaiting_count();
+                let awaiting = link.awaiting_count();
                 link.on_written(n, &mut ends);
-                link.requeue_unwritten(|task| task.new_work(Out::key).is_some());
-                if link.awaiting_count() > owed {
-                    self.executors.reach(c.worker, |r| r.on_sent(now));
+                link.requeue_unwritten(|task| task.new_work(CallContent::key).is_some());
+                if link.awaiting_count() > awaiting {
+                    self.executors.update_reachability(connection.worker, |r| r.on_sent(now));
                 }
-                // A call-off that cannot go out: only the end of the connection gives its attempt up now.
+                // If a cancellation cannot be written, only closing the connection ends its attempt.
                 link.has_unsent_cancellation()
             }
             Err(_) => true,
@@ -212,41 +221,41 @@
         drop(link);
         let unsent = match permit {
             Permit::Denied(outcome) => outcome,
-            _ => Outcome::ConnectFailed, // its time is up
+            _ => Outcome::ConnectFailed, // its time limit has passed
         };
-        ends.into_iter().for_each(|end| self.end(c.worker, end, unsent));
+        ends.into_iter().for_each(|end| self.report_end(connection.worker, end, unsent));
         if failed {
-            self.broken(c, false);
+            self.on_broken(connection, false);
         }
     }
 
-    /// Appends the line of a task, where it begins now.
-    fn start(&self, now: Time, permit: Permit, task: &Task<Out>, out: &mut Vec<u8>) -> Start {
-        if task.new_work(Out::key).is_some() {
+    /// Appends the line of a task if the task may start now.
+    fn start(&self, now: Time, permit: Permit, task: &Task<CallContent>, out: &mut Vec<u8>) -> Start {
+        if task.new_work(CallContent::key).is_some() {
             match permit {
                 Permit::Granted => self.freshness.borrow_mut().on_work_sent(now),
                 Permit::Ask | Permit::Wait => return Start::Deferred,
                 Permit::Denied(_) => return Start::Dropped,
             }
         }
-        if self.line(now, task, out) {
+        if self.append_line(now, task, out) {
             Start::Started
         } else {
             Start::Dropped
         }
     }
 
-    /// Appends the line of a task; false where it must not go out any more.
-    fn line(&self, now: Time, task: &Task<Out>, out: &mut Vec<u8>) -> bool {
+    /// Appends the line of a task; false if it must not be sent any more.
+    fn append_line(&self, now: Time, task: &Task<CallContent>, out: &mut Vec<u8>) -> bool {
         match task {
-            Task::Attempt { content: Out { content, .. }, limit, .. } => {
-                let ms = limit.saturating_sub(now) / 1000;
-                if ms == 0 {
+            Task::Attempt { content: CallContent { content, .. }, limit, .. } => {
+                let wait_ms = limit.saturating_sub(now) / 1000;
+                if wait_ms == 0 {
                     return false;
                 }
-                let kind = self.names.classes.get(content.class).map_or("", String::as_str);
-                let (id, obj, body) = (&*content.id, &*content.key, &*content.body);
-                line::call(out, &line::Call { id, class: kind, function: obj, wait_ms: ms, body });
+                let class = self.names.classes.get(content.class).map_or("", String::as_str);
+                let (id, function, body) = (&*content.id, &*content.function, &*content.body);
+                line::call(out, &line::Call { id, class, function, wait_ms, body });
             }
             Task::Order { order, key, copies } => {
                 line::load(out, &order_tag(*order), key, *copies);
@@ -259,19 +268,19 @@
         true
     }
 
-    /// Whether a call must not run twice, whatever becomes of its connection.
-    pub(super) fn once(&self, content: &Content) -> bool {
-        self.set.classes.get(content.class).is_some_and(|c| c.effect == Effect::Once)
+    /// Whether a call must not run twice, even if its connection breaks.
+    pub(super) fn must_not_run_twice(&self, content: &Content) -> bool {
+        self.settings.classes.get(content.class).is_some_and(|class| class.effect == Effect::Once)
     }
 
-    /// It never ran.
-    pub(super) fn unsent(&self, worker: WorkerId, task: Task<Out>, outcome: Outcome) {
+    /// Reports the end of a task that was never sent.
+    pub(super) fn report_unsent(&self, worker: WorkerId, task: Task<CallContent>, outcome: Outcome) {
         match task {
             Task::Attempt { id, attempt, .. } => {
-                self.tell(Input::AttemptEnded { id, attempt, end: AttemptEnd::from_outcome(outcome) });
+                self.send_input(Input::AttemptEnded { id, attempt, end: AttemptEnd::from_outcome(outcome) });
             }
-            Task::Order { order, .. } => self.tell(Input::OrderEnded { order, outcome, copies: 0 }),
-            Task::Probe(_) => self.tell(Input::ProbeEnded { worker, outcome, report: None }),
+            Task::Order { order, .. } => self.send_input(Input::OrderEnded { order, outcome, copies: 0 }),
+            Task::Probe(_) => self.send_input(Input::ProbeEnded { worker, outcome, report: None }),
             Task::ProbeQuestion { .. } | Task::OrderQuestion { .. } => {
                 self.freshness.borrow_mut().on_question_unanswered(worker)
             }
@@ -279,193 +288,200 @@
         }
     }
 
-    /// Tells how something ended; `unsent` is what became of one that never went out.
-    pub(super) fn end(&self, worker: WorkerId, end: End<Out>, unsent: Outcome) {
+    /// Reports the end of a task; `unsent` is the outcome if it was never sent.
+    pub(super) fn report_end(&self, worker: WorkerId, end: End<CallContent>, unsent: Outcome) {
         match end {
             End::Attempt(id, attempt, end) => {
-                self.tell(Input::AttemptEnded { id, attempt, end });
+                self.send_input(Input::AttemptEnded { id, attempt, end });
+            }
+            End::Order(order, outcome, copies) => {
+                self.send_input(Input::OrderEnded { order, outcome, copies })
             }
-            End::Order(order, outcome, copies) => self.tell(Input::OrderEnded { order, outcome, copies }),
-            End::Probe(outcome) => self.tell(Input::ProbeEnded { worker, outcome, report: None }),
+            End::Probe(outcome) => self.send_input(Input::ProbeEnded { worker, outcome, report: None }),
             End::Question(Outcome::Reset) => self.freshness.borrow_mut().on_question_unanswered(worker),
             End::Question(_) => {}
-            End::Unsent(task) => self.unsent(worker, task, unsent),
+            End::Unsent(task) => self.report_unsent(worker, task, unsent),
         }
     }
 
-    /// A connection is over: everything on it ends. What never went out whole goes over a new one, since a connection that
-    /// was up shows that the executor is there.
-    pub(super) fn broken(self: &Rc<Self>, c: &Rc<Connection>, spoilt: bool) {
-        let was_up = c.wire.borrow().is_some();
+    /// Ends a connection and every task on it. Attempts that were not written completely are queued on a new
+    /// connection, since a connection that was established shows that the executor is reachable.
+    pub(super) fn on_broken(self: &Rc<Self>, connection: &Rc<Connection>, protocol_error: bool) {
+        let was_up = connection.stream.borrow().is_some();
         let mut ends = Vec::new();
-        c.link.borrow_mut().close(spoilt, &mut ends);
-        c.close();
-        if was_up && ends.iter().any(|e| matches!(e, End::Attempt(_, _, end) if matches!(end.outcome, Outcome::Reset | Outcome::Error))) {
-            self.executors.broke();
+        connection.link.borrow_mut().close(protocol_error, &mut ends);
+        connection.close();
+        if was_up && ends.iter().any(|end| matches!(end, End::Attempt(_, _, end) if matches!(end.outcome, Outcome::Reset | Outcome::Error))) {
+            self.executors.on_break();
         }
         for end in ends {
             match end {
                 End::Unsent(Task::Attempt { id, attempt, mut content, limit })
-                    if was_up && content.again < AGAIN =>
+                    if was_up && content.resends < MAX_RESENDS =>
                 {
-                    content.again += 1;
+                    content.resends += 1;
                     let task = Task::Attempt { id, attempt, content, limit };
-                    self.executors.put(self, self.clock.now(), c.worker, task, true);
+                    self.executors.enqueue(self, self.clock.now(), connection.worker, task, true);
                 }
-                end => self.end(c.worker, end, c.unsent.get()),
+                end => self.report_end(connection.worker, end, connection.unsent_outcome.get()),
             }
         }
-        // A question may have ended with it for which work waits on other connections.
-        self.push_out_waiting(c.worker);
+        // Work on other connections may have waited for a question that ended here.
+        self.write_waiting_work(connection.worker);
     }
 
-    /// What an answer says of the connection that it came over.
-    fn at_the_door(&self, c: &Connection, end: &End<Out>) {
-        let no = match end {
+    /// Updates from an answer whether the executor has accepted the connection.
+    fn update_acceptance(&self, connection: &Connection, end: &End<CallContent>) {
+        let rejected = match end {
             End::Attempt(_, _, end) => end.outcome == Outcome::Full,
             End::Order(_, outcome, _) | End::Question(outcome) => *outcome == Outcome::Full,
             _ => false,
         };
-        match (c.door.get(), no) {
-            (Door::Unseen, true) => c.door.set(Door::TurnedAway),
-            (Door::Inside, _) | (_, true) => {}
+        match (connection.acceptance.get(), rejected) {
+            (Acceptance::Unknown, true) => connection.acceptance.set(Acceptance::Rejected),
+            (Acceptance::Accepted, _) | (_, true) => {}
             _ => {
-                c.door.set(Door::Inside);
-                self.executors.reach(c.worker, Reachability::on_accepted);
+                connection.acceptance.set(Acceptance::Accepted);
+                self.executors.update_reachability(connection.worker, Reachability::on_accepted);
             }
         }
     }
 
-    /// A connection's life.
-    pub(super) async fn drive(self: Rc<Self>, c: Rc<Connection>, address: SocketAddr) {
-        self.connected(&c, address).await;
-        // Closed by the other side, and nothing but "no" came over it: it takes no more connections.
-        if c.door.get() == Door::TurnedAway && !c.closing.get() {
+    /// The task of a connection: establishes it, exchanges lines and cleans up at its end.
+    pub(super) async fn run_connection(self: Rc<Self>, connection: Rc<Connection>, address: SocketAddr) {
+        self.connect_and_exchange(&connection, address).await;
+        // The executor closed it after nothing but rejections: its connection table is full.
+        if connection.acceptance.get() == Acceptance::Rejected && !connection.closing.get() {
             let now = self.clock.now();
             tracing::debug!(
-                worker = c.worker,
-                "a new connection was turned away: the executor's table is full"
+                worker = connection.worker,
+                "a new connection was rejected: the executor's connection table is full"
             );
-            self.executors.reach(c.worker, |r| r.on_rejected(now, fastrand::f64()));
+            self.executors.update_reachability(connection.worker, |r| r.on_rejected(now, fastrand::f64()));
         }
-        self.broken(&c, c.over.get() == Some(Over::Spoilt));
-        let was_up = c.is_up();
-        *c.wire.borrow_mut() = None;
-        self.executors.ended(&c);
+        self.on_broken(&connection, connection.remote_end.get() == Some(RemoteEnd::ProtocolError));
+        let was_up = connection.is_up();
+        *connection.stream.borrow_mut() = None;
+        self.executors.remove_connection(&connection);
         if was_up {
-            self.went_down(&c);
+            self.on_disconnected(&connection);
         }
     }
 
-    async fn connected(self: &Rc<Self>, c: &Rc<Connection>, address: SocketAddr) {
-        let late = async {
+    /// Establishes the connection, and exchanges lines until it ends.
+    async fn connect_and_exchange(self: &Rc<Self>, connection: &Rc<Connection>, address: SocketAddr) {
+        let timeout = async {
             Timer::after(Duration::from_micros(self.transport.connect_timeout)).await;
             Err(std::io::ErrorKind::TimedOut.into())
         };
-        let began = self.clock.now();
-        let stream = match self.dial(c, address).or(late).await {
+        let started = self.clock.now();
+        let stream = match self.connect_executor(connection, address).or(timeout).await {
             Ok(stream) => stream,
             Err(e) => {
-                let took = self.clock.now() - began;
+                let took = self.clock.now() - started;
                 if e.kind() == std::io::ErrorKind::ConnectionRefused {
-                    self.refused(c);
+                    self.on_connection_refused(connection);
                 }
-                return tracing::debug!(worker = c.worker, took, "not connected: {e}");
+                return tracing::debug!(worker = connection.worker, took, "not connected: {e}");
             }
         };
-        tracing::debug!(worker = c.worker, took = self.clock.now() - began, "connected");
-        if c.closing.get() {
+        tracing::debug!(worker = connection.worker, took = self.clock.now() - started, "connected");
+        if connection.closing.get() {
             return;
         }
-        *c.wire.borrow_mut() = Some(Rc::new(Wire::new(stream)));
-        self.executors.reach(c.worker, |r| _ = r.on_received());
-        self.came_up(self.clock.now(), c);
-        self.push_out(c);
-        while !c.closing.get() && c.over.get().is_none() {
-            let Some(wire) = c.wire.borrow().clone() else { return };
-            wire.ready(true, || !c.link.borrow().output().is_empty()).await;
-            if c.closing.get() || !self.stands(c) {
+        *connection.stream.borrow_mut() = Some(Rc::new(Stream::new(stream)));
+        self.executors.update_reachability(connection.worker, |r| _ = r.on_received());
+        self.on_connected(self.clock.now(), connection);
+        self.write_queued(connection);
+        while !connection.closing.get() && connection.remote_end.get().is_none() {
+            let Some(stream) = connection.stream.borrow().clone() else { return };
+            stream.ready(true, || !connection.link.borrow().output().is_empty()).await;
+            if connection.closing.get() || !self.read_answers(connection) {
                 return;
             }
-            if !c.link.borrow().output().is_empty() {
-                self.push_out(c);
+            if !connection.link.borrow().output().is_empty() {
+                self.write_queued(connection);
             }
-            if c.link.borrow().is_retired() && c.idle() {
+            if connection.link.borrow().is_retired() && connection.is_idle() {
                 return;
             }
         }
     }
 
-    /// Reads what has come on a connection; false where the other side has ended it.
-    pub(super) fn stands(self: &Rc<Self>, c: &Rc<Connection>) -> bool {
-        let Some(wire) = c.wire.borrow().clone() else { return true };
+    /// Reads and processes what has arrived on a connection; false if the executor has ended it.
+    pub(super) fn read_answers(self: &Rc<Self>, connection: &Rc<Connection>) -> bool {
+        let Some(stream) = connection.stream.borrow().clone() else { return true };
         let mut ends = Vec::new();
-        for _ in 0..READS {
-            if c.over.get().is_some() {
+        for _ in 0..READS_PER_TURN {
+            if connection.remote_end.get().is_some() {
                 break;
             }
             let mut scratch = self.scratch.borrow_mut();
-            let n = match wire.read(&mut scratch) {
+            let n = match stream.read(&mut scratch) {
                 Ok(Some(0)) | Err(_) => {
-                    c.over.set(Some(Over::Closed));
+                    connection.remote_end.set(Some(RemoteEnd::Closed));
                     break;
                 }
                 Ok(Some(n)) => n,
                 Ok(None) => break,
             };
             let now = self.clock.now();
-            self.executors.word(now, c.worker);
-            let fed = c.link.borrow_mut().on_bytes(now, &scratch[..n], &mut ends);
+            self.executors.on_received(now, connection.worker);
+            let parsed = connection.link.borrow_mut().on_bytes(now, &scratch[..n], &mut ends);
             drop(scratch);
-            self.take_evidence(c, now, c.door.get() != Door::Unseen);
+            self.take_evidence(connection, now, connection.acceptance.get() != Acceptance::Unknown);
             for end in ends.drain(..) {
                 if matches!(end, End::Attempt(..)) {
-                    self.executors.answered();
+                    self.executors.on_answer();
                 }
-                self.at_the_door(c, &end);
-                self.end(c.worker, end, Outcome::ConnectFailed);
+                self.update_acceptance(connection, &end);
+                self.report_end(connection.worker, end, Outcome::ConnectFailed);
             }
-            if let Err(e) = fed {
-                c.over.set(Some(Over::Spoilt));
-                if let Some(more) = self.complaints.answer.may(now) {
-                    let worker = name(c.worker);
-                    tracing::warn!(%worker, more, "an executor sent {e}; its connection is broken off");
+            if let Err(e) = parsed {
+                connection.remote_end.set(Some(RemoteEnd::ProtocolError));
+                if let Some(more) = self.log_limits.answer.may(now) {
+                    let worker = name(connection.worker);
+                    tracing::warn!(%worker, more, "an executor sent {e}; its connection is closed");
                 }
             }
             if n < 4096 {
                 break;
             }
         }
-        if c.over.get().is_some() {
-            wire.wake();
+        if connection.remote_end.get().is_some() {
+            stream.wake();
         }
-        c.over.get().is_none()
+        connection.remote_end.get().is_none()
     }
 
-    /// Connects. Where no descriptor is to be had, which tells nothing of the executor, connections on which nothing is give
-    /// theirs up, until one is.
-    async fn dial(&self, c: &Connection, address: SocketAddr) -> std::io::Result<Async<TcpStream>> {
+    /// Connects to an executor. While no descriptor is free, which says nothing about the executor, idle
+    /// connections are closed until one is.
+    async fn connect_executor(
+        &self,
+        connection: &Connection,
+        address: SocketAddr,
+    ) -> std::io::Result<Async<TcpStream>> {
         loop {
-            let e = match badgerwind_connect::connect(address).await {
-                Err(e) if is_short(&e) => e,
+            let error = match badgerwind_connect::connect(address).await {
+                Err(error) if is_descriptor_limit(&error) => error,
                 other => {
-                    if !c.closing.get() {
-                        c.unsent.set(Outcome::ConnectFailed);
+                    if !connection.closing.get() {
+                        connection.unsent_outcome.set(Outcome::ConnectFailed);
                     }
                     return other;
                 }
             };
-            c.unsent.set(Outcome::Moot);
-            let evicted = self.clients.evict(self) || self.executors.evict(c.worker);
-            if let Some(more) = self.complaints.dial.may(self.clock.now()) {
+            connection.unsent_outcome.set(Outcome::Moot);
+            let evicted = self.clients.evict(self) || self.executors.evict(connection.worker);
+            if let Some(more) = self.log_limits.dial.may(self.clock.now()) {
                 tracing::warn!(
                     evicted,
                     more,
-                    "no connection to an executor can be opened: {e}; the limits of the machine are below the \
+                    "cannot open a connection to an executor: {error}; the system's descriptor limits are below the \
                      configuration's limits.sockets"
                 );
             }
-            Timer::after(SHORT).await;
+            Timer::after(DESCRIPTOR_PAUSE).await;
         }
     }
 }
--- a/crates/badgerwind-gateway/src/platform/discovery.rs
+++ b/crates/badgerwind-gateway/src/platform/discovery.rs
@@ -1,7 +1,7 @@
-//! The connection to service discovery (the platform's notice board), and how old its word is.
+//! The connection to service discovery, and the age of what it last announced.
 
-use super::shell::{Input, Shell};
-use super::wire::is_short;
+use super::runtime::{Input, Runtime};
+use super::stream::is_descriptor_limit;
 use badgerwind::interface::{Availability, ListKind, Time};
 use badgerwind_connect::connect;
 use badgerwind_freshness::source::ConnectionEnd;
@@ -14,172 +14,176 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A frame comes each second; after this without one discovery is asked anew.
-const SILENCE: Duration = Duration::from_millis(1_700);
-/// A connection not made by then is tried again.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Pause before it is asked anew: a break is followed at once, then ever less often.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-const LAST_PAUSE: Duration = Duration::from_millis(500);
-
+/// Longest wait for data from service discovery, which sends a frame every second. After that a new
+/// connection is made.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_700);
+/// Timeout for connecting and for sending the request.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause before the first reconnection; it doubles with each failure up to [`MAX_RETRY_PAUSE`].
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Longest pause between reconnections.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
+
+/// The address of service discovery, and the state of following it.
 pub(super) struct Discovery {
     pub address: Cell<SocketAddr>,
-    /// A new address has come: whatever is under way ends.
-    pub changed: event::Changed,
+    /// Notified when the address has changed; the current connection is then closed.
+    pub changed: notification::Notification,
     pub follower: RefCell<Follower>,
-    pub places: NameCounts,
+    pub name_counts: NameCounts,
 }
 
-/// A word to one waiting task.
-pub(super) mod event {
+/// A wake-up signal for one waiting task.
+pub(super) mod notification {
     use async_channel::{bounded, Receiver, Sender};
 
-    pub(in super::super) struct Changed(Sender<()>, Receiver<()>);
+    pub(in super::super) struct Notification(Sender<()>, Receiver<()>);
 
-    impl Default for Changed {
+    impl Default for Notification {
         fn default() -> Self {
             let (sender, receiver) = bounded(1);
-            Changed(sender, receiver)
+            Notification(sender, receiver)
         }
     }
 
-    impl Changed {
-        pub(in super::super) fn tell(&self) {
-            let _ = self.0.try_send(()); // one word is enough
+    impl Notification {
+        pub(in super::super) fn notify(&self) {
+            let _ = self.0.try_send(()); // a pending notification is enough
         }
-        pub(in super::super) async fn heard(&self) {
+        pub(in super::super) async fn notified(&self) {
             let _ = self.1.recv().await;
         }
     }
 }
 
-/// Why following discovery has to begin anew.
+/// Why a connection to service discovery ended.
 struct Interruption {
-    how: ConnectionEnd,
-    what: String,
+    end: ConnectionEnd,
+    reason: String,
 }
 
 impl Interruption {
-    fn broken(what: impl ToString) -> Interruption {
-        Interruption { how: ConnectionEnd::Broken, what: what.to_string() }
+    fn broken(reason: impl ToString) -> Interruption {
+        Interruption { end: ConnectionEnd::Broken, reason: reason.to_string() }
     }
 
-    fn by(error: &std::io::Error) -> Interruption {
-        let how = match error.kind() {
+    fn from_error(error: &std::io::Error) -> Interruption {
+        let end = match error.kind() {
             std::io::ErrorKind::TimedOut => ConnectionEnd::TimedOut,
             _ => ConnectionEnd::Broken,
         };
-        Interruption { how, what: error.to_string() }
+        Interruption { end, reason: error.to_string() }
     }
 }
 
-impl Shell {
-    /// Takes news in: where executors are, and what the module is told.
-    pub(super) fn news(&self, news: &ListUpdate) {
-        self.executors.listed(self.clock.now(), news);
+impl Runtime {
+    /// Applies a list update to the executors' connections and passes it to the module.
+    pub(super) fn on_list_update(&self, update: &ListUpdate) {
+        self.executors.on_list_update(self.clock.now(), update);
         let mut freshness = self.freshness.borrow_mut();
-        if news.kind != ListKind::Changes {
-            let named = news.entries.iter().map(|listed| listed.entry.worker).collect();
-            freshness.on_full_list(&named);
+        if update.kind != ListKind::Changes {
+            let listed_workers = update.entries.iter().map(|listed| listed.entry.worker).collect();
+            freshness.on_full_list(&listed_workers);
         }
-        for listed in &news.entries {
-            let gone = listed.entry.availability == Availability::Gone;
-            freshness.on_listed(listed.entry.worker, gone);
+        for listed in &update.entries {
+            let removed = listed.entry.availability == Availability::Gone;
+            freshness.on_listed(listed.entry.worker, removed);
         }
-        let entries = news.entries.iter().map(|l| l.entry.clone()).collect();
-        self.tell(Input::List { kind: news.kind, entries });
+        let entries = update.entries.iter().map(|listed| listed.entry.clone()).collect();
+        self.send_input(Input::List { kind: update.kind, entries });
     }
 
-    /// Follows discovery for ever.
-    pub(super) async fn follow(self: Rc<Self>, discovery: Rc<Discovery>) {
-        let mut pause = FIRST_PAUSE;
+    /// Receives from service discovery, and reconnects, for as long as the process runs.
+    pub(super) async fn follow_discovery(self: Rc<Self>, discovery: Rc<Discovery>) {
+        let mut pause = MIN_RETRY_PAUSE;
         loop {
-            let followed = async { Some(self.frames(&discovery, &mut pause).await) };
+            let followed = async { Some(self.read_frames(&discovery, &mut pause).await) };
             let changed = async {
-                discovery.changed.heard().await;
+                discovery.changed.notified().await;
                 None
             };
             let Some(interruption) = followed.or(changed).await else {
                 self.freshness.borrow_mut().on_discovery_address_change(self.clock.now());
-                pause = FIRST_PAUSE;
+                pause = MIN_RETRY_PAUSE;
                 continue;
             };
-            self.interrupted(&discovery, &interruption);
-            let changed = async { discovery.changed.heard().await };
+            self.on_interruption(&discovery, &interruption);
+            let changed = async { discovery.changed.notified().await };
             async { _ = Timer::after(pause).await }.or(changed).await;
-            pause = (pause * 2).min(LAST_PAUSE);
+            pause = (pause * 2).min(MAX_RETRY_PAUSE);
         }
     }
 
-    fn interrupted(self: &Rc<Self>, discovery: &Discovery, Interruption { how, what }: &Interruption) {
+    fn on_interruption(self: &Rc<Self>, discovery: &Discovery, Interruption { end, reason }: &Interruption) {
         let now = self.clock.now();
-        self.discovery_ended(*how);
+        self.on_discovery_end(*end);
         let (address, last) = (discovery.address.get(), discovery.follower.borrow().last_event());
-        tracing::debug!(%address, "service discovery is asked anew: {what}");
-        if let Some(more) = self.complaints.discovery.may(now) {
-            tracing::warn!(%address, last, more, "service discovery: {what}; it is asked again from the last event");
+        tracing::debug!(%address, "reconnecting to service discovery: {reason}");
+        if let Some(more) = self.log_limits.discovery.may(now) {
+            tracing::warn!(%address, last, more, "service discovery: {reason}; reconnecting from the last event");
         }
     }
 
-    async fn frames(self: &Rc<Self>, discovery: &Discovery, pause: &mut Duration) -> Interruption {
+    async fn read_frames(self: &Rc<Self>, discovery: &Discovery, pause: &mut Duration) -> Interruption {
         let connect = connect(discovery.address.get());
-        let mut stream = match connect.or(late(CONNECT)).await {
+        let mut stream = match connect.or(timeout(CONNECT_TIMEOUT)).await {
             Ok(stream) => stream,
             Err(e) => {
-                if is_short(&e) {
-                    // Those who only hold a connection give way to the news of all executors.
+                if is_descriptor_limit(&e) {
+                    // The list of executors matters more than an idle client connection.
                     self.clients.evict(self);
                 }
-                return Interruption::by(&e);
+                return Interruption::from_error(&e);
             }
         };
-        let ask = discovery.follower.borrow_mut().start_connection();
-        if let Err(e) = stream.write_all(&ask).or(late(CONNECT)).await {
-            return Interruption::by(&e);
+        let request = discovery.follower.borrow_mut().start_connection();
+        if let Err(e) = stream.write_all(&request).or(timeout(CONNECT_TIMEOUT)).await {
+            return Interruption::from_error(&e);
         }
         let mut buf = vec![0; 16 * 1024];
-        let mut waited_since = self.clock.now();
+        let mut waiting_since = self.clock.now();
         loop {
-            let n = match stream.read(&mut buf).or(late(SILENCE)).await {
-                Ok(0) => return Interruption::broken("it closed"),
+            let n = match stream.read(&mut buf).or(timeout(READ_TIMEOUT)).await {
+                Ok(0) => return Interruption::broken("connection closed"),
                 Ok(n) => n,
-                Err(e) => return Interruption::by(&e),
+                Err(e) => return Interruption::from_error(&e),
             };
-            if let Err(e) = self.take_frames(discovery, &buf[..n], &mut waited_since) {
+            if let Err(e) = self.on_frames(discovery, &buf[..n], &mut waiting_since) {
                 return Interruption::broken(e);
             }
-            *pause = FIRST_PAUSE;
+            *pause = MIN_RETRY_PAUSE;
         }
     }
 
-    /// Takes in what was read. The next frame is waited for from now on, unless a part of it has come already.
-    fn take_frames(
+    /// Processes what was read. The wait for the next frame starts now, unless part of it has arrived
+    /// already.
+    fn on_frames(
         self: &Rc<Self>,
         discovery: &Discovery,
         bytes: &[u8],
-        waited_since: &mut Time,
+        waiting_since: &mut Time,
     ) -> Result<(), BadFrame> {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         let mut follower = discovery.follower.borrow_mut();
-        let fed = follower.on_bytes(&discovery.places, bytes, &mut news);
-        let (heard, partial) = (follower.take_received(), follower.has_partial_frame());
+        let parsed = follower.on_bytes(&discovery.name_counts, bytes, &mut updates);
+        let (received, partial) = (follower.take_received(), follower.has_partial_frame());
         drop(follower);
-        if !news.is_empty() && !self.freshness.borrow().is_fresh(self.clock.now()) {
+        if !updates.is_empty() && !self.freshness.borrow().is_fresh(self.clock.now()) {
             tracing::info!(
-                events = news.len(),
+                events = updates.len(),
                 "service discovery tells events while the list of executors is stale"
             );
         }
-        news.iter().for_each(|n| self.news(n));
-        self.discovery_heard(*waited_since, heard);
+        updates.iter().for_each(|update| self.on_list_update(update));
+        self.on_discovery_received(*waiting_since, received);
         if !partial {
-            *waited_since = self.clock.now();
+            *waiting_since = self.clock.now();
         }
-        fed
+        parsed
     }
 }
 
-async fn late<T>(after: Duration) -> std::io::Result<T> {
+async fn timeout<T>(after: Duration) -> std::io::Result<T> {
     Timer::after(after).await;
     Err(std::io::ErrorKind::TimedOut.into())
 }
--- a/crates/badgerwind-gateway/src/platform/executors.rs
+++ b/crates/badgerwind-gateway/src/platform/executors.rs
@@ -1,7 +1,7 @@
-//! The connections to executors: which of them takes what, and when one is opened.
+//! The connections to executors: on which one a task is queued, and when a new one is opened.
 
-use super::connection::{Connection, Out};
-use super::shell::{Content, Shell};
+use super::connection::{CallContent, Connection};
+use super::runtime::{Content, Runtime};
 use badgerwind::interface::*;
 use badgerwind_driver::{CancelReason, OrderId};
 use badgerwind_platform::discovery::{ListUpdate, ListedExecutor};
@@ -12,401 +12,451 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+/// A known executor and the connections to it.
 struct Executor {
-    /// As discovery told of it last.
+    /// Its last entry from service discovery.
     entry: WorkerEntry,
     address: SocketAddr,
-    /// Since when nothing new may go there, and whether it is gone.
-    leaving: Option<Time>,
-    gone: bool,
-    reach: Reachability,
-    links: Vec<Rc<Connection>>,
+    /// Since when it accepts no new work.
+    draining_since: Option<Time>,
+    /// Whether service discovery has removed it.
+    removed: bool,
+    reachability: Reachability,
+    connections: Vec<Rc<Connection>>,
 }
 
+/// All known executors.
 pub(super) struct Executors {
     all: RefCell<HashMap<WorkerId, Executor>>,
-    /// How long executors take to say a word.
-    patience: RefCell<SilenceTolerance>,
+    /// How long executors may stay silent.
+    silence_tolerance: RefCell<SilenceTolerance>,
     /// Whether calls share connections.
     sharing: RefCell<Sharing>,
-    /// First pause after a connection was turned away.
-    pause: Span,
-    /// Connections up or coming up.
-    open: Cell<usize>,
+    /// First pause after an executor rejected a connection.
+    reject_pause: Span,
+    /// Number of connections that are established or being established.
+    open_connections: Cell<usize>,
     dirty: RefCell<Vec<Rc<Connection>>>,
-    probes: Cell<u64>,
+    next_number: Cell<u64>,
 }
 
 impl Executors {
-    /// None listed yet.
+    /// Starts without any executor.
     pub(super) fn new(connect_timeout: Span) -> Executors {
-        // A connection not made by then has failed; twice that without a word is no longer chance.
-        let patience = 2 * connect_timeout;
+        // A connection attempt fails after `connect_timeout`; a silence of twice that is not considered
+        // chance.
+        let silence_tolerance = 2 * connect_timeout;
         Executors {
             all: RefCell::default(),
-            patience: RefCell::new(SilenceTolerance::new(patience)),
+            silence_tolerance: RefCell::new(SilenceTolerance::new(silence_tolerance)),
             sharing: RefCell::default(),
-            pause: patience,
-            open: Cell::default(),
+            reject_pause: silence_tolerance,
+            open_connections: Cell::default(),
             dirty: RefCell::default(),
-            probes: Cell::default(),
+            next_number: Cell::default(),
         }
     }
 
-    /// Takes in where executors are and whether they take work.
-    pub(super) fn listed(&self, now: Time, news: &ListUpdate) {
-        let pause = self.pause;
+    /// Applies an update of the executors' addresses and availability.
+    pub(super) fn on_list_update(&self, now: Time, update: &ListUpdate) {
+        let pause = self.reject_pause;
         let mut all = self.all.borrow_mut();
-        if news.kind != ListKind::Changes {
-            let named: HashSet<WorkerId> = news.entries.iter().map(|l| l.entry.worker).collect();
-            for (_, e) in all.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                (e.gone, e.leaving) = (true, e.leaving.or(Some(now)));
+        if update.kind != ListKind::Changes {
+            let named: HashSet<WorkerId> = update.entries.iter().map(|l| l.entry.worker).collect();
+            for (_, executor) in all.iter_mut().filter(|(id, _)| !named.contains(id)) {
+                (executor.removed, executor.draining_since) = (true, executor.draining_since.or(Some(now)));
             }
         }
-        for ListedExecutor { entry, address } in &news.entries {
-            let e = all.entry(entry.worker).or_insert_with(|| Executor {
+        for ListedExecutor { entry, address } in &update.entries {
+            let executor = all.entry(entry.worker).or_insert_with(|| Executor {
                 entry: entry.clone(),
                 address: *address,
-                leaving: None,
-                gone: false,
-                reach: Reachability::new(pause),
-                links: Vec::new(),
+                draining_since: None,
+                removed: false,
+                reachability: Reachability::new(pause),
+                connections: Vec::new(),
             });
-            if e.address != *address {
-                // Another machine: nothing new goes over what leads to the old one.
-                e.links.iter().for_each(|c| c.retire());
-                (e.address, e.reach) = (*address, Reachability::new(pause));
+            if executor.address != *address {
+                // It has moved: no new tasks use connections to the old address.
+                executor.connections.iter().for_each(|connection| connection.retire());
+                (executor.address, executor.reachability) = (*address, Reachability::new(pause));
             }
-            e.entry = entry.clone();
-            e.gone = entry.availability == Availability::Gone;
-            e.leaving = match entry.availability {
+            executor.entry = entry.clone();
+            executor.removed = entry.availability == Availability::Gone;
+            executor.draining_since = match entry.availability {
                 Availability::Ready => None,
-                _ => e.leaving.or(Some(now)),
+                _ => executor.draining_since.or(Some(now)),
             };
         }
-        // What is coming up may reach a newcomer that has the address now.
-        for e in all.values_mut().filter(|e| e.gone) {
-            e.links.iter().for_each(|c| c.retire());
+        // A connection that is still being established may reach another executor that now has the address.
+        for executor in all.values_mut().filter(|executor| executor.removed) {
+            executor.connections.iter().for_each(|connection| connection.retire());
         }
-        // One that is gone is forgotten once nothing of it is left.
-        all.retain(|_, e| !e.gone || !e.links.is_empty());
+        // A removed executor is dropped once its last connection has ended.
+        all.retain(|_, executor| !executor.removed || !executor.connections.is_empty());
     }
 
     pub(super) fn attempt(
         &self,
-        shell: &Rc<Shell>,
+        runtime: &Rc<Runtime>,
         now: Time,
         worker: WorkerId,
         (id, attempt, content, limit): (RequestId, u32, Rc<Content>, Time),
     ) {
-        let content = Out::new(content);
-        self.put(shell, now, worker, Task::Attempt { id, attempt, content, limit }, false);
+        let content = CallContent::new(content);
+        self.enqueue(runtime, now, worker, Task::Attempt { id, attempt, content, limit }, false);
     }
 
     pub(super) fn order(
         &self,
-        shell: &Rc<Shell>,
+        runtime: &Rc<Runtime>,
         now: Time,
         worker: WorkerId,
         order: OrderId,
         key: &str,
         copies: u32,
     ) {
-        self.put(shell, now, worker, Task::Order { order, key: key.to_owned(), copies }, false);
+        self.enqueue(runtime, now, worker, Task::Order { order, key: key.to_owned(), copies }, false);
     }
 
-    pub(super) fn unload(&self, shell: &Rc<Shell>, now: Time, worker: WorkerId, key: &str) {
-        self.put(shell, now, worker, Task::Unload(key.to_owned()), false);
+    pub(super) fn unload(&self, runtime: &Rc<Runtime>, now: Time, worker: WorkerId, key: &str) {
+        self.enqueue(runtime, now, worker, Task::Unload(key.to_owned()), false);
     }
 
-    /// A number for a probe or a question, never used before.
+    /// A new number for a probe or a question.
     pub(super) fn next_number(&self) -> u64 {
-        self.probes.replace(self.probes.get() + 1)
+        self.next_number.replace(self.next_number.get() + 1)
     }
 
-    /// An executor as discovery told of it last.
+    /// The last entry of an executor from service discovery.
     pub(super) fn entry(&self, worker: WorkerId) -> Option<WorkerEntry> {
-        self.all.borrow().get(&worker).filter(|e| !e.gone).map(|e| e.entry.clone())
+        self.all
+            .borrow()
+            .get(&worker)
+            .filter(|executor| !executor.removed)
+            .map(|executor| executor.entry.clone())
     }
 
     /// The connections to an executor.
     pub(super) fn connections(&self, worker: WorkerId) -> Vec<Rc<Connection>> {
-        self.all.borrow().get(&worker).map(|e| e.links.clone()).unwrap_or_default()
+        self.all.borrow().get(&worker).map(|executor| executor.connections.clone()).unwrap_or_default()
     }
 
-    /// One of them that takes something new and over which something was taken in.
-    pub(super) fn proven(&self, worker: WorkerId) -> Option<Rc<Connection>> {
-        let takes_orders =
-            |c: &Rc<Connection>| c.is_up() && c.proven() && c.takes(&Task::Unload(String::new()));
-        self.connections(worker).into_iter().find(takes_orders)
+    /// One of them that accepts new tasks and over which the executor has accepted work.
+    pub(super) fn accepted_connection(&self, worker: WorkerId) -> Option<Rc<Connection>> {
+        let usable = |connection: &Rc<Connection>| {
+            connection.is_up() && connection.is_accepted() && connection.accepts(&Task::Unload(String::new()))
+        };
+        self.connections(worker).into_iter().find(usable)
     }
 
-    /// The executors that are listed.
+    /// All known executors.
     pub(super) fn workers(&self) -> Vec<WorkerId> {
         self.all.borrow().keys().copied().collect()
     }
 
-    /// Whether no other connection to its executor is up.
-    pub(super) fn stands_alone(&self, connection: &Rc<Connection>) -> bool {
-        let another = |c: &Rc<Connection>| c.is_up() && !Rc::ptr_eq(c, connection);
+    /// Whether no other connection to the same executor is established.
+    pub(super) fn is_only_connection(&self, connection: &Rc<Connection>) -> bool {
+        let another = |other: &Rc<Connection>| other.is_up() && !Rc::ptr_eq(other, connection);
         !self.connections(connection.worker).iter().any(another)
     }
 
-    /// Opens a connection to an executor that has none, where there is room.
-    pub(super) fn connect(&self, shell: &Rc<Shell>, worker: WorkerId) {
-        if self.open.get() >= shell.shares.executor_connections {
+    /// Opens a connection to an executor that has none, if the connection limit permits.
+    pub(super) fn connect(&self, runtime: &Rc<Runtime>, worker: WorkerId) {
+        if self.open_connections.get() >= runtime.shares.executor_connections {
             return;
         }
         let mut all = self.all.borrow_mut();
-        if let Some(e) = all.get_mut(&worker).filter(|e| !e.gone && e.links.is_empty()) {
-            self.open_to(shell, worker, e);
+        if let Some(executor) =
+            all.get_mut(&worker).filter(|executor| !executor.removed && executor.connections.is_empty())
+        {
+            self.open_connection(runtime, worker, executor);
         }
     }
 
-    pub(super) fn probe(&self, shell: &Rc<Shell>, now: Time, worker: WorkerId) {
+    pub(super) fn probe(&self, runtime: &Rc<Runtime>, now: Time, worker: WorkerId) {
         let number = self.next_number();
-        self.put(shell, now, worker, Task::Probe(number), false);
+        self.enqueue(runtime, now, worker, Task::Probe(number), false);
     }
 
-    /// Puts something on one of an executor's connections, with others while connections hold ([`Sharing`]). Where nothing was
-    /// heard of the executor since something was handed over ([`Reachability`]), a new connection shows first that it is there: on an
-    /// old one silence would prove nothing.
-    pub(super) fn put(&self, shell: &Rc<Shell>, now: Time, worker: WorkerId, task: Task<Out>, anew: bool) {
-        if self.is_gone(worker) {
-            return shell.unsent(worker, task, Outcome::Moot);
+    /// Queues a task on one of an executor's connections, shared with other tasks while connections are
+    /// reliable ([`Sharing`]). If the executor has been silent since something was sent to it
+    /// ([`Reachability`]), a new connection is opened first, since silence on an old one would not show
+    /// whether the executor is reachable.
+    pub(super) fn enqueue(
+        &self,
+        runtime: &Rc<Runtime>,
+        now: Time,
+        worker: WorkerId,
+        task: Task<CallContent>,
+        new_connection: bool,
+    ) {
+        if self.is_removed(worker) {
+            return runtime.report_unsent(worker, task, Outcome::Moot);
         }
-        // What must not run twice is lost with its connection; the others are tried again.
-        let once = matches!(&task, Task::Attempt { content, .. } if shell.once(content.content()));
-        let together = self.sharing.borrow().max_calls(once);
-        let standing = loop {
-            let standing = self.standing(now, worker, &task, (anew, together));
-            // It may have ended, and only not been read to its end: what went out on it would count as sent.
-            match standing {
-                Some(c) if !shell.stands(&c) || !c.takes(&task) => continue,
-                standing => break standing,
+        // A call that must not run twice is lost with its connection; others are retried.
+        let must_not_run_twice =
+            matches!(&task, Task::Attempt { content, .. } if runtime.must_not_run_twice(content.content()));
+        let max_calls = self.sharing.borrow().max_calls(must_not_run_twice);
+        let existing = loop {
+            let existing = self.existing_connection(now, worker, &task, (new_connection, max_calls));
+            // The executor may have closed it without this having been read yet; a task written to it would
+            // count as sent.
+            match existing {
+                Some(connection) if !runtime.read_answers(&connection) || !connection.accepts(&task) => {
+                    continue
+                }
+                existing => break existing,
             }
         };
-        let own = standing.or_else(|| self.another(shell, now, worker, &task, anew));
-        match own {
-            Some(c) => {
-                c.keep_for_one(once && together == 1);
-                c.link.borrow_mut().push(now, task);
-                self.mark(c);
+        let connection =
+            existing.or_else(|| self.additional_connection(runtime, now, worker, &task, new_connection));
+        match connection {
+            Some(connection) => {
+                connection.set_exclusive(must_not_run_twice && max_calls == 1);
+                connection.link.borrow_mut().push(now, task);
+                self.mark_dirty(connection);
             }
             None => {
                 let outcome = match self.all.borrow().get(&worker) {
                     None => Outcome::ConnectFailed,
-                    // Nothing leads there and its table is full: it turns away unseen.
-                    Some(e) if !anew && !e.reach.may_connect(now) => Outcome::Full,
-                    // No descriptor is left here: that tells nothing of the executor.
+                    // No connection exists and the executor's connection table is full: this counts as a
+                    // rejection.
+                    Some(executor) if !new_connection && !executor.reachability.may_connect(now) => {
+                        Outcome::Full
+                    }
+                    // The connection limit is reached here, which says nothing about the executor.
                     Some(_) => Outcome::Moot,
                 };
-                shell.unsent(worker, task, outcome);
+                runtime.report_unsent(worker, task, outcome);
             }
         }
     }
 
-    /// Whether an executor is gone of which something is still out. Another process may listen at its address by now, so
-    /// nothing more is sent there.
-    fn is_gone(&self, worker: WorkerId) -> bool {
-        self.all.borrow().get(&worker).is_some_and(|e| e.gone)
+    /// Whether an executor was removed but still has connections. Another process may listen at its address
+    /// by now, so nothing more is sent there.
+    fn is_removed(&self, worker: WorkerId) -> bool {
+        self.all.borrow().get(&worker).is_some_and(|executor| executor.removed)
     }
 
-    /// A standing connection on which nothing is, or that may be shared.
-    fn standing(
+    /// An established connection that is idle or may be shared.
+    fn existing_connection(
         &self,
         now: Time,
         worker: WorkerId,
-        task: &Task<Out>,
-        (anew, together): (bool, usize),
+        task: &Task<CallContent>,
+        (new_connection, max_calls): (bool, usize),
     ) -> Option<Rc<Connection>> {
         let all = self.all.borrow();
-        let e = all.get(&worker)?;
-        if anew || !e.reach.is_trusted(now, self.patience.borrow().get()) {
+        let executor = all.get(&worker)?;
+        if new_connection || !executor.reachability.is_trusted(now, self.silence_tolerance.borrow().get()) {
             return None;
         }
-        let pick = e.links.iter().filter(|c| c.takes(task));
-        let own = pick.clone().filter(|c| c.idle()).max_by_key(|c| c.link.borrow().last_used);
-        let shares = |c: &&Rc<Connection>| c.is_up() && c.shared() && c.busy() < together;
-        let shared = || pick.filter(shares).min_by_key(|c| c.busy());
-        own.or_else(|| shared().filter(|_| together > 1)).cloned()
+        let accepting = executor.connections.iter().filter(|connection| connection.accepts(task));
+        let idle = accepting
+            .clone()
+            .filter(|connection| connection.is_idle())
+            .max_by_key(|connection| connection.link.borrow().last_used);
+        let is_shareable = |connection: &&Rc<Connection>| {
+            connection.is_up() && connection.is_shareable() && connection.task_count() < max_calls
+        };
+        let shared = || accepting.filter(is_shareable).min_by_key(|connection| connection.task_count());
+        idle.or_else(|| shared().filter(|_| max_calls > 1)).cloned()
     }
 
-    /// A connection beside the standing ones: one that is coming up, a new one, or where there is room for none the least busy.
-    fn another(
+    /// Another connection: one that is being established, a new one or, at the connection limit, the least
+    /// busy one.
+    fn additional_connection(
         &self,
-        shell: &Rc<Shell>,
+        runtime: &Rc<Runtime>,
         now: Time,
         worker: WorkerId,
-        task: &Task<Out>,
-        anew: bool,
+        task: &Task<CallContent>,
+        new_connection: bool,
     ) -> Option<Rc<Connection>> {
-        let opens = self.all.borrow().get(&worker)?.reach.may_connect(now) || anew;
-        let room = opens && (self.open.get() < shell.shares.executor_connections || self.evict(worker));
+        let may_connect = self.all.borrow().get(&worker)?.reachability.may_connect(now) || new_connection;
+        let may_open = may_connect
+            && (self.open_connections.get() < runtime.shares.executor_connections || self.evict(worker));
         let mut all = self.all.borrow_mut();
-        let e = all.get_mut(&worker)?;
-        let trusted = !anew && e.reach.is_trusted(now, self.patience.borrow().get());
-        let shared = e.links.iter().filter(|c| c.takes(task) && c.busy() < shell.transport.streams);
-        // One that is coming up proves as much as another would.
-        let proof = shared.clone().find(|c| !c.is_up()).filter(|_| !trusted);
-        if proof.is_some() {
-            return proof.cloned();
+        let executor = all.get_mut(&worker)?;
+        let trusted =
+            !new_connection && executor.reachability.is_trusted(now, self.silence_tolerance.borrow().get());
+        let shared = executor.connections.iter().filter(|connection| {
+            connection.accepts(task) && connection.task_count() < runtime.transport.streams
+        });
+        // A connection that is being established shows reachability as well as a new one.
+        let connecting = shared.clone().find(|connection| !connection.is_up()).filter(|_| !trusted);
+        if connecting.is_some() {
+            return connecting.cloned();
         }
-        if !room {
-            return shared.min_by_key(|c| c.busy()).cloned();
+        if !may_open {
+            return shared.min_by_key(|connection| connection.task_count()).cloned();
         }
-        let standing = e.links.iter().filter(|c| c.takes(task)).count();
+        let standing = executor.connections.iter().filter(|connection| connection.accepts(task)).count();
         let all_in_use = trusted && standing > 0;
-        tracing::debug!(worker, standing, trusted, all_in_use, "a connection is opened");
-        Some(self.open_to(shell, worker, e))
+        tracing::debug!(worker, standing, trusted, all_in_use, "opening a connection");
+        Some(self.open_connection(runtime, worker, executor))
     }
 
-    fn open_to(&self, shell: &Rc<Shell>, worker: WorkerId, e: &mut Executor) -> Rc<Connection> {
-        let c = Rc::new(Connection::new(worker, shell.clock.now()));
-        e.links.push(c.clone());
-        self.open.set(self.open.get() + 1);
-        shell.tasks.spawn(shell.clone().drive(c.clone(), e.address)).detach();
-        c
+    fn open_connection(
+        &self,
+        runtime: &Rc<Runtime>,
+        worker: WorkerId,
+        executor: &mut Executor,
+    ) -> Rc<Connection> {
+        let connection = Rc::new(Connection::new(worker, runtime.clock.now()));
+        executor.connections.push(connection.clone());
+        self.open_connections.set(self.open_connections.get() + 1);
+        runtime.tasks.spawn(runtime.clone().run_connection(connection.clone(), executor.address)).detach();
+        connection
     }
 
-    /// Closes the connection that has been idle for longest; false where none is.
-    pub(super) fn evict(&self, but: WorkerId) -> bool {
+    /// Closes the connection that has been idle for longest; false if none is idle.
+    pub(super) fn evict(&self, except: WorkerId) -> bool {
         let all = self.all.borrow();
-        let links = all.iter().filter(|(id, _)| **id != but).flat_map(|(_, e)| &e.links);
-        let idle = links.filter(|c| c.idle() && !c.closes());
-        let oldest = idle.min_by_key(|c| c.link.borrow().last_used);
-        if let Some(c) = oldest {
-            c.close();
+        let connections =
+            all.iter().filter(|(id, _)| **id != except).flat_map(|(_, executor)| &executor.connections);
+        let idle = connections.filter(|connection| connection.is_idle() && !connection.is_closing());
+        let oldest = idle.min_by_key(|connection| connection.link.borrow().last_used);
+        if let Some(connection) = oldest {
+            connection.close();
         }
         oldest.is_some()
     }
 
-    /// What is learned of the way to an executor.
-    pub(super) fn reach(&self, worker: WorkerId, learn: impl FnOnce(&mut Reachability)) {
-        if let Some(e) = self.all.borrow_mut().get_mut(&worker) {
-            learn(&mut e.reach);
+    /// Updates what is known about the reachability of an executor.
+    pub(super) fn update_reachability(&self, worker: WorkerId, update: impl FnOnce(&mut Reachability)) {
+        if let Some(executor) = self.all.borrow_mut().get_mut(&worker) {
+            update(&mut executor.reachability);
         }
     }
 
-    /// Bytes came from an executor: how long it took teaches what silence is worth.
-    pub(super) fn word(&self, now: Time, worker: WorkerId) {
-        self.reach(worker, |r| {
+    /// Records that bytes came from an executor. The time it took adjusts the tolerated silence.
+    pub(super) fn on_received(&self, now: Time, worker: WorkerId) {
+        self.update_reachability(worker, |r| {
             if let Some(at) = r.on_received() {
-                self.patience.borrow_mut().observe(now.saturating_sub(at));
+                self.silence_tolerance.borrow_mut().observe(now.saturating_sub(at));
             }
         });
     }
 
-    fn mark(&self, c: Rc<Connection>) {
-        if c.becomes_dirty() {
-            self.dirty.borrow_mut().push(c);
+    fn mark_dirty(&self, connection: Rc<Connection>) {
+        if connection.mark_dirty() {
+            self.dirty.borrow_mut().push(connection);
         }
     }
 
-    /// Writes what is ready, one write for each connection.
-    pub(super) fn flush(&self, shell: &Rc<Shell>) {
-        for c in self.dirty.take() {
-            c.becomes_clean();
-            shell.push_out(&c);
-            c.wake_for_the_rest();
+    /// Writes all queued lines, one write per connection.
+    pub(super) fn flush(&self, runtime: &Rc<Runtime>) {
+        for connection in self.dirty.take() {
+            connection.clear_dirty();
+            runtime.write_queued(&connection);
+            connection.wake_for_output();
         }
     }
 
-    /// Since when nothing new may go to an executor.
-    pub(super) fn leaving(&self, worker: WorkerId) -> Option<Time> {
-        self.all.borrow().get(&worker).and_then(|e| e.leaving)
+    /// Since when an executor accepts no new work.
+    pub(super) fn draining_since(&self, worker: WorkerId) -> Option<Time> {
+        self.all.borrow().get(&worker).and_then(|executor| executor.draining_since)
     }
 
-    /// A call was answered.
-    pub(super) fn answered(&self) {
+    /// Records that a call was answered.
+    pub(super) fn on_answer(&self) {
         self.sharing.borrow_mut().on_answer();
     }
 
-    /// A connection broke under calls.
-    pub(super) fn broke(&self) {
+    /// Records that a connection broke while calls were on it.
+    pub(super) fn on_break(&self) {
         self.sharing.borrow_mut().on_break();
     }
 
-    /// A connection has ended, and nothing is on it any more.
-    pub(super) fn ended(&self, connection: &Rc<Connection>) {
+    /// Removes a connection that has ended and has no tasks left.
+    pub(super) fn remove_connection(&self, connection: &Rc<Connection>) {
         let mut all = self.all.borrow_mut();
-        if let Some(e) = all.get_mut(&connection.worker) {
-            e.links.retain(|l| !Rc::ptr_eq(l, connection));
-            if e.gone && e.links.is_empty() {
+        if let Some(executor) = all.get_mut(&connection.worker) {
+            executor.connections.retain(|other| !Rc::ptr_eq(other, connection));
+            if executor.removed && executor.connections.is_empty() {
                 all.remove(&connection.worker);
             }
         }
-        self.open.set(self.open.get().saturating_sub(1));
+        self.open_connections.set(self.open_connections.get().saturating_sub(1));
     }
 
-    pub(super) fn call_off(
+    pub(super) fn cancel(
         &self,
-        shell: &Rc<Shell>,
+        runtime: &Rc<Runtime>,
         worker: WorkerId,
         id: &RequestId,
         attempt: u32,
-        why: CancelReason,
+        reason: CancelReason,
     ) {
-        let links = self.all.borrow().get(&worker).map(|e| e.links.clone()).unwrap_or_default();
+        let connections = self.connections(worker);
         let mut ends = Vec::new();
-        for c in links {
-            let off = c.link.borrow_mut().cancel(id, attempt, why, &mut ends);
-            match off {
+        for connection in connections {
+            let result = connection.link.borrow_mut().cancel(id, attempt, reason, &mut ends);
+            match result {
                 CancelResult::Unknown => continue,
-                CancelResult::Cancelled => self.mark(c),
-                CancelResult::PartlySent => shell.broken(&c, false),
+                CancelResult::Cancelled => self.mark_dirty(connection),
+                CancelResult::PartlySent => runtime.on_broken(&connection, false),
             }
             break;
         }
-        // Called off before it went out: it never ran, and is not to go out any more. Only a time-out says something of the
-        // way there.
-        let unsent = match why {
+        // Cancelled before it was sent: it never ran and is not sent any more. Only a timeout says something
+        // about the executor's reachability.
+        let unsent = match reason {
             CancelReason::Cancelled => Outcome::Cancelled,
             CancelReason::TimedOut => Outcome::ConnectFailed,
         };
-        ends.into_iter().for_each(|end| shell.end(worker, end, unsent));
+        ends.into_iter().for_each(|end| runtime.report_end(worker, end, unsent));
     }
 
-    /// Nobody waits for an attempt any more: it does not begin.
-    pub(super) fn withhold(&self, shell: &Shell, worker: WorkerId, id: &RequestId, attempt: u32) {
-        let links = self.all.borrow().get(&worker).map(|e| e.links.clone()).unwrap_or_default();
+    /// Drops an attempt that was not sent yet, since nobody waits for it any more.
+    pub(super) fn withhold(&self, runtime: &Runtime, worker: WorkerId, id: &RequestId, attempt: u32) {
+        let connections = self.connections(worker);
         let mut ends = Vec::new();
-        if links.iter().any(|c| c.link.borrow_mut().withhold(id, attempt, &mut ends)) {
-            ends.into_iter().for_each(|end| shell.end(worker, end, Outcome::Moot));
+        if connections.iter().any(|connection| connection.link.borrow_mut().withhold(id, attempt, &mut ends))
+        {
+            ends.into_iter().for_each(|end| runtime.report_end(worker, end, Outcome::Moot));
         }
     }
 
     pub(super) fn close_idle(&self, worker: WorkerId) {
-        if let Some(e) = self.all.borrow().get(&worker) {
-            e.links.iter().filter(|c| c.idle()).for_each(|c| c.close());
+        if let Some(executor) = self.all.borrow().get(&worker) {
+            executor
+                .connections
+                .iter()
+                .filter(|connection| connection.is_idle())
+                .for_each(|connection| connection.close());
         }
     }
 
-    /// Closes what has been idle for so long that the other side might.
-    pub(super) fn sweep(&self, shell: &Shell, now: Time) {
-        let long = shell.transport.idle_close / 4 * 3;
-        // While the list is stale, the last connection to an executor shows that its process is the one that was listed.
-        let stale = !shell.freshness.borrow().is_fresh(now);
+    /// Closes connections that have been idle for so long that the executor may close them.
+    pub(super) fn maintain(&self, runtime: &Runtime, now: Time) {
+        let idle_limit = runtime.transport.idle_close / 4 * 3;
+        // While the list is stale, the last connection to an executor is kept: it shows that the executor's
+        // process is still the listed one.
+        let stale = !runtime.freshness.borrow().is_fresh(now);
         let all = self.all.borrow();
-        let mut begun = Vec::new();
-        for e in all.values() {
-            for c in &e.links {
-                let rests = now > c.link.borrow().last_used + long && !(stale && e.links.len() == 1);
-                if c.idle() && (rests || c.link.borrow().is_retired()) {
-                    c.close();
+        let mut partial_lines = Vec::new();
+        for executor in all.values() {
+            for connection in &executor.connections {
+                let expired = now > connection.link.borrow().last_used + idle_limit
+                    && !(stale && executor.connections.len() == 1);
+                if connection.is_idle() && (expired || connection.link.borrow().is_retired()) {
+                    connection.close();
                 }
-                begun.push((c.link.borrow().buffered_bytes(), c));
+                partial_lines.push((connection.link.borrow().buffered_bytes(), connection));
             }
         }
-        // Beyond their share the longest lines go: what was sent of them so far shows no end.
-        begun.sort_by_key(|(held, _)| std::cmp::Reverse(*held));
-        let mut lines: usize = begun.iter().map(|(held, _)| held).sum();
-        for (held, c) in begun {
-            if lines <= shell.shares.line_bytes {
+        // If incomplete lines exceed their share of memory, the connections with the longest ones are closed.
+        partial_lines.sort_by_key(|(bytes, _)| std::cmp::Reverse(*bytes));
+        let mut total: usize = partial_lines.iter().map(|(bytes, _)| bytes).sum();
+        for (bytes, connection) in partial_lines {
+            if total <= runtime.shares.line_bytes {
                 break;
             }
-            c.close();
-            lines -= held;
+            connection.close();
+            total -= bytes;
         }
     }
 }
--- a/crates/badgerwind-gateway/src/platform/mod.rs
+++ b/crates/badgerwind-gateway/src/platform/mod.rs
@@ -1,14 +1,14 @@
-//! The platform front: the same engine and driver, with web servers' FastCGI on one side and executors' lines on the
-//! other, all on one thread. Nothing here decides where a call goes or whether it is tried again.
+//! The platform front: connects the engine and the driver to web servers, by FastCGI, and to executors, by
+//! their line protocol, on one thread. Routing and retries are decided by the driver and its module.
 
 mod clients;
-mod complaints;
 mod connection;
 mod discovery;
 mod executors;
 mod freshness;
-mod shell;
-mod wire;
+mod log_limits;
+mod runtime;
+mod stream;
 
 use crate::clock::Clock;
 use crate::engine::{Control, Engine, EngineEnd, ModuleSettings};
@@ -19,7 +19,7 @@
 use badgerwind_platform::discovery::Follower;
 use discovery::Discovery;
 use futures_lite::{FutureExt, StreamExt};
-use shell::{Platform, Shell};
+use runtime::{PlatformBackend, Runtime};
 use smol::{Async, Timer};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
@@ -27,29 +27,32 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wire::is_short;
+use stream::is_descriptor_limit;
 
-/// How long requests still come after SIGTERM (PROTOCOL page, "Figures"), and a little more.
-const LATE_ARRIVALS: Duration = Duration::from_millis(750);
-/// The end comes so long after SIGTERM and the longest deadline, whatever is still open: what came last has had its time by
-/// then, and SIGKILL, which answers nobody, comes 0.1 s later.
-const LAST_WORD: Duration = Duration::from_millis(600);
-/// A longer deadline counts as this much where SIGKILL is told by it (PROTOCOL page, "Figures").
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// Connections that may wait to be accepted.
-const QUEUE: i32 = 1024;
-/// Clients that may give way for one reading of the configuration, and how long the end of one takes. SIGTERM waits meanwhile, and
-/// all of it has to pass within the 0.1 s that [`LAST_WORD`] leaves.
-const MOST_EVICTED: usize = 5;
-const EVICTION: Duration = Duration::from_millis(10);
-/// How often idle connections are looked at.
-const SWEEP: Duration = Duration::from_millis(250);
+/// How long requests are still accepted after SIGTERM: the time given on the PROTOCOL page, "Figures", and a
+/// margin.
+const LATE_REQUEST_TIME: Duration = Duration::from_millis(750);
+/// The process ends this long after SIGTERM plus the longest deadline, even with open requests. By then the
+/// last request has had its full deadline; SIGKILL, after which nothing is answered, follows 0.1 s later.
+const STOP_GRACE: Duration = Duration::from_millis(600);
+/// The platform derives the time of SIGKILL from the longest deadline, up to this much (PROTOCOL page,
+/// "Figures").
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// Most connections that may wait to be accepted.
+const LISTEN_BACKLOG: i32 = 1024;
+/// Most client connections closed to free a descriptor for reading the configuration. SIGTERM is not handled
+/// meanwhile, so all pauses together must stay within the 0.1 s that [`STOP_GRACE`] leaves.
+const MAX_EVICTIONS: usize = 5;
+/// How long closing a connection may take before the configuration is read again.
+const EVICTION_PAUSE: Duration = Duration::from_millis(10);
+/// Interval of the checks for idle connections and stale data.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What a platform front end is started with.
 pub struct PlatformOptions {
     /// The configuration file, read again on SIGHUP.
     pub config: PathBuf,
-    /// Where to listen, in place of the configuration's word.
+    /// Where to listen, instead of the configuration's address.
     pub listen: Option<SocketAddr>,
 }
 
@@ -64,7 +67,7 @@
         /// Why.
         error: std::io::Error,
     },
-    /// It cannot be used.
+    /// The configuration is invalid.
     #[error("{file}: {error}")]
     Config {
         /// The file.
@@ -72,7 +75,7 @@
         /// What is wrong.
         error: ConfigError,
     },
-    /// An address could not be listened on.
+    /// Listening on an address failed.
     #[error("cannot listen on {address}: {error}")]
     Listen {
         /// The address.
@@ -80,10 +83,10 @@
         /// Why.
         error: std::io::Error,
     },
-    /// Messages or signals cannot be heard.
+    /// The message socket, the listener or the signal handlers could not be set up.
     #[error("cannot start: {0}")]
     Start(std::io::Error),
-    /// The decision module has failed; everything was answered as failed.
+    /// The decision module has failed; all open requests were answered as failed.
     #[error("the decision module failed: {0}")]
     ModuleFailed(String),
 }
@@ -94,17 +97,17 @@
     config::read(&text).map_err(|error| PlatformError::Config { file: file(), error })
 }
 
-/// What the driver is bounded by. A probe takes no longer than a connection may take to come up; a call-off is
-/// confirmed in the batch in which its line goes out.
-fn limits(config: &Config, most_held: usize) -> Limits {
-    let set = &config.router;
+/// The driver's limits. Probes may take as long as establishing a connection; a cancellation is confirmed in
+/// the batch in which its line is written.
+fn limits(config: &Config, max_calls: usize) -> Limits {
+    let router = &config.router;
     Limits {
-        max_calls: most_held,
-        max_attempts: set.max_attempts,
-        order_timeout: set.order_timeout,
+        max_calls,
+        max_attempts: router.max_attempts,
+        order_timeout: router.order_timeout,
         probe_timeout: config.transport.connect_timeout,
         cancel_timeout: config.transport.connect_timeout,
-        answer_slack: set.answer_slack,
+        answer_slack: router.answer_slack,
     }
 }
 
@@ -112,148 +115,158 @@
 pub fn serve_platform(options: &PlatformOptions) -> Result<(), PlatformError> {
     let config = load(&options.config)?;
     let clock = Clock::start();
-    let (inputs, from_shell) = async_channel::unbounded();
-    let shell = Shell::new(&config, clock, inputs).map_err(PlatformError::Start)?;
+    let (inputs, input_receiver) = async_channel::unbounded();
+    let runtime = Runtime::new(&config, clock, inputs).map_err(PlatformError::Start)?;
     let address = options.listen.unwrap_or(config.listen);
     let listener = Async::<TcpListener>::bind(address);
     let listener = Rc::new(listener.map_err(|error| PlatformError::Listen { address, error })?);
-    // The library's queue of 128 overflows while hundreds connect and the core is another's; a connection turned away there
-    // comes back a second later.
-    rustix::net::listen(listener.get_ref(), QUEUE).map_err(|e| PlatformError::Start(e.into()))?;
+    // The library's backlog of 128 overflows while hundreds of clients connect and another process has the
+    // core. A connection dropped there is retried a second later.
+    rustix::net::listen(listener.get_ref(), LISTEN_BACKLOG).map_err(|e| PlatformError::Start(e.into()))?;
     let address = listener.get_ref().local_addr().map_err(PlatformError::Start)?;
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(PlatformError::Start)?;
-    let (control, controls) = async_channel::bounded(4);
+    let (control, control_receiver) = async_channel::bounded(4);
     let engine = Engine {
         clock,
-        inputs: from_shell,
-        control: controls,
+        inputs: input_receiver,
+        control: control_receiver,
         unanswered: Arc::default(),
         lag: Arc::default(),
-        backend: Platform(shell.clone()),
+        backend: PlatformBackend(runtime.clone()),
     };
     let decider: Box<dyn Decider + Send> = Box::new(Router::new(config.seed, config.router.clone()));
-    let terms = ModuleSettings::new(limits(&config, shell.shares.open_requests), &config.router);
-    config.known.iter().for_each(|n| shell.news(n));
+    let settings = ModuleSettings::new(limits(&config, runtime.shares.open_requests), &config.router);
+    config.known.iter().for_each(|update| runtime.on_list_update(update));
     let discovery = Rc::new(Discovery {
         address: Cell::new(config.discovery),
         changed: Default::default(),
         follower: RefCell::new(Follower::new(config.last_event)),
-        places: config.name_counts(),
+        name_counts: config.name_counts(),
     });
-    let tasks = &shell.tasks;
-    tasks.spawn(shell.clone().follow(discovery.clone())).detach();
-    tasks.spawn(shell.clone().sweeps()).detach();
-    let hear = shell.clone();
+    let tasks = &runtime.tasks;
+    tasks.spawn(runtime.clone().follow_discovery(discovery.clone())).detach();
+    tasks.spawn(runtime.clone().run_maintenance()).detach();
+    let peer_runtime = runtime.clone();
     tasks
         .spawn(async move {
-            if let Some(peers) = &hear.peers {
-                peers.listen(&hear).await;
+            if let Some(peers) = &peer_runtime.peers {
+                peers.listen(&peer_runtime).await;
             }
         })
         .detach();
-    let accepting = tasks.spawn(shell.clone().accept(listener.clone()));
-    let longest = config.router.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+    let accepting = tasks.spawn(runtime.clone().accept(listener.clone()));
+    let longest = config.router.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
     tracing::info!(name = %config.name, %address, sockets = config.limits.sockets, "serving");
-    let ours = Config { known: Vec::new(), ..config };
-    let ended = tasks.spawn(engine.run(decider, terms));
+    let running_config = Config { known: Vec::new(), ..config };
+    let ended = tasks.spawn(engine.run(decider, settings));
     let mut signals = signals;
     let stop = async {
-        shell.signals(&mut signals, (&options.config, &ours), &discovery).await;
-        let longest = Duration::from_micros(longest).min(LONGEST_DEADLINE);
-        let further = async {
-            // One that is told twice to stop stops no sooner: what it took is still owed.
+        runtime.handle_signals(&mut signals, (&options.config, &running_config), &discovery).await;
+        let longest = Duration::from_micros(longest).min(MAX_DEADLINE);
+        let further_signals = async {
+            // Further signals do not shorten the shutdown: accepted requests must still be answered.
             while let Some(signal) = signals.next().await {
                 tracing::info!(?signal, "stopping already");
             }
             futures_lite::future::pending().await
         };
-        shell.stop((accepting, listener), longest).or(further).await;
+        runtime.stop((accepting, listener), longest).or(further_signals).await;
         let _ = control.send(Control::Stop).await;
         futures_lite::future::pending::<EngineEnd>().await
     };
     let end = smol::block_on(tasks.run(ended.or(stop)));
-    shell.clients.flush();
+    runtime.clients.flush();
     match end {
         EngineEnd::Stopped => Ok(()),
         EngineEnd::ModuleFailed(text) => Err(PlatformError::ModuleFailed(text)),
     }
 }
 
-impl Shell {
-    async fn sweeps(self: Rc<Self>) {
+impl Runtime {
+    async fn run_maintenance(self: Rc<Self>) {
         loop {
-            Timer::after(SWEEP).await;
+            Timer::after(MAINTENANCE_INTERVAL).await;
             let now = self.clock.now();
-            self.clients.sweep(&self, now);
-            self.executors.sweep(&self, now);
-            self.sweep_freshness();
+            self.clients.maintain(&self, now);
+            self.executors.maintain(&self, now);
+            self.maintain_freshness();
         }
     }
 
-    /// Takes SIGHUP until SIGTERM or SIGINT comes.
-    async fn signals(&self, signals: &mut Signals, (path, ours): (&Path, &Config), discovery: &Discovery) {
+    /// Handles SIGHUP until SIGTERM or SIGINT arrives.
+    async fn handle_signals(
+        &self,
+        signals: &mut Signals,
+        (path, running_config): (&Path, &Config),
+        discovery: &Discovery,
+    ) {
         while let Some(signal) = signals.next().await {
             if !matches!(signal, Ok(Signal::Hup)) {
                 return;
             }
             let file = || path.display().to_string();
-            let read = self.load_with_room(path).await.and_then(|new| {
-                let changes = ours
+            let reloaded = self.load_evicting_clients(path).await.and_then(|new| {
+                let changes = running_config
                     .changed_sections(&new)
                     .map_err(|error| PlatformError::Config { file: file(), error })?;
                 Ok((new.discovery, changes))
             });
-            match read {
+            match reloaded {
                 Ok((address, changes)) => {
-                    tracing::info!(board = %address, "the configuration was read again: the address of service discovery is taken over");
+                    tracing::info!(board = %address, "configuration reloaded: the address of service discovery is applied");
                     if !changes.is_empty() {
-                        let what = changes.join(", ");
+                        let sections = changes.join(", ");
                         tracing::warn!(
-                            "{}: {what} changed as well; these hold from the next start on",
+                            "{}: {sections} changed as well; these apply from the next start on",
                             file()
                         );
                     }
                     discovery.address.set(address);
-                    discovery.changed.tell();
+                    discovery.changed.notify();
                 }
                 Err(e) => tracing::error!("the configuration stays as it was: {e}"),
             }
         }
     }
 
-    /// Reads a configuration. Where no descriptor is to be had for its file, clients that only hold theirs give them up: the
-    /// address of service discovery is told once.
-    async fn load_with_room(&self, path: &Path) -> Result<Config, PlatformError> {
-        for _ in 0..MOST_EVICTED {
+    /// Reads a configuration. If no descriptor is free for its file, idle client connections are closed,
+    /// since the signal that announces a new address of service discovery is sent only once.
+    async fn load_evicting_clients(&self, path: &Path) -> Result<Config, PlatformError> {
+        for _ in 0..MAX_EVICTIONS {
             match load(path) {
-                Err(PlatformError::Read { error, .. }) if is_short(&error) => _ = self.clients.evict(self),
+                Err(PlatformError::Read { error, .. }) if is_descriptor_limit(&error) => {
+                    _ = self.clients.evict(self)
+                }
                 other => return other,
             }
-            Timer::after(EVICTION).await;
+            Timer::after(EVICTION_PAUSE).await;
         }
         load(path)
     }
 
-    /// Answers what still comes and what is open, until nothing is or the time is up.
+    /// Answers late and open requests until none is open or the time limit has passed.
     async fn stop(
         self: &Rc<Self>,
         (accepting, listener): (smol::Task<()>, Rc<Async<TcpListener>>),
         longest: Duration,
     ) {
         self.stopping.set(true);
-        let began = Instant::now();
+        let started = Instant::now();
         tracing::info!(open = self.clients.open(), "stopping");
-        Timer::after(LATE_ARRIVALS).await;
-        // What the machine took in by now came in time, whether or not this process has had its turn since.
-        self.let_in_all(&listener).await;
+        Timer::after(LATE_REQUEST_TIME).await;
+        // Connections that the operating system has established by now are in time, even if this process has
+        // not run since.
+        self.accept_all(&listener).await;
         drop((accepting, listener));
         self.clients.read_all(self);
-        self.closed.set(true);
-        while (self.clients.open() > 0 || !self.clients.all_sent()) && began.elapsed() < longest + LAST_WORD {
+        self.intake_closed.set(true);
+        while (self.clients.open() > 0 || !self.clients.all_sent())
+            && started.elapsed() < longest + STOP_GRACE
+        {
             Timer::after(Duration::from_millis(10)).await;
         }
-        // What came too late is told so, rather than left without a word.
+        // Requests that arrived too late are refused instead of left without an answer.
         self.clients.read_all(self);
-        tracing::info!(open = self.clients.open(), took = ?began.elapsed(), "stopped");
+        tracing::info!(open = self.clients.open(), took = ?started.elapsed(), "stopped");
     }
 }
--- a/crates/badgerwind-gateway/src/platform/shell.rs
+++ b/crates/badgerwind-gateway/src/platform/runtime.rs
@@ -1,8 +1,8 @@
-//! What the parts of the platform front share, on one thread: settings, shares, the way to the engine.
+//! The state that the parts of the platform front share on one thread, and its backend for the engine.
 
 use super::clients::Clients;
-use super::complaints::Complaints;
 use super::executors::Executors;
+use super::log_limits::LogLimits;
 use crate::clock::Clock;
 use crate::engine::{Backend, InputOf, OutputOf};
 use crate::metrics::word;
@@ -19,17 +19,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What an executor needs of a call.
+/// The part of a call that is sent to an executor.
 #[derive(Debug)]
 pub(crate) struct Content {
     pub id: RequestId,
     pub class: usize,
-    pub key: FunctionId,
+    pub function: FunctionId,
     pub body: Vec<u8>,
-    pub handed: Time,
+    pub accepted_at: Time,
 }
 
-/// Whom to answer: a request on a connection. The serial tells it from an earlier one under the same number.
+/// Where the answer goes: a request on a connection. The serial distinguishes it from an earlier request with
+/// the same number.
 #[derive(Debug)]
 pub(crate) struct Caller {
     pub connection: u64,
@@ -37,47 +38,52 @@
     pub serial: u64,
 }
 
-pub(crate) type Input = InputOf<Platform>;
+pub(crate) type Input = InputOf<PlatformBackend>;
 
-pub(super) struct Shell {
+/// The state of a platform front end.
+pub(super) struct Runtime {
     pub clock: Clock,
     pub names: Names,
-    pub set: Settings,
+    pub settings: Settings,
     pub transport: Transport,
     pub shares: Shares,
-    /// Never more in it than what is open: each call, attempt, order and probe puts in one end.
+    /// Inputs to the engine. Its length is bounded by what is open, since each call, attempt, order and probe
+    /// sends one end.
     pub inputs: Sender<Input>,
     pub tasks: LocalExecutor<'static>,
-    /// Where sockets are read into; handed on before the next read.
+    /// Buffer for socket reads; its content is processed before the next read.
     pub scratch: RefCell<Vec<u8>>,
     pub clients: Clients,
     pub executors: Executors,
     pub peers: Option<Peers>,
-    pub complaints: Complaints,
-    /// How old the list of executors is, and what they say themselves.
+    pub log_limits: LogLimits,
+    /// The age of the list of executors, and the executors' own answers.
     pub freshness: RefCell<Freshness>,
-    /// SIGTERM has come.
+    /// SIGTERM was received.
     pub stopping: Cell<bool>,
-    /// The time in which calls still come after it is over.
-    pub closed: Cell<bool>,
+    /// The time for late requests after SIGTERM has passed.
+    pub intake_closed: Cell<bool>,
 }
 
-/// The datagrams between front ends.
+/// The datagram socket between front ends.
 pub(super) struct Peers {
     pub socket: Async<UdpSocket>,
+    /// Addresses of the front ends, by number.
     pub peers: Vec<SocketAddr>,
+    /// Address that reaches all front ends.
     pub all: Option<SocketAddr>,
+    /// This front end's number.
     pub own: u32,
 }
 
-/// The longest message.
-const MESSAGE: usize = 256;
-/// Messages taken in before others have their turn.
-const MESSAGES: usize = 32;
+/// Most bytes in a message.
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Most messages received before other tasks run.
+const MESSAGES_PER_TURN: usize = 32;
 
-impl Shell {
-    /// A shell and its sockets for messages. `inputs` leads to the engine.
-    pub(super) fn new(config: &Config, clock: Clock, inputs: Sender<Input>) -> std::io::Result<Rc<Shell>> {
+impl Runtime {
+    /// Creates the runtime and its socket for messages. `inputs` is the engine's queue.
+    pub(super) fn new(config: &Config, clock: Clock, inputs: Sender<Input>) -> std::io::Result<Rc<Runtime>> {
         let peers = match config.peer_listen.filter(|_| config.router.may_message) {
             Some(address) => Some(Peers {
                 socket: Async::<UdpSocket>::bind(address)?,
@@ -87,10 +93,10 @@
             }),
             None => None,
         };
-        Ok(Rc::new(Shell {
+        Ok(Rc::new(Runtime {
             clock,
             names: config.names.clone(),
-            set: config.router.clone(),
+            settings: config.router.clone(),
             transport: config.transport,
             shares: Shares::new(&config.limits, config.transport.most_held),
             inputs,
@@ -99,20 +105,20 @@
             clients: Clients::default(),
             executors: Executors::new(config.transport.connect_timeout),
             peers,
-            complaints: Complaints::default(),
-            freshness: RefCell::new(Freshness::new(clock.now(), freshness_terms(config))),
+            log_limits: LogLimits::default(),
+            freshness: RefCell::new(Freshness::new(clock.now(), freshness_settings(config))),
             stopping: Cell::new(false),
-            closed: Cell::new(false),
+            intake_closed: Cell::new(false),
         }))
     }
 
-    /// Tells the engine; it has ended where that fails, and so will the process.
-    pub(super) fn tell(&self, input: Input) {
+    /// Sends an input to the engine. This fails only if the engine has ended, and then the process ends too.
+    pub(super) fn send_input(&self, input: Input) {
         let _ = self.inputs.try_send(input);
     }
 }
 
-fn freshness_terms(config: &Config) -> FreshnessSettings {
+fn freshness_settings(config: &Config) -> FreshnessSettings {
     FreshnessSettings {
         drain_grace: config.router.drain_grace,
         answer_timeout: config.transport.connect_timeout,
@@ -124,54 +130,54 @@
 }
 
 impl Peers {
-    fn tell(&self, to: Option<u32>, bytes: &[u8]) {
-        let bytes = &bytes[..bytes.len().min(MESSAGE)];
+    fn send(&self, to: Option<u32>, bytes: &[u8]) {
+        let bytes = &bytes[..bytes.len().min(MAX_MESSAGE_BYTES)];
         let address = match to {
             None => self.all,
-            Some(n) => self.peers.get(n as usize).copied().filter(|_| n != self.own),
+            Some(number) => self.peers.get(number as usize).copied().filter(|_| number != self.own),
         };
         if let Some(address) = address {
-            // What cannot be sent at once is lost, as datagrams are.
+            // Datagrams may be lost, so one that cannot be sent at once is dropped.
             let _ = self.socket.get_ref().send_to(bytes, address);
         }
     }
 
-    /// Hands on what comes from front ends of the tier, for ever.
-    pub(super) async fn listen(&self, shell: &Shell) {
-        let (mut buf, mut heard) = ([0u8; MESSAGE + 1], 0);
+    /// Passes messages from other front ends to the engine, for as long as the process runs.
+    pub(super) async fn listen(&self, runtime: &Runtime) {
+        let (mut buf, mut received) = ([0u8; MAX_MESSAGE_BYTES + 1], 0);
         loop {
-            let Ok((n, from)) = self.socket.recv_from(&mut buf).await else {
+            let Ok((length, from)) = self.socket.recv_from(&mut buf).await else {
                 smol::Timer::after(Duration::from_millis(20)).await;
                 continue;
             };
-            heard += 1;
-            if heard % MESSAGES == 0 {
-                futures_lite::future::yield_now().await; // a flood holds up nobody
+            received += 1;
+            if received % MESSAGES_PER_TURN == 0 {
+                futures_lite::future::yield_now().await; // a flood must not delay other tasks
             }
-            let number = self.peers.iter().position(|p| *p == from).map(|n| n as u32);
-            if number.is_none() || n > MESSAGE {
-                if let Some(more) = shell.complaints.datagram.may(shell.clock.now()) {
+            let number = self.peers.iter().position(|peer| *peer == from).map(|index| index as u32);
+            if number.is_none() || length > MAX_MESSAGE_BYTES {
+                if let Some(more) = runtime.log_limits.datagram.may(runtime.clock.now()) {
                     tracing::warn!(
                         more,
-                        "a datagram of {n} bytes or more from {from} is passed over: {MESSAGE} are the most, from an address of \
-                         the configuration's peers"
+                        "ignored a datagram of {length} bytes or more from {from}: messages have at most \
+                         {MAX_MESSAGE_BYTES} bytes and come from the configuration's peers"
                     );
                 }
             }
-            if let Some(from) = number.filter(|&f| n <= MESSAGE && f != self.own) {
-                let bytes = buf[..n].to_vec();
-                if shell.inputs.len() < shell.shares.open_requests {
-                    shell.tell(Input::Message { from, bytes });
+            if let Some(from) = number.filter(|&number| length <= MAX_MESSAGE_BYTES && number != self.own) {
+                let bytes = buf[..length].to_vec();
+                if runtime.inputs.len() < runtime.shares.open_requests {
+                    runtime.send_input(Input::Message { from, bytes });
                 }
             }
         }
     }
 }
 
-/// The platform's way through the engine.
-pub(crate) struct Platform(pub(super) Rc<Shell>);
+/// Executes the engine's outputs for the platform.
+pub(crate) struct PlatformBackend(pub(super) Rc<Runtime>);
 
-impl Backend for Platform {
+impl Backend for PlatformBackend {
     type Origin = Caller;
     type Content = Rc<Content>;
     type Reply = Vec<u8>;
@@ -181,7 +187,7 @@
     }
 
     fn accepted_at(content: &Rc<Content>) -> Time {
-        content.handed
+        content.accepted_at
     }
 
     fn observe(&mut self, _: Time, input: &Input) {
@@ -189,9 +195,9 @@
             return;
         }
         match input {
-            Input::Call(c) => {
-                let r = &c.request;
-                tracing::debug!(request = %r.id, class = r.class, function = %r.function, retry = r.retry, "taken");
+            Input::Call(call) => {
+                let request = &call.request;
+                tracing::debug!(request = %request.id, class = request.class, function = %request.function, retry = request.retry, "taken");
             }
             Input::AttemptEnded { id, attempt, end } => {
                 let (outcome, mark, crowd) = (word(end.outcome), end.mark, end.crowd);
@@ -205,40 +211,41 @@
     }
 
     fn execute(&mut self, now: Time, output: OutputOf<Self>) {
-        let shell = &self.0;
+        let runtime = &self.0;
         match output {
             Output::Answer { id, origin, answer, attempts, lag, .. } => {
                 let served = matches!(answer, badgerwind_driver::FinalAnswer::Served(_));
                 tracing::debug!(request = %id, served, attempts, lag, "answered");
-                shell.clients.answer(shell, &origin, &answer);
+                runtime.clients.answer(runtime, &origin, &answer);
             }
             Output::Stream { origin, reply, .. } => {
-                // No class of the platform streams; an answer begun is an answer.
-                shell.clients.answer(shell, &origin, &badgerwind_driver::FinalAnswer::Served(reply));
+                // No class of the platform streams, so the start of an answer is the whole answer.
+                runtime.clients.answer(runtime, &origin, &badgerwind_driver::FinalAnswer::Served(reply));
             }
             Output::Attempt { id, attempt, worker, content, limit } => {
-                tracing::debug!(request = %id, attempt, worker, function = %content.key, "attempt");
-                shell.executors.attempt(shell, now, worker, (id, attempt, content, limit));
+                tracing::debug!(request = %id, attempt, worker, function = %content.function, "attempt");
+                runtime.executors.attempt(runtime, now, worker, (id, attempt, content, limit));
             }
-            Output::Cancel { id, attempt, worker, reason: why } => {
-                shell.executors.call_off(shell, worker, &id, attempt, why);
+            Output::Cancel { id, attempt, worker, reason } => {
+                runtime.executors.cancel(runtime, worker, &id, attempt, reason);
             }
             Output::Withhold { id, attempt, worker } => {
-                shell.executors.withhold(shell, worker, &id, attempt);
+                runtime.executors.withhold(runtime, worker, &id, attempt);
             }
             Output::Order { order, worker, function, copies, .. } => {
                 tracing::debug!(order = order.0, worker, %function, copies, "order");
-                shell.executors.order(shell, now, worker, order, &function, copies);
+                runtime.executors.order(runtime, now, worker, order, &function, copies);
             }
-            Output::Drop { worker, function } => shell.executors.unload(shell, now, worker, &function),
-            Output::Probe { worker } => shell.executors.probe(shell, now, worker),
-            Output::CloseIdle { worker } => shell.executors.close_idle(worker),
+            Output::Drop { worker, function } => runtime.executors.unload(runtime, now, worker, &function),
+            Output::Probe { worker } => runtime.executors.probe(runtime, now, worker),
+            Output::CloseIdle { worker } => runtime.executors.close_idle(worker),
             Output::SendMessage { to, bytes } => {
-                if let Some(peers) = &shell.peers {
-                    peers.tell(to, &bytes);
+                if let Some(peers) = &runtime.peers {
+                    peers.send(to, &bytes);
                 }
             }
-            // The notice board tells without being asked. Log and Broken are the engine's own.
+            // Service discovery sends its list without subscription. The engine handles Log and ModuleFailed
+            // itself.
             Output::Subscribe { .. }
             | Output::FetchList
             | Output::Log { .. }
--- a/crates/badgerwind-gateway/src/platform/wire.rs
+++ b/crates/badgerwind-gateway/src/platform/stream.rs
@@ -1,4 +1,5 @@
-//! A non-blocking stream whose task sleeps until something can be read, something more can be written, or it is woken.
+//! A non-blocking TCP stream whose task sleeps until the socket is readable or writable, or the task is
+//! woken.
 
 use smol::Async;
 use std::cell::{Cell, RefCell};
@@ -6,31 +7,33 @@
 use std::net::TcpStream;
 use std::task::{Poll, Waker};
 
-/// Whether a connection failed for want of a descriptor: that, and nothing else, another one's end gives back.
-pub(super) fn is_short(e: &io::Error) -> bool {
+/// Whether an operation failed because no descriptor was free. Closing another connection helps only in this
+/// case.
+pub(super) fn is_descriptor_limit(e: &io::Error) -> bool {
     use rustix::io::Errno;
-    let short = [Errno::MFILE, Errno::NFILE];
-    e.raw_os_error().is_some_and(|n| short.iter().any(|s| s.raw_os_error() == n))
+    let limits = [Errno::MFILE, Errno::NFILE];
+    e.raw_os_error().is_some_and(|code| limits.iter().any(|limit| limit.raw_os_error() == code))
 }
 
-pub(super) struct Wire {
-    stream: Async<TcpStream>,
+/// A TCP stream and the waker of its task.
+pub(super) struct Stream {
+    socket: Async<TcpStream>,
     waker: RefCell<Option<Waker>>,
     woken: Cell<bool>,
 }
 
-impl Wire {
-    pub(super) fn new(stream: Async<TcpStream>) -> Wire {
-        // Answers are written whole; waiting for more of them would only cost time.
-        let _ = stream.get_ref().set_nodelay(true);
-        Wire { stream, waker: RefCell::default(), woken: Cell::new(false) }
+impl Stream {
+    pub(super) fn new(socket: Async<TcpStream>) -> Stream {
+        // Each write holds whole messages, so Nagle's algorithm would only add delay.
+        let _ = socket.get_ref().set_nodelay(true);
+        Stream { socket, waker: RefCell::default(), woken: Cell::new(false) }
     }
 
-    /// Writes what the socket takes at once.
+    /// Writes as much as the socket accepts without blocking, and returns the number of bytes.
     pub(super) fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         let mut written = 0;
         while written < bytes.len() {
-            match self.stream.get_ref().write(&bytes[written..]) {
+            match self.socket.get_ref().write(&bytes[written..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(n) => written += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
@@ -41,10 +44,10 @@
         Ok(written)
     }
 
-    /// Reads what is there; `None` where nothing is yet.
+    /// Reads what is available; `None` if nothing is yet.
     pub(super) fn read(&self, into: &mut [u8]) -> io::Result<Option<usize>> {
         loop {
-            match self.stream.get_ref().read(into) {
+            match self.socket.get_ref().read(into) {
                 Ok(n) => return Ok(Some(n)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Has its task look again.
+    /// Wakes the stream's task.
     pub(super) fn wake(&self) {
         self.woken.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
@@ -61,13 +64,14 @@
         }
     }
 
-    /// Sleeps until it can be read, can be written (where that is wanted), or is woken.
-    pub(super) async fn ready(&self, reads: bool, writes: impl Fn() -> bool) {
+    /// Waits until the socket is readable (with `wants_read`) or writable (if `wants_write` returns true), or
+    /// until it is woken.
+    pub(super) async fn ready(&self, wants_read: bool, wants_write: impl Fn() -> bool) {
         std::future::poll_fn(|cx| {
             *self.waker.borrow_mut() = Some(cx.waker().clone());
             let awake = self.woken.take()
-                || reads && self.stream.poll_readable(cx).is_ready()
-                || writes() && self.stream.poll_writable(cx).is_ready();
+                || wants_read && self.socket.poll_readable(cx).is_ready()
+                || wants_write() && self.socket.poll_writable(cx).is_ready();
             if awake {
                 Poll::Ready(())
             } else {
