--- a/crates/badgerwind-cli/src/serve.rs
+++ b/crates/badgerwind-cli/src/serve.rs
@@ -83,7 +83,7 @@
     let (file, own, folder) = load_file(&args.settings)?;
     // Where a control service is followed, the set that ran last comes before the file's own.
     let (kept, told) = match &own.control {
-        Some(c) => read_kept(&folder.join(&c.keep)),
+        Some(c) => read_kept(&folder.join(&c.storage_file)),
         None => (Vec::new(), Vec::new()),
     };
     let (settings, unfit) = match read_tree(&compose(&file, &kept)) {
@@ -109,10 +109,16 @@
         let file = path.display().to_string();
         let text = std::fs::read_to_string(&path).map_err(|e| {
             let (what, right) = (format!("cannot be read: {e}"), "put it back".to_owned());
-            vec![Problem { file: file.clone(), line: 1, element: "badgerwind".into(), what, right }]
+            vec![Problem {
+                file: file.clone(),
+                line: 1,
+                element: "badgerwind".into(),
+                message: what,
+                remedy: right,
+            }]
         })?;
         let node = parse(&file, &text).map_err(|p| vec![p])?;
-        if !badgerwind_settings::edit::same_but_keys(&begun, &node) {
+        if !badgerwind_settings::edit::equal_except_reloadable(&begun, &node) {
             tracing::warn!("{file} differs from what runs in more than keys: the rest waits for a restart");
         }
         read_tree(&node)
--- a/crates/badgerwind-gateway/src/engine.rs
+++ b/crates/badgerwind-gateway/src/engine.rs
@@ -38,7 +38,7 @@
     fn on_batch_done(&mut self, unanswered: usize, took: Duration);
 
     /// Records how much state the module holds after a batch.
-    fn record_stats(&mut self, _stats: Figures) {}
+    fn record_stats(&mut self, _stats: RouterStats) {}
 }
 
 /// The driver's inputs with the types of a backend.
@@ -143,7 +143,7 @@
     workers: BTreeMap<WorkerId, WorkerEntry>,
     order_limit: OrderLimit,
     /// This front end's share of the fleet's limits, which a new module receives when it starts.
-    local_quotas: Option<Parts>,
+    local_quotas: Option<LocalQuotas>,
 }
 
 impl<B: Backend> Modules<B> {
@@ -247,7 +247,7 @@
             driver: old,
             until: now + HANDOVER_TIME,
         });
-        self.order_limit.change(settings.load_window, settings.load_free, settings.load_share);
+        self.order_limit.set_limit(settings.load_window, settings.load_free, settings.load_share);
         let entries = self.workers.values().cloned().collect();
         let list = Input::List { kind: ListKind::Whole, entries };
         self.current.on_batch(
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -15,7 +15,7 @@
 use crate::trace::TraceParent;
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::*;
-use badgerwind_config::shadow::Recorded;
+use badgerwind_config::shadow::RecordedCall;
 use badgerwind_driver::{Call, FinalAnswer, Lag};
 use badgerwind_guard::{forwarded_address, Budget, Claimant, Guard, Permit, Source};
 use badgerwind_http::{Conn, Limits, RequestHead, Response, ServerTls, Stream};
@@ -80,7 +80,7 @@
 pub(crate) struct Front {
     pub rules: RwLock<Arc<Rules>>,
     /// Calls of late, as a change is tried on.
-    pub recent: Mutex<VecDeque<Recorded>>,
+    pub recent: Mutex<VecDeque<RecordedCall>>,
     pub counts: Counts,
     /// Callbacks owed.
     pub owed: Arc<AtomicUsize>,
@@ -190,14 +190,14 @@
             _ => &front.counts.failed,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        front.record(Recorded {
-            at: front.clock.now().saturating_sub(lag),
+        front.record(RecordedCall {
+            arrived_at: front.clock.now().saturating_sub(lag),
             class: name.clone(),
             tenant: settings.tenants[settings.webhook.senders[self.sender].tenant].clone(),
             function: settings.functions[self.function].name.clone(),
-            waits: self.waits,
+            sender_timeout: self.waits,
             served: word == "served",
-            lag,
+            latency: lag,
         });
         front.metrics.answered(name, word, lag);
         tracing::info!(
@@ -236,13 +236,13 @@
 fn limits(settings: &Settings) -> Limits {
     let w = &settings.webhook;
     Limits {
-        head_bytes: w.head_bytes,
-        headers: w.headers,
-        head_time: w.head_time,
-        body_bytes: w.body_bytes,
-        body_time: w.body_time,
-        idle_time: w.idle_time,
-        write_time: w.write_time,
+        head_bytes: w.max_head_bytes,
+        headers: w.max_headers,
+        head_time: w.head_timeout,
+        body_bytes: w.max_body_bytes,
+        body_time: w.body_timeout,
+        idle_time: w.idle_timeout,
+        write_time: w.write_timeout,
     }
 }
 
@@ -250,8 +250,8 @@
 pub(crate) fn bounds(settings: &Settings) -> Bounds {
     let w = &settings.webhook;
     let longest = w.senders.iter().map(|s| Bounds::keep_for(s.tolerance)).max().unwrap_or(0);
-    let keep = w.remember.max(longest);
-    Bounds { count: w.remember_most, keep, waiters: w.waiters, bytes: w.remember_bytes }
+    let keep = w.answer_retention.max(longest);
+    Bounds { count: w.max_remembered_ids, keep, waiters: w.max_waiters, bytes: w.max_remembered_bytes }
 }
 
 /// The bounds of the budgets for failed signatures, from the settings.
@@ -259,11 +259,11 @@
     let g = &settings.webhook.guard;
     let budget = |(burst, rate)| Budget { burst, rate };
     badgerwind_guard::Limits {
-        source: budget(g.source),
-        sender: budget(g.sender),
-        max_sources: g.sources,
-        known_duration: g.known_for,
-        bytes_per_check: g.bytes,
+        source: budget(g.source_limit),
+        sender: budget(g.sender_limit),
+        max_sources: g.max_sources,
+        known_duration: g.known_source_time,
+        bytes_per_check: g.bytes_per_check,
     }
 }
 
@@ -319,10 +319,10 @@
         let _ = self.freed.try_send(());
     }
 
-    fn record(&self, call: Recorded) {
+    fn record(&self, call: RecordedCall) {
         let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let oldest = self.clock.now().saturating_sub(RECENT);
-        while recent.len() >= MOST_RECENT || recent.front().is_some_and(|c| c.at < oldest) {
+        while recent.len() >= MOST_RECENT || recent.front().is_some_and(|c| c.arrived_at < oldest) {
             recent.pop_front();
         }
         recent.push_back(call);
@@ -353,7 +353,7 @@
     pub(crate) async fn listen(self: Arc<Self>, listener: TcpListener) {
         loop {
             // The bound may change while connections are open; a place freed or a change wakes this.
-            while self.open.load(Ordering::Relaxed) >= self.rules().settings.webhook.connections {
+            while self.open.load(Ordering::Relaxed) >= self.rules().settings.webhook.max_connections {
                 let _ = self.free.recv().await;
             }
             let (stream, peer) = match listener.accept().await {
@@ -459,11 +459,11 @@
         let sender = w.routes[route].sender;
         let header = |name| head.headers.get(name);
         let lines: Vec<&str> = head.headers.all("x-forwarded-for").collect();
-        let source = forwarded_address(peer, &w.guard.balancers, &lines).unwrap_or(peer);
+        let source = forwarded_address(peer, &w.guard.load_balancers, &lines).unwrap_or(peer);
         let who = Claimant { source: Source::from_address(source), sender };
         let bytes = match head.framing {
-            badgerwind_http::Framing::Length(n) => n.min(w.body_bytes as u64),
-            _ => w.body_bytes as u64,
+            badgerwind_http::Framing::Length(n) => n.min(w.max_body_bytes as u64),
+            _ => w.max_body_bytes as u64,
         };
         let now = self.clock.now();
         let permit = self.guard().admit(now, who, bytes).map_err(|turned| {
@@ -679,7 +679,7 @@
             Some(n) => {
                 let c = &sender.callbacks[n];
                 let key = rules.callbacks[route.sender][n].clone();
-                let owed = Owed::take(&self.owed, w.callbacks, (&c.name, c.address, &c.path), key);
+                let owed = Owed::take(&self.owed, w.max_callbacks, (&c.name, c.address, &c.path), key);
                 let text = "no more callbacks can be owed now; nothing was started";
                 Some(owed.ok_or_else(|| away(503, "callbacks-full", text))?)
             }
@@ -770,7 +770,7 @@
     };
     let found = w.routes.iter().enumerate().find_map(|(n, r)| match r.target {
         Target::Function(f) => (r.path == path).then_some((n, f)),
-        Target::Named => named(&r.path).map(|f| (n, f)),
+        Target::FromPath => named(&r.path).map(|f| (n, f)),
     });
     let found = found.ok_or_else(|| away(404, "unknown-path", "no route leads there"))?;
     if head.method != "POST" {
--- a/crates/badgerwind-gateway/src/platform/discovery.rs
+++ b/crates/badgerwind-gateway/src/platform/discovery.rs
@@ -86,7 +86,7 @@
             freshness.on_full_list(&listed_workers);
         }
         for listed in &update.entries {
-            let removed = listed.entry.availability == Availability::Gone;
+            let removed = listed.entry.availability == Availability::Removed;
             freshness.on_listed(listed.entry.worker, removed);
         }
         let entries = update.entries.iter().map(|listed| listed.entry.clone()).collect();
--- a/crates/badgerwind-gateway/src/platform/executors.rs
+++ b/crates/badgerwind-gateway/src/platform/executors.rs
@@ -82,7 +82,7 @@
                 (executor.address, executor.reachability) = (*address, Reachability::new(pause));
             }
             executor.entry = entry.clone();
-            executor.removed = entry.availability == Availability::Gone;
+            executor.removed = entry.availability == Availability::Removed;
             executor.draining_since = match entry.availability {
                 Availability::Ready => None,
                 _ => executor.draining_since.or(Some(now)),
--- a/crates/badgerwind-gateway/src/platform/runtime.rs
+++ b/crates/badgerwind-gateway/src/platform/runtime.rs
@@ -98,7 +98,7 @@
             names: config.names.clone(),
             settings: config.router.clone(),
             transport: config.transport,
-            shares: Shares::new(&config.limits, config.transport.most_held),
+            shares: Shares::new(&config.limits, config.transport.max_open_requests),
             inputs,
             tasks: LocalExecutor::new(),
             scratch: RefCell::new(vec![0; 64 * 1024]),
--- a/crates/badgerwind-settings/tests/documents.rs
+++ b/crates/badgerwind-settings/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents: good ones in full, bad ones named by line, element, fault and remedy.
+//! Valid documents are read in full; problems name line, element, error and remedy.
 
 use badgerwind::interface::{Effect, WhenAbsent};
 use badgerwind_settings::*;
@@ -17,7 +17,7 @@
     assert_eq!(s.classes, ["check-answers", "lodge-return"]);
     let routes: Vec<_> =
         s.webhook.routes.iter().map(|r| (r.path.as_str(), r.class, r.target.clone())).collect();
-    assert_eq!(routes, [("/check/", 0, Target::Named), ("/lodge", 1, Target::Function(1))]);
+    assert_eq!(routes, [("/check/", 0, Target::FromPath), ("/lodge", 1, Target::Function(1))]);
     assert_eq!(s.webhook.senders[0].secrets[1].not_before, Some(1_796_083_200));
     assert_eq!(s.webhook.senders[0].tolerance, 300);
     let report = "<report how=\"answers\" fields=\"active cpu\"/><log";
@@ -25,18 +25,18 @@
     use badgerwind::interface::{ReportField, ReportMode};
     assert_eq!(s2.router.report_mode, ReportMode::Answers);
     assert_eq!(s2.router.report_fields, [ReportField::Active, ReportField::Cpu]);
-    assert_eq!((s.most_held, s.log.json, s.list.wait.as_secs()), (20_000, false, 20));
+    assert_eq!((s.max_calls, s.log.json, s.list.poll_timeout.as_secs()), (20_000, false, 20));
 }
 
-/// The example with one piece of text changed.
-fn broken(from: &str, to: &str) -> Vec<String> {
+/// The problems of the example with one piece of text changed.
+fn problems_with(from: &str, to: &str) -> Vec<String> {
     assert!(EXAMPLE.contains(from), "{from}");
     let problems = read("s.xml", &EXAMPLE.replacen(from, to, 1)).expect_err(to);
     problems.iter().map(Problem::to_string).collect()
 }
 
 #[test]
-fn each_fault_is_named_with_its_line_and_its_remedy() {
+fn each_problem_is_named_with_its_line_and_its_remedy() {
     let grace = "drain-grace=\"500ms\"";
     for (from, to, want) in [
         (grace, "", "s.xml:8: <rules>: drain-grace is missing; give a time from 0s to 60s, such as 250ms"),
@@ -51,8 +51,8 @@
             "zone=\"hall-z\"",
             "<fleet>: zone names \"hall-z\", which is not declared; declare",
         ),
-        ("<tenant name=\"brolga-shire\" quota=\"101\"/>", "", "<badgerwind>: <tenant> stands 0 times; write"),
-        ("<list address", "<lists address", "s.xml:25: <lists>: unknown element; in <badgerwind> may stand"),
+        ("<tenant name=\"brolga-shire\" quota=\"101\"/>", "", "<badgerwind>: <tenant> occurs 0 times; write"),
+        ("<list address", "<lists address", "s.xml:25: <lists>: unknown element; <badgerwind> may contain"),
         ("class=\"lodge-return\"", "class=\"lodge\"", "s.xml:22: <route>: class names \"lodge\""),
         ("path=\"/check/*\"", "path=\"/check\"", "s.xml:21: <route>: path /check and function do not fit"),
         (
@@ -62,7 +62,7 @@
         ),
         ("aim=\"1.2s\"", "aim=\"4s\"", "s.xml:11: <class>: aim 4s is beyond deadline 3s"),
         ("deadline=\"3s\"", "deadline=\"40ms\"", "leaves no time to answer"),
-        ("name=\"2026-b\"", "name=\"2026-a\"", "<secret>: name \"2026-a\" stands twice"),
+        ("name=\"2026-b\"", "name=\"2026-a\"", "<secret>: name \"2026-a\" occurs twice"),
         ("not-before=\"2026-12-01T00:00:00Z\"", "not-before=\"soon\"", "give a moment such as"),
         (
             "memory-mb=\"600\"",
@@ -72,22 +72,22 @@
         (
             "tenant=\"brolga-shire\">",
             "tenant=\"brolga-shire\" tolerance=\"6min\">",
-            "tolerance 6min outlives",
+            "tolerance 6min is more than half of remember",
         ),
         ("retry-after=\"2s\"", "messages=\"true\"", "messages are allowed and there is no <peers>"),
         (
             "<log format=\"text\"/>",
             "<log colour=\"red\"/>",
-            "unknown attribute colour; known are format, level",
+            "unknown attribute colour; known attributes are format, level",
         ),
-        ("<log format=\"text\"/>", "<log>text</log>", "<log>: holds text; values stand in attributes"),
+        ("<log format=\"text\"/>", "<log>text</log>", "<log>: contains text; write values in attributes"),
         ("</badgerwind>", "", "<badgerwind>: is never closed"),
         ("</webhook>", "</webhok>", "not well-formed XML"),
         ("<log format=\"text\"/>", "<log format=\"text\" format=\"json\"/>", "an attribute cannot be read"),
         (
             "<badgerwind version",
             "<!DOCTYPE x [<!ENTITY a \"b\">]><badgerwind version",
-            "entities are not read",
+            "remove it: entities are not supported",
         ),
         (
             "<log format=\"text\"/>",
@@ -96,15 +96,17 @@
         ),
         ("version=\"1\">", "version=\"2\">", "version is \"2\"; give one of 1"),
     ] {
-        let got = broken(from, to);
+        let got = problems_with(from, to);
         assert!(got.iter().any(|p| p.contains(want)), "wanted {want}\ngot {got:#?}");
     }
     assert!(read("s.xml", "").unwrap_err()[0].to_string().contains("is empty"));
-    assert!(read("s.xml", "<a/>").unwrap_err()[0].to_string().contains("<badgerwind> must stand here"));
+    assert!(read("s.xml", "<a/>").unwrap_err()[0]
+        .to_string()
+        .contains("unexpected element; <badgerwind> is expected here"));
 }
 
 /// The example with peers and budgets.
-fn budgeted() -> String {
+fn example_with_budgets() -> String {
     let budgets = "<peers listen=\"127.0.0.1:7001\" key-file=\"peers.key\"><peer number=\"1\" address=\"127.0.0.1:7002\"/></peers>\
                    <budgets version=\"4\" lease=\"3s\" beat=\"1s\"><voter number=\"0\"/><voter number=\"1\"/>\
                    <budget name=\"fetches\" of=\"orders\" units=\"30\" floor=\"2\" window=\"10s\"/>\
@@ -117,32 +119,35 @@
 }
 
 #[test]
-fn budgets_are_read_with_their_terms() {
-    let b = read("s.xml", &budgeted()).unwrap().budgets.unwrap();
-    assert_eq!(b.budgets[0], Budget { name: "fetches".into(), of: BudgetOf::Orders });
-    assert_eq!(b.budgets[1].of, BudgetOf::Tenant(0));
-    assert_eq!((b.book.version, b.terms.voters.clone(), b.terms.lease), (4, vec![0, 1], 3_000_000));
-    let limit = &b.book.limits[0];
+fn budgets_are_read_with_their_settings() {
+    let b = read("s.xml", &example_with_budgets()).unwrap().budgets.unwrap();
+    assert_eq!(b.budgets[0], Budget { name: "fetches".into(), resource: BudgetResource::Orders });
+    assert_eq!(b.budgets[1].resource, BudgetResource::Tenant(0));
+    assert_eq!(
+        (b.limit_set.version, b.lease_settings.voters.clone(), b.lease_settings.lease),
+        (4, vec![0, 1], 3_000_000)
+    );
+    let limit = &b.limit_set.limits[0];
     assert_eq!((limit.units, limit.floor, limit.members, limit.cooldown), (30, 2, 3, 10_000_000));
 }
 
 #[test]
-fn each_fault_of_budgets_is_named_with_its_remedy() {
+fn each_problem_of_budgets_is_named_with_its_remedy() {
     for (from, to, want) in [
         ("units=\"30\"", "units=\"5\"", "floors of 3 members at 2 each exceed the limit of 5 units; a smaller floor"),
         ("beat=\"1s\"", "beat=\"2s\"", "leaves no room for three in a lease"),
         ("<voter number=\"1\"/>", "<voter number=\"7\"/>", "<voter>: number 7 is none of the fleet's"),
-        ("<voter number=\"1\"/>", "<voter number=\"0\"/>", "<voter>: number \"0\" stands twice"),
+        ("<voter number=\"1\"/>", "<voter number=\"0\"/>", "<voter>: number \"0\" occurs twice"),
         ("window=\"10s\"/>", "window=\"9s\"/>", "give it load-window of <rules>"),
         ("of=\"orders\"", "of=\"orders\" tenant=\"brolga-shire\"", "of orders names a tenant"),
         ("tenant=\"brolga-shire\" units", "tenant=\"nobody\" units", "nobody is no tenant with a quota"),
-        ("tenant=\"brolga-shire\" units", "units", "of tenant names none"),
-        ("of=\"tenant\" tenant=\"brolga-shire\"", "of=\"orders\"", "brolga divides again what another divides"),
-        ("name=\"brolga\" of", "name=\"fetches\" of", "<budget>: name \"fetches\" stands twice"),
+        ("tenant=\"brolga-shire\" units", "units", "of tenant names no tenant"),
+        ("of=\"tenant\" tenant=\"brolga-shire\"", "of=\"orders\"", "brolga divides the same resource as another budget"),
+        ("name=\"brolga\" of", "name=\"fetches\" of", "<budget>: name \"fetches\" occurs twice"),
         ("<voter number=\"0\"/><voter number=\"1\"/>", "", "<budgets>"),
         ("<peers listen=\"127.0.0.1:7001\" key-file=\"peers.key\"><peer number=\"1\" address=\"127.0.0.1:7002\"/></peers>", "", "there are budgets and no <peers>"),
     ] {
-        let text = budgeted();
+        let text = example_with_budgets();
         assert!(text.contains(from), "{from}");
         let got = read("s.xml", &text.replacen(from, to, 1)).expect_err(to);
         assert!(got.iter().any(|p| p.to_string().contains(want)), "wanted {want}\ngot {got:#?}");
@@ -150,15 +155,18 @@
 }
 
 #[test]
-fn leaving_zones_is_read_with_its_terms_and_its_faults_are_named() {
+fn leaving_zones_is_read_and_its_problems_are_named() {
     let leaving = "<leaving beat=\"50ms\" quiet=\"1s\" least-left=\"0.4\"><voter number=\"0\"/><voter number=\"2\"/></leaving><budgets";
-    let text = budgeted().replacen("<budgets", leaving, 1);
-    let terms = read("s.xml", &text).unwrap().leaving.unwrap().terms;
+    let text = example_with_budgets().replacen("<budgets", leaving, 1);
+    let settings = read("s.xml", &text).unwrap().leaving.unwrap().settings;
     assert_eq!(
-        (terms.voters.clone(), terms.heartbeat_interval, terms.retry_delay),
+        (settings.voters.clone(), settings.heartbeat_interval, settings.retry_delay),
         (vec![0, 2], 50_000, 1_000_000)
     );
-    assert_eq!((terms.min_remaining_on_loss, terms.max_retry_delay, terms.probers), (0.4, 120_000_000, 3));
+    assert_eq!(
+        (settings.min_remaining_on_loss, settings.max_retry_delay, settings.probers),
+        (0.4, 120_000_000, 3)
+    );
     for (from, to, want) in [
         (
             "<voter number=\"2\"/></leaving>",
@@ -180,34 +188,35 @@
         let got = read("s.xml", &text.replacen(from, to, 1)).expect_err(to);
         assert!(got.iter().any(|p| p.to_string().contains(want)), "wanted {want}\ngot {got:#?}");
     }
-    let worded = text.replacen(
+    let with_directive = text.replacen(
         "<zone name=\"hall-a\"",
         "<zone name=\"hall-a\" word=\"leave\" why=\"fire &amp; smoke\"",
         1,
     );
-    let words = read("s.xml", &worded).unwrap().leaving.unwrap().words;
+    let words = read("s.xml", &with_directive).unwrap().leaving.unwrap().directives;
     assert_eq!(words[0], Some((badgerwind_zones::Directive::Leave, "fire & smoke".into())));
     for (from, to, want) in [
-        (" why=\"fire &amp; smoke\"", "", "a word stands without why"),
+        (" why=\"fire &amp; smoke\"", "", "word is set without why"),
         ("word=\"leave\"", "word=\"burn\"", "word is \"burn\"; give one of leave, hold, return"),
         ("why=\"fire &amp; smoke\"", "why=\"\"", "give 1 to 200 bytes of words on one line"),
-        (leaving.strip_suffix("<budgets").unwrap(), "", "there is a word and no <leaving>"),
+        (leaving.strip_suffix("<budgets").unwrap(), "", "word is set and there is no <leaving>"),
     ] {
-        assert!(worded.contains(from), "{from}");
-        let got = read("s.xml", &worded.replacen(from, to, 1)).expect_err(to);
+        assert!(with_directive.contains(from), "{from}");
+        let got = read("s.xml", &with_directive.replacen(from, to, 1)).expect_err(to);
         assert!(got.iter().any(|p| p.to_string().contains(want)), "wanted {want}\ngot {got:#?}");
     }
-    // Written and taken out again by an edit, the file is what it was, but for that tag's own spaces.
-    let edited = edit::zone_word(&text, "hall-a", Some(("leave", "fire & smoke"))).unwrap();
-    assert_eq!(read("s.xml", &edited).unwrap().leaving.unwrap().words, words);
-    let back = edit::zone_word(&edited, "hall-a", None).unwrap();
-    assert_eq!(back, edit::zone_word(&text, "hall-a", None).unwrap());
+    // A directive that is set and removed again by edits leaves the file as it was, except for the white
+    // space of the tag.
+    let edited = edit::set_zone_directive(&text, "hall-a", Some(("leave", "fire & smoke"))).unwrap();
+    assert_eq!(read("s.xml", &edited).unwrap().leaving.unwrap().directives, words);
+    let back = edit::set_zone_directive(&edited, "hall-a", None).unwrap();
+    assert_eq!(back, edit::set_zone_directive(&text, "hall-a", None).unwrap());
     assert_eq!(
-        edit::zone_word(&text, "nowhere", None).unwrap_err().to_string(),
+        edit::set_zone_directive(&text, "nowhere", None).unwrap_err().to_string(),
         "the settings name no zone \"nowhere\""
     );
     let tree = |t: &str| document::parse("s.xml", t).unwrap();
-    assert!(edit::same_but_keys(&tree(&text), &tree(&edited)));
+    assert!(edit::equal_except_reloadable(&tree(&text), &tree(&edited)));
     let (from, to) = (text.find("<zone ").unwrap(), text.rfind("<zone ").unwrap());
     if from != to {
         let end = to + text[to..].find("/>").unwrap() + 2;
@@ -218,16 +227,16 @@
 }
 
 #[test]
-fn all_problems_come_at_once() {
+fn all_problems_are_returned_together() {
     let text =
         EXAMPLE.replace("drain-grace=\"500ms\"", "").replace("keep-alive=\"8.4s\"", "keep-alive=\"x\"");
     assert_eq!(read("s.xml", &text).unwrap_err().len(), 2);
 }
 
 #[test]
-fn the_published_schema_is_the_one_that_documents_are_held_to() {
+fn the_published_schema_is_up_to_date() {
     let published = include_str!("../schema/badgerwind.xsd");
-    assert!(published == schema::xsd(), "write it anew with the example print_schema");
+    assert!(published == schema::xsd(), "regenerate it with the example print_schema");
 }
 
 proptest! {
@@ -238,9 +247,9 @@
         let _ = read("s.xml", &text);
     }
 
-    /// A document with any piece taken out is read or refused, and every refusal has a line of the document.
+    /// A document with any piece removed is read or rejected, and every problem has a line of the document.
     #[test]
-    fn any_cut_is_told_plainly(at in 0usize..EXAMPLE.len(), n in 1usize..80) {
+    fn problems_of_any_document_with_a_piece_removed_have_a_line(at in 0usize..EXAMPLE.len(), n in 1usize..80) {
         let rest = &EXAMPLE.as_bytes()[(at + n).min(EXAMPLE.len())..];
         let text = [&EXAMPLE.as_bytes()[..at], rest].concat();
         if let Err(problems) = read("s.xml", &String::from_utf8_lossy(&text)) {
