--- a/crates/badgerwind-cli/src/budgets/mod.rs
+++ b/crates/badgerwind-cli/src/budgets/mod.rs
@@ -14,7 +14,7 @@
 use crate::Stop;
 use badgerwind_budgets::{LeaseSettings, Limit, LimitSet, Member, Unit};
 use badgerwind_check::budgets::{Line, What};
-use badgerwind_gateway::fleet::{wall, FleetMember, MemberOptions};
+use badgerwind_gateway::fleet::{wall_micros, FleetMember, MemberOptions};
 use badgerwind_webhook::Key;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -117,9 +117,9 @@
         listen: args.listen,
         peers: trial.peers.clone(),
         key,
-        book: trial.book(),
-        terms: trial.terms(),
-        clock_fast: args.clock_fast,
+        limit_set: trial.book(),
+        lease_settings: trial.terms(),
+        clock_skew_ppm: args.clock_fast,
     };
     let member = FleetMember::start(options).map_err(|e| Stop::usage(e.to_string()))?;
     let member = Arc::new(member);
@@ -128,7 +128,7 @@
     let mut record = Record(file);
     let speaks = member.clone();
     std::thread::spawn(move || speaks.run(&AtomicBool::new(false)));
-    let life = wall();
+    let life = wall_micros();
     let number = args.number;
     let line = |at, what| Line { at, member: number, life, what };
     let mut told = None;
@@ -137,7 +137,7 @@
         if turn % 16 == 0 {
             if let Ok(next) = Trial::read(&args.trial) {
                 let wants = next.wants.get(&number).copied().unwrap_or(0);
-                let set = member.with(|node, now| {
+                let set = member.with_node(|node, now| {
                     node.set_wanted(0, wants);
                     node.apply_limits(now, &next.book())
                 });
@@ -146,7 +146,7 @@
         }
         turn += 1;
         // A line bears the moment at which its matter was looked at: a stop before it is written changes nothing.
-        let (floor, granted, left, now) = member.with(|node, now| {
+        let (floor, granted, left, now) = member.with_node(|node, now| {
             let limit = &node.limit_set().limits[0];
             let (floor, all) = (limit.floor_of(number), node.owned(now, 0));
             let granted = all.filter_units(|u| !floor.contains(u));
--- a/crates/badgerwind-cli/src/demo.rs
+++ b/crates/badgerwind-cli/src/demo.rs
@@ -122,7 +122,7 @@
         command(*address, "/standin/fault", &hang).await.map_err(Stop::failed)?;
     }
     tell("a lodgement that every runner takes and none answers", &portal, "msg_6", lodge, work, 504).await;
-    running.until(std::future::ready(()), std::future::pending()).await;
+    running.serve_until(std::future::ready(()), std::future::pending()).await;
     println!("the gateway has stopped; every sender has one answer");
     drop(tasks);
     match wrong {
--- a/crates/badgerwind-cli/src/serve.rs
+++ b/crates/badgerwind-cli/src/serve.rs
@@ -3,9 +3,9 @@
 use crate::Stop;
 use async_signal::{Signal, Signals};
 use badgerwind_config::parts::compose;
-use badgerwind_gateway::control::{read_kept, Following};
+use badgerwind_gateway::control::{read_stored, FollowOptions};
 use badgerwind_gateway::secrets::{self, Secrets};
-use badgerwind_gateway::{Options, Reread, Stopped};
+use badgerwind_gateway::{Options, SettingsReader, Stopped};
 use badgerwind_settings::document::{parse, Node};
 use badgerwind_settings::{read_tree, Problem, Settings};
 use futures_lite::StreamExt;
@@ -83,7 +83,7 @@
     let (file, own, folder) = load_file(&args.settings)?;
     // Where a control service is followed, the set that ran last comes before the file's own.
     let (kept, told) = match &own.control {
-        Some(c) => read_kept(&folder.join(&c.storage_file)),
+        Some(c) => read_stored(&folder.join(&c.storage_file)),
         None => (Vec::new(), Vec::new()),
     };
     let (settings, unfit) = match read_tree(&compose(&file, &kept)) {
@@ -97,14 +97,14 @@
     unfit.iter().for_each(|p| tracing::warn!("the set that ran last does not fit the file any more: {p}"));
     // A control service's routes come before the file's: then only the files that they name are read again.
     let reread = settings.control.is_none().then(|| reread(args.settings.clone(), file.clone()));
-    let following = settings.control.is_some().then_some(Following { file, kept });
+    let following = settings.control.is_some().then_some(FollowOptions { file, stored: kept });
     let mut options = Options::new(Arc::new(settings), secrets, folder);
-    options.following = following;
+    options.follow = following;
     serve_with(options, args.ready_file.as_deref(), reread)
 }
 
 /// Reads the settings file anew, and says where it holds more than keys that are not what runs.
-fn reread(path: PathBuf, begun: Node) -> Reread {
+fn reread(path: PathBuf, begun: Node) -> SettingsReader {
     Box::new(move || {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(&path).map_err(|e| {
@@ -126,7 +126,11 @@
 }
 
 /// Serves with options put together elsewhere.
-pub fn serve_with(options: Options, ready_file: Option<&Path>, reread: Option<Reread>) -> Result<(), Stop> {
+pub fn serve_with(
+    options: Options,
+    ready_file: Option<&Path>,
+    reread: Option<SettingsReader>,
+) -> Result<(), Stop> {
     smol::block_on(async {
         let signals = Signals::new([Signal::Term, Signal::Int]);
         let signals = signals.map_err(|e| Stop::failed(format!("signals cannot be heard: {e}")))?;
@@ -163,7 +167,7 @@
                 None => futures_lite::future::pending().await,
             }
         };
-        match running.until(stop, now).await {
+        match running.serve_until(stop, now).await {
             Stopped::Orderly => Ok(()),
             Stopped::ModuleFailed(text) => {
                 Err(Stop { text: format!("the decision module failed: {text}"), code: 70 })
--- a/crates/badgerwind-cli/tests/rig/mod.rs
+++ b/crates/badgerwind-cli/tests/rig/mod.rs
@@ -8,7 +8,7 @@
 use badgerwind_config::parts::compose;
 use badgerwind_config::Report;
 use badgerwind_driver::Decider;
-use badgerwind_gateway::control::{read_kept, Following};
+use badgerwind_gateway::control::{read_stored, FollowOptions};
 use badgerwind_gateway::{secrets, serve, Options, Running};
 use badgerwind_protocol::list::{List, Runner, State};
 use badgerwind_settings::document::parse;
@@ -273,12 +273,12 @@
             std::fs::create_dir_all(folder.path().join("kept")).unwrap();
         }
         let file = parse("rig.xml", &text).unwrap();
-        let (kept, _) = read_kept(&folder.path().join("kept/config.bwc"));
+        let (kept, _) = read_stored(&folder.path().join("kept/config.bwc"));
         let settings = read_tree(&compose(&file, &kept)).unwrap_or_else(|p| panic!("{p:?}"));
         let keys = secrets::load("rig.xml", folder.path(), &settings).unwrap();
         let mut options = Options::new(Arc::new(settings), keys, folder.path().to_owned());
         options.decider = plan.decider;
-        options.following = plan.control.as_ref().map(|_| Following { file, kept });
+        options.follow = plan.control.as_ref().map(|_| FollowOptions { file, stored: kept });
         let list = list_address;
         let (running, process, to, metrics) = if plan.process {
             let (process, to, metrics) = Front::start(folder.path(), &text).await;
@@ -394,7 +394,7 @@
 
     pub async fn stop(mut self) -> badgerwind_gateway::Stopped {
         let running = self.running.take().unwrap();
-        running.until(std::future::ready(()), std::future::pending()).await
+        running.serve_until(std::future::ready(()), std::future::pending()).await
     }
 }
 
--- a/crates/badgerwind-cli/tests/stories.rs
+++ b/crates/badgerwind-cli/tests/stories.rs
@@ -290,7 +290,7 @@
         let running = rig.running.take().unwrap();
         let (go, stop) = async_channel_pair();
         let stopping = smol::spawn(async move {
-            running.until(async { _ = stop.recv().await }, std::future::pending()).await
+            running.serve_until(async { _ = stop.recv().await }, std::future::pending()).await
         });
         let (held, ()) = zip(rig.send("m1", LODGE, 300), async {
             rig.until("it has arrived", async || rig.arrived() == 1).await;
@@ -326,7 +326,9 @@
         let mut rig = Rig::start(Plan { decider: Some(Box::new(Panics(0))), ..Plan::default() }).await;
         let running = rig.running.take().unwrap();
         let serving =
-            smol::spawn(async move { running.until(std::future::pending(), std::future::pending()).await });
+            smol::spawn(
+                async move { running.serve_until(std::future::pending(), std::future::pending()).await },
+            );
         let ((a, b), c) = zip(zip(rig.send("m1", CHECK, 1), rig.send("m2", LODGE, 1)), async {
             rig.until("two are held", async || rig.get("/metrics").await.1.contains("badgerwind_held 2\n"))
                 .await;
@@ -373,7 +375,7 @@
         let (go, stop) = async_channel_pair();
         let (again, at_once) = async_channel_pair();
         let stopping = smol::spawn(async move {
-            running.until(async { _ = stop.recv().await }, async { _ = at_once.recv().await }).await
+            running.serve_until(async { _ = stop.recv().await }, async { _ = at_once.recv().await }).await
         });
         let began = std::time::Instant::now();
         let (held, ()) = zip(rig.send("m1", LODGE, 1), async {
--- a/crates/badgerwind-gateway/src/answers.rs
+++ b/crates/badgerwind-gateway/src/answers.rs
@@ -1,29 +1,29 @@
-//! What a final answer means for the memory of ids. No I/O.
+//! Decides whether a final answer is kept in the replay cache. No I/O.
 
 use badgerwind::interface::{Effect, Group};
 use badgerwind_driver::FinalAnswer;
 
-/// Whether the same message gets the same answer from now on, or may be tried anew.
+/// What a repeat of an answered message gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
-    /// The same answer.
+pub enum Retention {
+    /// The same answer again.
     Remember,
-    /// Anew.
+    /// A new call.
     Forget,
 }
 
-/// Judges a final answer. What was served is not run again for the same message. What was refused never ran, or
-/// may run again: it is tried anew. What failed may have run: a repeat is tried anew only where running again does
-/// no harm, or where every runner drops repeats; a call of which no attempt went out never ran.
-pub fn remembers<R>(effect: Effect, group: Group, answer: &FinalAnswer<R>, attempts: u32) -> Kept {
+/// Decides what a repeat of the message gets. A served call is not run again. A refused call never ran, or may run
+/// again, so a repeat starts a new call. A failed call may have run: a repeat starts a new call only if running twice is
+/// harmless, if every runner drops repeats, or if no attempt was sent and so nothing ran.
+pub fn retention<R>(effect: Effect, group: Group, answer: &FinalAnswer<R>, attempts: u32) -> Retention {
     match answer {
-        FinalAnswer::Served(_) => Kept::Remember,
-        FinalAnswer::Refused { .. } => Kept::Forget,
+        FinalAnswer::Served(_) => Retention::Remember,
+        FinalAnswer::Refused { .. } => Retention::Forget,
         FinalAnswer::Failed(_) => match effect {
-            _ if attempts == 0 => Kept::Forget,
-            Effect::Repeatable => Kept::Forget,
-            Effect::ByKey if group == Group::All => Kept::Forget,
-            Effect::ByKey | Effect::Once => Kept::Remember,
+            _ if attempts == 0 => Retention::Forget,
+            Effect::Repeatable => Retention::Forget,
+            Effect::ByKey if group == Group::All => Retention::Forget,
+            Effect::ByKey | Effect::Once => Retention::Remember,
         },
     }
 }
--- a/crates/badgerwind-gateway/src/answers_due.rs
+++ b/crates/badgerwind-gateway/src/answers_due.rs
@@ -1,31 +1,32 @@
-//! Answers go out before new messages are looked at, so that a front end that runs late finishes first what it has taken.
+//! Gives tasks with answers to write priority over new messages, so that an overloaded front end first finishes the
+//! calls it has accepted.
 
 use futures_lite::future::yield_now;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Turns that a new message waits at the most: a steady flow of answers must not hold it up for ever.
-const MOST_TURNS: usize = 8;
+/// Most executor turns that a new message yields: a steady flow of answers must not delay it for ever.
+const MAX_TURNS: usize = 8;
 
-/// Counts the answers that wait for their connections' tasks.
+/// Counts the answers that wait to be written by their connections' tasks.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AnswersDue(Arc<AtomicUsize>);
 
-/// An answer that waits to go out; it counts until this is dropped.
+/// An answer that waits to be written; it is counted until this is dropped.
 #[derive(Debug)]
 pub(crate) struct AnswerDue(Arc<AtomicUsize>);
 
 impl AnswersDue {
-    /// One more waits.
-    pub(crate) fn begin(&self) -> AnswerDue {
-        // Only a hint for the order of tasks: nothing else is read by it.
+    /// Counts one more waiting answer.
+    pub(crate) fn add(&self) -> AnswerDue {
+        // Relaxed: the count only influences the order of tasks and guards no other data.
         self.0.fetch_add(1, Ordering::Relaxed);
         AnswerDue(self.0.clone())
     }
 
-    /// Lets the tasks go ahead that have answers to write: each turn puts the caller behind all that can run.
-    pub(crate) async fn let_out(&self) {
-        for _ in 0..MOST_TURNS {
+    /// Yields while answers wait to be written; each turn queues the caller behind all tasks that are ready to run.
+    pub(crate) async fn yield_to_answers(&self) {
+        for _ in 0..MAX_TURNS {
             if self.0.load(Ordering::Relaxed) == 0 {
                 return;
             }
--- a/crates/badgerwind-gateway/src/callbacks.rs
+++ b/crates/badgerwind-gateway/src/callbacks.rs
@@ -1,6 +1,6 @@
-//! Result callbacks: the final answer of a call that asked for it is also posted as a signed webhook, to an address
-//! that the settings name and to no other. Posted at least once while this daemon lives, by the specification's
-//! schedule; what is owed when it dies is lost until a store keeps it.
+//! Result callbacks: the final answer of a call that requested it is also posted as a signed webhook, only ever to an
+//! address from the settings. Delivery is at least once while the process runs, on the retry schedule of the webhook
+//! specification. Pending callbacks are held in memory only and are lost when the process ends.
 
 use crate::clock::unix_seconds;
 use badgerwind_http::{Exchange, ExchangeError, Pool, PoolBounds};
@@ -13,46 +13,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a receiver may take for one attempt.
-const ANSWER_TIME: Duration = Duration::from_secs(15);
+/// Time limit of one delivery attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A callback owed; its place among those that may be is given up when it is dropped.
-pub(crate) struct Owed {
+/// A callback to deliver; it occupies one of the limited slots until it is dropped.
+pub(crate) struct PendingCallback {
     pub name: String,
     pub address: SocketAddr,
     pub path: String,
     pub key: Key,
-    owed: Arc<AtomicUsize>,
+    slots_used: Arc<AtomicUsize>,
 }
 
-impl Owed {
-    /// Takes a place; `None` where as many are owed as may be.
-    pub(crate) fn take(
-        owed: &Arc<AtomicUsize>,
-        most: usize,
+impl PendingCallback {
+    /// Reserves a slot; `None` if all `max` slots are in use.
+    pub(crate) fn reserve(
+        slots_used: &Arc<AtomicUsize>,
+        max: usize,
         (name, address, path): (&str, SocketAddr, &str),
         key: Key,
-    ) -> Option<Owed> {
-        let fits = |n: usize| (n < most).then_some(n + 1);
-        owed.fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits).ok()?;
+    ) -> Option<PendingCallback> {
+        let fits = |n: usize| (n < max).then_some(n + 1);
+        slots_used.fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits).ok()?;
         let (name, path) = (name.to_owned(), path.to_owned());
-        Some(Owed { name, address, path, key, owed: owed.clone() })
+        Some(PendingCallback { name, address, path, key, slots_used: slots_used.clone() })
     }
 
-    /// Posts a body until it is delivered or given up.
+    /// Posts the body until it is delivered or the retry schedule ends.
     pub(crate) async fn post(self, id: String, body: Arc<[u8]>) {
-        let mut made = 0;
+        let mut attempts = 0;
         loop {
-            made += 1;
-            let got = self.once(&id, &body).await;
-            // An answer posted twice does no harm: its receiver has the id.
-            match next(got, made, false, fastrand::f64()) {
+            attempts += 1;
+            let result = self.post_once(&id, &body).await;
+            // Posting an answer twice is harmless: its receiver can tell by the id.
+            match next(result, attempts, false, fastrand::f64()) {
                 Next::Done => {
-                    tracing::info!(callback = %self.name, webhook_id = %id, attempts = made, "callback delivered");
+                    tracing::info!(callback = %self.name, webhook_id = %id, attempts, "callback delivered");
                     return;
                 }
-                Next::Dead(why) => {
-                    tracing::warn!(callback = %self.name, webhook_id = %id, attempts = made, "callback given up: {why}");
+                Next::Dead(reason) => {
+                    tracing::warn!(callback = %self.name, webhook_id = %id, attempts, "callback given up: {reason}");
                     return;
                 }
                 Next::Again(pause) => _ = Timer::after(Duration::from_micros(pause)).await,
@@ -60,9 +60,13 @@
         }
     }
 
-    async fn once(&self, id: &str, body: &Arc<[u8]>) -> Got {
-        let bounds =
-            PoolBounds { most: 1, connect_time: ANSWER_TIME, idle_time: ANSWER_TIME, body_bytes: 64 * 1024 };
+    async fn post_once(&self, id: &str, body: &Arc<[u8]>) -> Got {
+        let bounds = PoolBounds {
+            most: 1,
+            connect_time: ATTEMPT_TIMEOUT,
+            idle_time: ATTEMPT_TIMEOUT,
+            body_bytes: 64 * 1024,
+        };
         let pool = Pool::new(self.address, bounds);
         let signed = sign(std::slice::from_ref(&self.key), id, unix_seconds(), body);
         let headers = vec![
@@ -74,14 +78,15 @@
         let (method, target) = ("POST", self.path.clone());
         let request = Exchange { method, target, headers, body: body.clone() };
         let late = async {
-            Timer::after(ANSWER_TIME).await;
+            Timer::after(ATTEMPT_TIMEOUT).await;
             Got::NoAnswer
         };
         let posted = async {
             match pool.exchange(&request).await {
                 Ok((head, _)) => {
-                    let asked: Option<u64> = head.headers.get("retry-after").and_then(|v| v.parse().ok());
-                    Got::Status(head.status, asked.map(|s| s.saturating_mul(1_000_000)))
+                    let retry_after: Option<u64> =
+                        head.headers.get("retry-after").and_then(|v| v.parse().ok());
+                    Got::Status(head.status, retry_after.map(|s| s.saturating_mul(1_000_000)))
                 }
                 Err(ExchangeError::Connect(_)) => Got::Unreached,
                 Err(_) => Got::NoAnswer,
@@ -91,8 +96,8 @@
     }
 }
 
-impl Drop for Owed {
+impl Drop for PendingCallback {
     fn drop(&mut self) {
-        self.owed.fetch_sub(1, Ordering::Relaxed);
+        self.slots_used.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/badgerwind-gateway/src/control.rs
+++ b/crates/badgerwind-gateway/src/control.rs
@@ -1,10 +1,10 @@
-//! The configuration stream at the front end: questions over HTTP, keys and shadow tried on a thread of their own,
-//! the set that runs kept on disk, changes handed to front, runners and engine. What to do is decided in
-//! `badgerwind-config`.
+//! The client of the control service: polls for configuration over HTTP, validates new settings on a separate thread by
+//! loading their keys and replaying recent calls, stores the active parts on disk, and applies changes to front, runners
+//! and engine. The state machine that decides what to do is in `badgerwind-config`.
 
 use crate::clock::Clock;
 use crate::engine::{Control, Terms};
-use crate::front::{Front, Rules};
+use crate::front::{Front, FrontConfig};
 use crate::log_limit::LogLimit;
 use crate::runners::Runners;
 use crate::secrets;
@@ -31,59 +31,62 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How much longer than the service may hold a question open an answer may take.
-const GRACE: Duration = Duration::from_secs(2);
-/// Bytes of an answer.
-const MOST_BYTES: usize = 8 * 1024 * 1024;
+/// Time allowed for a response beyond the poll timeout, for which the service may hold a request open.
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
+/// Largest response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// What a daemon that follows a control service is started with.
-pub struct Following {
-    /// The file's own document, before any part.
+/// The configuration with which a daemon starts to follow a control service.
+pub struct FollowOptions {
+    /// The document of the settings file, before any part is applied.
     pub file: Node,
-    /// The set that ran last.
-    pub kept: Vec<Part>,
+    /// The parts that were active last, from disk.
+    pub stored: Vec<Part>,
 }
 
-/// Reads the set that ran last: the newer file, or the one before it where that is torn or foreign. What was passed
-/// over is told.
-pub fn read_kept(path: &Path) -> (Vec<Part>, Vec<String>) {
-    let mut told = Vec::new();
-    for file in [path.to_owned(), before(path)] {
+/// Reads the parts that were active last, from the newer file, or from the previous one if that is corrupt or of an
+/// unknown format. Also returns a message for each file that was skipped.
+pub fn read_stored(path: &Path) -> (Vec<Part>, Vec<String>) {
+    let mut skipped = Vec::new();
+    for file in [path.to_owned(), previous_path(path)] {
         match std::fs::read(&file) {
             Ok(bytes) => match storage::decode(&bytes) {
-                Ok(parts) => return (parts, told),
-                Err(e) => told.push(format!("{} is passed over: {e}", file.display())),
+                Ok(parts) => return (parts, skipped),
+                Err(e) => skipped.push(format!("skipping {}: {e}", file.display())),
             },
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => {}
-            Err(e) => told.push(format!("{} is passed over: {e}", file.display())),
+            Err(e) => skipped.push(format!("skipping {}: {e}", file.display())),
         }
     }
-    (Vec::new(), told)
+    (Vec::new(), skipped)
 }
 
-fn before(path: &Path) -> PathBuf {
+/// Path of the parts stored before the current ones.
+fn previous_path(path: &Path) -> PathBuf {
     path.with_extension("before")
 }
 
-/// Written beside, synced, the old one kept as the one before, renamed, the folder synced.
-fn write_kept(path: &Path, parts: &[Part]) -> std::io::Result<()> {
-    let beside = path.with_extension("new");
-    let mut file = std::fs::File::create(&beside)?;
+/// Writes a temporary file and syncs it, keeps the old file under the previous path, renames the new file into place and
+/// syncs the directory.
+fn write_stored(path: &Path, parts: &[Part]) -> std::io::Result<()> {
+    let temporary = path.with_extension("new");
+    let mut file = std::fs::File::create(&temporary)?;
     file.write_all(&storage::encode(parts))?;
     file.sync_all()?;
-    // A second name for the old set, so that there is a whole one at every moment.
-    let old = before(path);
-    let _ = std::fs::remove_file(&old);
+    // The old file gets a second name, so that a complete file exists at every moment.
+    let previous = previous_path(path);
+    let _ = std::fs::remove_file(&previous);
     if path.exists() {
-        std::fs::hard_link(path, &old)?;
+        std::fs::hard_link(path, &previous)?;
     }
-    std::fs::rename(&beside, path)?;
+    std::fs::rename(&temporary, path)?;
     match path.parent().filter(|p| !p.as_os_str().is_empty()) {
         Some(folder) => std::fs::File::open(folder)?.sync_all(),
         None => Ok(()),
     }
 }
 
+/// Follows the control service and applies its settings.
 pub(crate) struct Follower {
     pub settings: ControlSettings,
     pub folder: PathBuf,
@@ -91,117 +94,133 @@
     pub front: Arc<Front>,
     pub runners: Arc<Runners>,
     pub engine: Sender<Control>,
-    /// Who divides tenants' quotas.
+    /// Divides tenants' quotas among front ends.
     pub shares: Option<Arc<Shares>>,
-    /// Who takes an operator's words of zones over.
+    /// Receives the operator's directives for zones.
     pub zones: Option<Arc<Zones>>,
-    /// The runners as listed, for the shadow.
-    pub listed: Arc<Mutex<Vec<WorkerEntry>>>,
-    /// Where every type stands, for whoever asks here.
+    /// The runners as listed, for the replay of recent calls.
+    pub listed_runners: Arc<Mutex<Vec<WorkerEntry>>>,
+    /// The state of each resource type, for `/config`.
     pub report: Arc<Mutex<Vec<Report>>>,
-    /// Limits the lines about services that do not answer.
-    pub unanswered: Mutex<LogLimit>,
+    /// Limits log lines on services that do not answer.
+    pub unanswered_log: Mutex<LogLimit>,
 }
 
 impl Follower {
-    pub(crate) fn times(c: &ControlSettings) -> Timing {
-        Timing { stage_timeout: c.stage_timeout, min_backoff: c.min_backoff, max_backoff: c.max_backoff }
+    pub(crate) fn timing(settings: &ControlSettings) -> Timing {
+        let ControlSettings { stage_timeout, min_backoff, max_backoff, .. } = *settings;
+        Timing { stage_timeout, min_backoff, max_backoff }
     }
 
-    /// Follows the service for ever.
+    /// Follows the service until the task is dropped.
     pub(crate) async fn run(self, mut client: Client) {
-        let (tell, told) = async_channel::bounded(256);
-        let me = Arc::new(self);
+        let (events, received_events) = async_channel::bounded(256);
+        let follower = Arc::new(self);
         let bounds = PoolBounds {
             most: 2 * Kind::ALL.len(),
             connect_time: Duration::from_secs(2),
-            idle_time: me.settings.poll_timeout + GRACE,
-            body_bytes: MOST_BYTES,
+            idle_time: follower.settings.poll_timeout + RESPONSE_GRACE,
+            body_bytes: MAX_RESPONSE_BYTES,
         };
         let pools: Vec<Arc<Pool>> =
-            me.settings.services.iter().map(|a| Arc::new(Pool::new(*a, bounds))).collect();
-        let next = Arc::new(AtomicUsize::new(0));
-        let mut settings_of: HashMap<u64, Box<Ready>> = HashMap::new();
-        let (mut out, mut questions) = (Vec::new(), HashMap::new());
-        client.start(me.clock.now(), &mut out);
+            follower.settings.services.iter().map(|a| Arc::new(Pool::new(*a, bounds))).collect();
+        let next_service = Arc::new(AtomicUsize::new(0));
+        let mut prepared: HashMap<u64, Box<PreparedSettings>> = HashMap::new();
+        let (mut actions, mut requests) = (Vec::new(), HashMap::new());
+        client.start(follower.clock.now(), &mut actions);
         loop {
-            *me.report.lock().unwrap_or_else(PoisonError::into_inner) = client.report();
-            for d in out.drain(..) {
-                match d {
+            *follower.report.lock().unwrap_or_else(PoisonError::into_inner) = client.report();
+            for action in actions.drain(..) {
+                match action {
                     Action::SendRequest { kind, request_id, request } => {
-                        // The question before it, if still open, is given up with its task.
-                        questions
-                            .insert(kind, me.ask(&pools, &next, (kind, request_id), request, tell.clone()));
+                        // Dropping its task cancels an earlier request that is still open.
+                        requests.insert(
+                            kind,
+                            follower.send_request(
+                                &pools,
+                                &next_service,
+                                (kind, request_id),
+                                request,
+                                events.clone(),
+                            ),
+                        );
+                    }
+                    Action::Prepare { ticket, settings } => {
+                        follower.prepare(ticket, settings, events.clone())
                     }
-                    Action::Prepare { ticket, settings } => me.prepare(ticket, settings, tell.clone()),
                     Action::Store { ticket, parts } => {
-                        let (path, tell) = (me.folder.join(&me.settings.storage_file), tell.clone());
+                        let (path, events) =
+                            (follower.folder.join(&follower.settings.storage_file), events.clone());
                         smol::spawn(async move {
-                            let kept = smol::unblock(move || write_kept(&path, &parts)).await;
-                            let result = kept.map_err(|e| e.to_string());
-                            let _ = tell.send(Told::Input(Input::Stored { ticket, result })).await;
+                            let stored = smol::unblock(move || write_stored(&path, &parts)).await;
+                            let result = stored.map_err(|e| e.to_string());
+                            let _ = events.send(Event::Input(Input::Stored { ticket, result })).await;
                         })
                         .detach();
                     }
                     Action::Apply { ticket, settings } => {
-                        let ready = settings_of.remove(&ticket);
-                        me.apply(ticket, settings, ready, tell.clone());
+                        let prepared = prepared.remove(&ticket);
+                        follower.apply(ticket, settings, prepared, events.clone());
                     }
                 }
             }
-            let Some(input) = me.next(&told, client.next_wake()).await else { return };
+            let Some(input) = follower.next_event(&received_events, client.next_wake()).await else { return };
             match input {
-                Told::Input(input) => client.handle(me.clock.now(), input, &mut out),
-                Told::Ready(ticket, ready) => {
-                    settings_of.clear(); // one change is under way at a time
-                    settings_of.insert(ticket, ready);
+                Event::Input(input) => client.handle(follower.clock.now(), input, &mut actions),
+                Event::Prepared(ticket, settings) => {
+                    prepared.clear(); // one change is in progress at a time
+                    prepared.insert(ticket, settings);
                     let input = Input::Prepared { ticket, result: Ok(()) };
-                    client.handle(me.clock.now(), input, &mut out);
+                    client.handle(follower.clock.now(), input, &mut actions);
                 }
             }
         }
     }
 
-    async fn next(&self, told: &Receiver<Told>, wake: Option<u64>) -> Option<Told> {
+    async fn next_event(&self, events: &Receiver<Event>, wake: Option<u64>) -> Option<Event> {
         let due = async {
             match wake {
                 Some(at) if at < u64::MAX => _ = Timer::at(self.clock.instant(at)).await,
                 _ => futures_lite::future::pending().await,
             }
-            Some(Told::Input(Input::Tick))
+            Some(Event::Input(Input::Tick))
         };
-        async { told.recv().await.ok() }.or(due).await
+        async { events.recv().await.ok() }.or(due).await
     }
 
     fn health(&self) -> Health {
-        let c = &self.front.counts;
-        let count = |n: &std::sync::atomic::AtomicU64| n.load(Ordering::Relaxed);
-        Health { served: count(&c.served), refused: count(&c.refused), failed: count(&c.failed) }
+        let counts = &self.front.counts;
+        let count = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
+        Health {
+            served: count(&counts.served),
+            refused: count(&counts.refused),
+            failed: count(&counts.failed),
+        }
     }
 
-    fn ask(
+    fn send_request(
         self: &Arc<Self>,
         pools: &[Arc<Pool>],
-        next: &Arc<AtomicUsize>,
-        (kind, number): (Kind, u64),
+        next_service: &Arc<AtomicUsize>,
+        (kind, request_id): (Kind, u64),
         mut request: Box<DiscoveryRequest>,
-        tell: Sender<Told>,
+        events: Sender<Event>,
     ) -> Option<smol::Task<()>> {
         request.node.metadata.health = self.health();
-        let turn = next.load(Ordering::Relaxed) % pools.len().max(1);
-        let pool = pools.get(turn).cloned()?;
-        let (me, next, wait) = (self.clone(), next.clone(), self.settings.poll_timeout);
+        let index = next_service.load(Ordering::Relaxed) % pools.len().max(1);
+        let pool = pools.get(index).cloned()?;
+        let (follower, next_service, wait) = (self.clone(), next_service.clone(), self.settings.poll_timeout);
         Some(smol::spawn(async move {
             let body = serde_json::to_vec(&request).unwrap_or_default();
             let target = format!("/v3/discovery:{}?wait={}", kind.name(), wait.as_millis());
             let headers = vec![("content-type", "application/json".to_owned())];
-            let ask = Exchange { method: "POST", target, headers, body: body.into() };
-            let late = async {
-                Timer::after(wait + GRACE).await;
-                Err("no answer in time".to_owned())
+            let exchange = Exchange { method: "POST", target, headers, body: body.into() };
+            let timeout = async {
+                Timer::after(wait + RESPONSE_GRACE).await;
+                Err("timed out".to_owned())
             };
-            let asked = async {
-                let (head, body) = pool.exchange(&ask).await.map_err(|e| e.to_string())?;
+            let response = async {
+                let (head, body) = pool.exchange(&exchange).await.map_err(|e| e.to_string())?;
                 match head.status {
                     204 => Ok(None),
                     200 => match serde_json::from_slice::<DiscoveryResponse>(&body) {
@@ -211,92 +230,100 @@
                     status => Err(format!("status {status}")),
                 }
             };
-            let input = match asked.or(late).await {
-                Ok(response) => Input::Response { kind, request_id: number, response },
+            let input = match response.or(timeout).await {
+                Ok(response) => Input::Response { kind, request_id, response },
                 Err(text) => {
-                    me.warn_unanswered(pool.address(), kind, &text);
-                    // The next question goes to the next service.
-                    let _ = next.compare_exchange(turn, turn + 1, Ordering::Relaxed, Ordering::Relaxed);
-                    Input::RequestFailed { kind, request_id: number, random: fastrand::f64() }
+                    follower.warn_unanswered(pool.address(), kind, &text);
+                    // The next request goes to the next service.
+                    let _ =
+                        next_service.compare_exchange(index, index + 1, Ordering::Relaxed, Ordering::Relaxed);
+                    Input::RequestFailed { kind, request_id, random: fastrand::f64() }
                 }
             };
-            let _ = tell.send(Told::Input(input)).await;
+            let _ = events.send(Event::Input(input)).await;
         }))
     }
 
-    fn warn_unanswered(&self, address: SocketAddr, kind: Kind, why: &str) {
-        let limit = self.unanswered.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(more) = limit.may(self.clock.now()) {
+    fn warn_unanswered(&self, address: SocketAddr, kind: Kind, error: &str) {
+        let limit = self.unanswered_log.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(suppressed) = limit.may(self.clock.now()) {
             tracing::warn!(
-                %address, kind = kind.name(), more,
-                "the control service does not answer: {why}; the settings that run stand, and it is asked again"
+                %address, kind = kind.name(), more = suppressed,
+                "the control service does not answer: {error}; keeping the current settings and retrying"
             );
         }
     }
 
-    /// Reads the keys that the settings name, and tries the settings on the calls of late.
-    fn prepare(self: &Arc<Self>, ticket: u64, settings: Arc<Settings>, tell: Sender<Told>) {
-        let me = self.clone();
+    /// Validates settings: loads the keys that they name and replays recent calls against them.
+    fn prepare(self: &Arc<Self>, ticket: u64, settings: Arc<Settings>, events: Sender<Event>) {
+        let follower = self.clone();
         smol::spawn(async move {
-            let recent: Vec<RecordedCall> =
-                me.front.recent.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect();
-            let entries = me.listed.lock().unwrap_or_else(PoisonError::into_inner).clone();
-            let folder = me.folder.clone();
-            let tried = smol::unblock(move || {
-                let told = |p: Vec<Problem>| p.iter().map(Problem::to_string).collect::<Vec<_>>().join("\n");
-                let secrets = secrets::load("settings", &folder, &settings).map_err(told)?;
+            let recent: Vec<RecordedCall> = follower
+                .front
+                .recent_calls
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .iter()
+                .cloned()
+                .collect();
+            let entries = follower.listed_runners.lock().unwrap_or_else(PoisonError::into_inner).clone();
+            let folder = follower.folder.clone();
+            let result = smol::unblock(move || {
+                let text = |p: Vec<Problem>| p.iter().map(Problem::to_string).collect::<Vec<_>>().join("\n");
+                let secrets = secrets::load("settings", &folder, &settings).map_err(text)?;
                 replay(&settings, &entries, &recent)?;
-                Ok(Box::new(Ready { secrets }))
+                Ok(Box::new(PreparedSettings { secrets }))
             })
             .await;
-            let _ = tell
-                .send(match tried {
-                    Ok(ready) => Told::Ready(ticket, ready),
-                    Err(why) => Told::Input(Input::Prepared { ticket, result: Err(why) }),
+            let _ = events
+                .send(match result {
+                    Ok(prepared) => Event::Prepared(ticket, prepared),
+                    Err(problems) => Event::Input(Input::Prepared { ticket, result: Err(problems) }),
                 })
                 .await;
         })
         .detach();
     }
 
+    /// Applies settings that have been validated.
     fn apply(
         self: &Arc<Self>,
         ticket: u64,
         settings: Arc<Settings>,
-        ready: Option<Box<Ready>>,
-        tell: Sender<Told>,
+        prepared: Option<Box<PreparedSettings>>,
+        events: Sender<Event>,
     ) {
-        let me = self.clone();
+        let follower = self.clone();
         smol::spawn(async move {
-            let Some(ready) = ready else { return };
-            let Ready { secrets } = *ready;
-            let rules = me.front.rules();
-            let (old, mut module) = (rules.settings.clone(), rules.module);
-            // What a router was told at its start cannot change inside it: another takes over. The figures have
-            // no order among themselves, so their written form tells whether any differs.
+            let Some(prepared) = prepared else { return };
+            let PreparedSettings { secrets } = *prepared;
+            let config = follower.front.config();
+            let (old, mut module) = (config.settings.clone(), config.module);
+            // A router's settings are fixed at its start, so a change of them starts a new router. They do not implement
+            // `PartialEq`, so their debug output is compared.
             if format!("{:?}", old.router) != format!("{:?}", settings.router)
                 || old.max_calls != settings.max_calls
             {
                 let seed = if settings.seed == 0 { fastrand::u64(..) } else { settings.seed };
                 let decider = Box::new(Router::new(seed, settings.router.clone()));
-                let (done, wait) = async_channel::bounded(1);
+                let (done, module_number) = async_channel::bounded(1);
                 let terms = Terms::new(driver_limits(&settings), &settings.router);
                 let change = Control::Change { decider, terms, done };
-                if me.engine.send(change).await.is_err() {
+                if follower.engine.send(change).await.is_err() {
                     return;
                 }
-                let Ok(number) = wait.recv().await else { return };
+                let Ok(number) = module_number.recv().await else { return };
                 module = number;
             }
-            if let Some(shares) = &me.shares {
-                shares.follow(&settings);
+            if let Some(shares) = &follower.shares {
+                shares.apply_settings(&settings);
             }
-            if let (Some(zones), Some(leaving)) = (&me.zones, &settings.leaving) {
-                zones.change(leaving);
+            if let (Some(zones), Some(leaving)) = (&follower.zones, &settings.leaving) {
+                zones.set_directives(leaving);
             }
-            // New calls come under the new rules only now, when the module that knows their classes takes them.
-            me.runners.change(settings.clone(), secrets.runners, secrets.runners_tls);
-            me.front.change(Rules {
+            // New calls use the new settings from now on, after the module with their classes has been started.
+            follower.runners.update(settings.clone(), secrets.runners, secrets.runners_tls);
+            follower.front.set_config(FrontConfig {
                 settings,
                 rings: secrets.rings,
                 callbacks: secrets.callbacks,
@@ -304,17 +331,20 @@
                 module,
             });
             tracing::info!(ticket, "settings changed");
-            let _ = tell.send(Told::Input(Input::Applied { ticket })).await;
+            let _ = events.send(Event::Input(Input::Applied { ticket })).await;
         })
         .detach();
     }
 }
 
-struct Ready {
+/// Settings that have been validated, with their keys.
+struct PreparedSettings {
     secrets: secrets::Secrets,
 }
 
-enum Told {
+/// What the tasks report to the main loop.
+enum Event {
     Input(Input),
-    Ready(u64, Box<Ready>),
+    /// The settings of a ticket have been validated.
+    Prepared(u64, Box<PreparedSettings>),
 }
--- a/crates/badgerwind-gateway/src/dispatch.rs
+++ b/crates/badgerwind-gateway/src/dispatch.rs
@@ -1,12 +1,12 @@
-//! The webhook front's way through the engine: calls of signed webhooks, attempts by the runner client. What the driver
-//! asks for is carried out by tasks that report back.
+//! The engine's backend for the webhook front: calls come from signed webhooks, attempts go out through the runner client.
+//! The driver's outputs are carried out by tasks that report their results as inputs.
 
 use crate::clock::Clock;
 use crate::engine::{Backend, InputOf, OutputOf};
-use crate::known::Known;
-use crate::metrics::{word, ByOutcome, Metrics};
+use crate::evidence::Evidence;
+use crate::metrics::{outcome_name, ByOutcome, Metrics};
 use crate::peers::Peers;
-use crate::runners::{Reply, Runners, Stop};
+use crate::runners::{AttemptSignal, Reply, Runners};
 use crate::shares::Shares;
 use crate::trace::TraceParent;
 use crate::zones::Zones;
@@ -20,70 +20,78 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a runner needs of a call.
+/// The parts of a call that a runner needs.
 #[derive(Debug)]
 pub(crate) struct Content {
-    /// The settings under which it came; the places below are theirs.
+    /// The settings under which the call was accepted; the indices below refer to them.
     pub settings: Arc<Settings>,
-    /// The module that knows those places.
+    /// Number of the decision module that was started with these settings.
     pub module: u64,
     /// The idempotency key.
     pub key: String,
     pub function: usize,
     pub class: usize,
     pub tenant: usize,
-    /// The trace that it belongs to.
+    /// The call's trace context.
     pub trace: TraceParent,
-    /// When it was taken, for the fence.
-    pub taken: Time,
-    /// When its front handed it over.
-    pub handed: Time,
-    /// When the sender gives up.
+    /// When the call was accepted; part of the fence.
+    pub accepted_at: Time,
+    /// When the front queued the call for the engine.
+    pub queued_at: Time,
+    /// The call's deadline.
     pub due: Time,
     pub content_type: Option<String>,
     pub body: Arc<[u8]>,
 }
 
-/// How a call ended, for the front that took it.
+/// The end of a call, for the front that accepted it.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct CallEnd {
     pub answer: FinalAnswer<Reply>,
     pub attempts: u32,
     pub worker: Option<WorkerId>,
     pub lag: Span,
 }
 
-/// Whom to answer. Dropped unanswered, it lets its sender know by itself.
+/// Receives the answer of a call. Dropping it unanswered must notify the sender.
 pub(crate) trait Origin: Send {
-    fn answer(self: Box<Self>, id: &RequestId, ended: Ended);
+    fn answer(self: Box<Self>, id: &RequestId, end: CallEnd);
 }
 
 pub(crate) type Input = InputOf<Dispatch>;
 
-/// What the module asks of the list service.
+/// The module's requests to the list service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ListCall {
+pub(crate) enum ListRequest {
+    /// Start or stop following the list.
     Watch(bool),
+    /// Fetch the list once.
     Fetch,
 }
 
-/// How an attempt is called off, where it is, what it is of, and when it went out.
-type Out = (Sender<Stop>, WorkerId, Arc<Content>, Time);
+/// An attempt that has not ended.
+struct ActiveAttempt {
+    /// Signals its task.
+    signals: Sender<AttemptSignal>,
+    worker: WorkerId,
+    content: Arc<Content>,
+    sent_at: Time,
+}
 
-/// Attempts out, and what was heard of those before.
+/// The attempts that have not ended, and the evidence from earlier ones.
 #[derive(Default)]
 pub(crate) struct Attempts {
-    out: HashMap<(RequestId, u32), Out>,
-    known: Known,
+    active: HashMap<(RequestId, u32), ActiveAttempt>,
+    evidence: Evidence,
 }
 
-/// Carries out what the driver asks for by webhooks' means.
+/// Carries out the driver's outputs over the webhook protocol.
 pub(crate) struct Dispatch {
     pub clock: Clock,
     pub report: Sender<Input>,
     pub runners: Arc<Runners>,
     pub peers: Option<Arc<Peers>>,
-    pub ask_list: Sender<ListCall>,
+    pub list_requests: Sender<ListRequest>,
     pub metrics: Arc<Metrics>,
     pub attempts: Attempts,
     pub shares: Option<Arc<Shares>>,
@@ -100,36 +108,37 @@
     }
 
     fn handed(content: &Arc<Content>) -> Time {
-        content.handed
+        content.queued_at
     }
 
-    /// Books what has ended, for figures and for the tasks that could still be called off.
+    /// Updates metrics, shares, zones and the table of active attempts.
     fn observe(&mut self, now: Time, input: &Input) {
         match input {
             Input::Call(call) => {
                 if let Some(shares) = &self.shares {
-                    shares.called(call.content.tenant);
+                    shares.record_call(call.content.tenant);
                 }
             }
             Input::AttemptEnded { id, attempt, end } => {
-                if let Some((_, worker, content, sent)) = self.attempts.out.remove(&(id.clone(), *attempt)) {
+                if let Some(active) = self.attempts.active.remove(&(id.clone(), *attempt)) {
+                    let ActiveAttempt { worker, content, sent_at, .. } = active;
                     if let Some(zones) = &self.zones {
                         let aim = content.settings.router.classes.get(content.class).map_or(0, |c| c.aim);
-                        let late = aim > 0 && now > sent + aim;
-                        zones.ended(now, worker, end.outcome, sent, late);
+                        let late = aim > 0 && now > sent_at + aim;
+                        zones.record_end(now, worker, end.outcome, sent_at, late);
                     }
                     if tracing::enabled!(tracing::Level::DEBUG) {
                         let function = &content.settings.functions[content.function].name;
-                        let what = format!("{}, {:?}", word(end.outcome), end.mark);
-                        self.attempts.known.note(now, worker, function, what);
+                        let event = format!("{}, {:?}", outcome_name(end.outcome), end.mark);
+                        self.attempts.evidence.record(now, worker, function, event);
                     }
                 }
-                self.metrics.attempts.get_or_create(&ByOutcome { outcome: word(end.outcome) }).inc();
-                let outcome = word(end.outcome);
+                self.metrics.attempts.get_or_create(&ByOutcome { outcome: outcome_name(end.outcome) }).inc();
+                let outcome = outcome_name(end.outcome);
                 tracing::debug!(request = %id, attempt, outcome, mark = ?end.mark, "attempt ended");
             }
             Input::OrderEnded { outcome, .. } => {
-                self.metrics.orders.get_or_create(&ByOutcome { outcome: word(*outcome) }).inc();
+                self.metrics.orders.get_or_create(&ByOutcome { outcome: outcome_name(*outcome) }).inc();
             }
             _ => {}
         }
@@ -139,51 +148,58 @@
         let (runners, report) = (self.runners.clone(), self.report.clone());
         match output {
             Output::Answer { id, origin, answer, attempts, worker, lag } => {
-                origin.answer(&id, Ended { answer, attempts, worker, lag });
+                origin.answer(&id, CallEnd { answer, attempts, worker, lag });
             }
             Output::Stream { id, attempt, origin, reply } => {
-                let ended =
-                    Ended { answer: FinalAnswer::Served(reply), attempts: attempt + 1, worker: None, lag: 0 };
-                origin.answer(&id, ended);
+                let end = CallEnd {
+                    answer: FinalAnswer::Served(reply),
+                    attempts: attempt + 1,
+                    worker: None,
+                    lag: 0,
+                };
+                origin.answer(&id, end);
             }
             Output::Attempt { id, attempt, worker, content, limit: _ } => {
-                // Room for both words that it may be told.
-                let (off, called_off) = async_channel::bounded(2);
+                // Capacity for both signals.
+                let (signals, received_signals) = async_channel::bounded(2);
                 if tracing::enabled!(tracing::Level::DEBUG) {
                     let function = &content.settings.functions[content.function].name;
-                    let known = self.attempts.known.tell(now, worker, function);
-                    tracing::debug!(request = %id, attempt, worker, known, trace_id = %content.trace.trace, "attempt");
+                    let known = self.attempts.evidence.describe(now, worker, function);
+                    tracing::debug!(request = %id, attempt, worker, known, trace_id = %content.trace.trace_id, "attempt");
                 }
-                self.attempts.out.insert((id.clone(), attempt), (off, worker, content.clone(), now));
+                let active = ActiveAttempt { signals, worker, content: content.clone(), sent_at: now };
+                self.attempts.active.insert((id.clone(), attempt), active);
                 smol::spawn(async move {
-                    let end = runners.attempt(&id, attempt, worker, &content, called_off, &report).await;
+                    let end =
+                        runners.attempt(&id, attempt, worker, &content, received_signals, &report).await;
                     let _ = report.send(Input::AttemptEnded { id, attempt, end }).await;
                 })
                 .detach();
             }
-            Output::Cancel { id, attempt, reason: why, .. } => {
-                // A full channel: called off before. A closed one: it has ended, and its report is on its way.
-                if let Some((off, ..)) = self.attempts.out.get(&(id, attempt)) {
-                    let _ = off.try_send(Stop::Off(why));
+            Output::Cancel { id, attempt, reason, .. } => {
+                // A full channel means that it was cancelled before; a closed one that it has ended and its report is
+                // queued.
+                if let Some(active) = self.attempts.active.get(&(id, attempt)) {
+                    let _ = active.signals.try_send(AttemptSignal::Cancel(reason));
                 }
             }
             Output::Withhold { id, attempt, .. } => {
-                if let Some((off, ..)) = self.attempts.out.get(&(id, attempt)) {
-                    let _ = off.try_send(Stop::Withhold);
+                if let Some(active) = self.attempts.active.get(&(id, attempt)) {
+                    let _ = active.signals.try_send(AttemptSignal::Withhold);
                 }
             }
             Output::Order { order, worker, function, copies, limit } => {
                 if copies > 0 && tracing::enabled!(tracing::Level::DEBUG) {
-                    let what = format!("{copies} copies ordered");
-                    self.attempts.known.note(now, worker, &function, what);
+                    let event = format!("{copies} copies ordered");
+                    self.attempts.evidence.record(now, worker, &function, event);
                 }
-                let until = self.clock.instant(limit);
+                let deadline = self.clock.instant(limit);
                 smol::spawn(async move {
-                    let late = async {
-                        Timer::at(until).await;
+                    let timeout = async {
+                        Timer::at(deadline).await;
                         (Outcome::Timeout, 0)
                     };
-                    let (outcome, copies) = runners.order(worker, &function, copies).or(late).await;
+                    let (outcome, copies) = runners.order(worker, &function, copies).or(timeout).await;
                     let _ = report.send(Input::OrderEnded { order, outcome, copies }).await;
                 })
                 .detach();
@@ -193,34 +209,34 @@
             }
             Output::Probe { worker } => {
                 smol::spawn(async move {
-                    let (outcome, told) = runners.probe(worker).await;
-                    let _ = report.send(Input::ProbeEnded { worker, outcome, report: told }).await;
+                    let (outcome, worker_report) = runners.probe(worker).await;
+                    let _ = report.send(Input::ProbeEnded { worker, outcome, report: worker_report }).await;
                 })
                 .detach();
             }
             Output::CloseIdle { worker } => runners.close_idle(worker),
             Output::SendMessage { to, bytes } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(to, &bytes);
+                    peers.send(to, &bytes);
                 }
             }
-            Output::Subscribe { on } => _ = self.ask_list.try_send(ListCall::Watch(on)),
-            Output::FetchList => _ = self.ask_list.try_send(ListCall::Fetch),
-            // The engine's own.
+            Output::Subscribe { on } => _ = self.list_requests.try_send(ListRequest::Watch(on)),
+            Output::FetchList => _ = self.list_requests.try_send(ListRequest::Fetch),
+            // Handled by the engine.
             Output::Log { .. } | Output::ModuleFailed { .. } => {}
         }
     }
 
     fn may_order(&mut self, _now: Time) -> bool {
-        self.shares.as_ref().is_none_or(|s| s.order())
+        self.shares.as_ref().is_none_or(|shares| shares.try_spend_order())
     }
 
     fn settled(&mut self, owed: usize, took: Duration) {
-        self.metrics.held.set(owed as i64);
+        self.metrics.unanswered_calls.set(owed as i64);
         self.metrics.batch_time.observe(took.as_secs_f64());
     }
 
     fn remembered(&mut self, figures: Figures) {
-        self.metrics.remembered(&figures);
+        self.metrics.set_module_records(&figures);
     }
 }
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -1,15 +1,15 @@
-//! The front for signed webhooks. It knows HTTP, signatures and the memory of ids, and nothing of routing: a call
-//! goes to the engine, and its one final answer comes back.
+//! The front for signed webhooks: HTTP, signature checks and the replay cache of webhook ids. Routing is left to the
+//! engine, which takes each call and returns exactly one final answer.
 //!
-//! What a sender sees is written down in `docs/protocols/webhook.md`.
+//! `docs/protocols/webhook.md` specifies the protocol as senders see it.
 
-mod told;
+mod responses;
 
-use crate::answers::{remembers, Kept};
+use crate::answers::{retention, Retention};
 use crate::answers_due::{AnswerDue, AnswersDue};
-use crate::callbacks::Owed;
+use crate::callbacks::PendingCallback;
 use crate::clock::{unix_micros, unix_seconds, Clock};
-use crate::dispatch::{Content, Ended, Input, Origin};
+use crate::dispatch::{CallEnd, Content, Input, Origin};
 use crate::metrics::Metrics;
 use crate::runners::Reply;
 use crate::trace::TraceParent;
@@ -24,6 +24,7 @@
     Admission, Bounds, Claim, Digest, Ending, Id, Key, KeyRing, Replay, Skew, VerifyError, Wall,
 };
 use futures_lite::FutureExt;
+use responses::{forward_stream, problem_document, rejection, replayed, Rejection};
 use smol::net::TcpListener;
 use smol::Timer;
 use std::collections::VecDeque;
@@ -31,310 +32,330 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::Duration;
-use told::{away, problem, replayed, stream, Away};
 
-/// Pause after a connection could not be accepted, most likely for want of descriptors: nothing spins.
+/// Pause after a failed `accept`, so that the loop does not spin; the usual cause is a lack of file descriptors.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long the sender waits, in milliseconds; the class's deadline where it is missing or longer.
-const WAITS: &str = "badgerwind-deadline-ms";
-/// `1`: the sender has tried this before.
-const RETRY: &str = "badgerwind-retry";
-/// Names a callback of the sender to which the final answer is also posted.
-const CALLBACK: &str = "badgerwind-callback";
-/// The id under which logs and runners know the call.
-const REQUEST: &str = "badgerwind-request";
-
-/// An answer on its way to its connection's task.
-struct Told {
+/// Request header: how long the sender waits, in milliseconds. The class's deadline applies where the header is
+/// missing or longer.
+const DEADLINE_HEADER: &str = "badgerwind-deadline-ms";
+/// Request header: `1` marks a repeat by the sender.
+const RETRY_HEADER: &str = "badgerwind-retry";
+/// Request header: names the sender's callback to which the final answer is also posted.
+const CALLBACK_HEADER: &str = "badgerwind-callback";
+/// Response header: the request id used in logs and by runners.
+const REQUEST_HEADER: &str = "badgerwind-request";
+
+/// An answer queued for its connection's task.
+struct QueuedResponse {
     response: Arc<Response>,
-    /// The rest of a streamed one.
+    /// The remaining body of a streamed answer.
     rest: Option<Receiver<Vec<u8>>>,
-    /// When it was given.
-    given: Time,
+    /// When it was queued.
+    queued_at: Time,
     _due: AnswerDue,
 }
 
-type Memory = Replay<Arc<Response>, Sender<Arc<Response>>>;
+type ReplayCache = Replay<Arc<Response>, Sender<Arc<Response>>>;
 
-/// What a front goes by, changed as a whole.
-pub(crate) struct Rules {
+/// The configuration of a front; it is replaced as a whole.
+pub(crate) struct FrontConfig {
     pub settings: Arc<Settings>,
-    /// The live keys of each sender, by its place.
+    /// The valid keys of each sender, by the sender's index.
     pub rings: Vec<KeyRing>,
-    /// What signs callbacks, by sender's and callback's place.
+    /// The keys that sign callbacks, by the sender's and the callback's index.
     pub callbacks: Vec<Vec<Key>>,
-    /// How senders are met, where under TLS.
+    /// TLS towards senders, if configured.
     pub tls: Option<ServerTls>,
-    /// The module that knows the settings' classes and tenants.
+    /// Number of the decision module that was started with these settings' classes and tenants.
     pub module: u64,
 }
 
-/// How often a call whose own sender has left is looked at for others who wait for it.
-const WAITED_FOR: Duration = Duration::from_millis(50);
+/// How often a call whose own sender has disconnected is checked for repeats that still wait for its answer.
+const REPEAT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Calls of late, kept for the shadow: so many, and no older than that, in microseconds.
-const MOST_RECENT: usize = 2_000;
-const RECENT: Span = 20_000_000;
+/// Number of recent calls recorded, for replaying against settings before they are applied.
+const MAX_RECENT_CALLS: usize = 2_000;
+/// Age limit of those calls, in microseconds.
+const RECENT_WINDOW: Span = 20_000_000;
 
 pub(crate) struct Front {
-    pub rules: RwLock<Arc<Rules>>,
-    /// Calls of late, as a change is tried on.
-    pub recent: Mutex<VecDeque<RecordedCall>>,
-    pub counts: Counts,
-    /// Callbacks owed.
-    pub owed: Arc<AtomicUsize>,
-    pub replay: Mutex<Memory>,
-    /// Answers that wait to be written.
+    pub config: RwLock<Arc<FrontConfig>>,
+    /// Recent calls, against which new settings are replayed.
+    pub recent_calls: Mutex<VecDeque<RecordedCall>>,
+    pub counts: AnswerCounts,
+    /// Number of callbacks not yet delivered or given up.
+    pub pending_callbacks: Arc<AtomicUsize>,
+    /// Webhook ids and the answers they got.
+    pub replay: Mutex<ReplayCache>,
+    /// Answers waiting to be written.
     pub answers_due: AnswersDue,
-    /// How far this front end runs behind.
+    /// Scheduling lag of this front end.
     pub lag: Arc<Mutex<Lag>>,
-    /// Budgets for failed signatures.
+    /// Limits on failed signatures.
     pub guard: Mutex<Guard>,
-    /// The time by which signatures are judged.
+    /// The clock against which timestamps of signatures are checked.
     pub wall: Mutex<Wall>,
-    /// Senders' clocks, by their place.
+    /// Clock skew of each sender, by the sender's index.
     pub skews: Mutex<Vec<Skew>>,
-    /// Places for checks of large bodies, which go on threads of their own.
-    pub checks: smol::lock::Semaphore,
+    /// Permits for signature checks of large bodies, which run on separate threads.
+    pub check_permits: smol::lock::Semaphore,
     pub inputs: Sender<Input>,
     pub clock: Clock,
     pub metrics: Arc<Metrics>,
-    /// Begins every request id of this life: no two lives of a front end share one.
-    pub life: String,
-    pub next: AtomicU64,
-    /// Connections open, and the word that one has closed.
-    pub open: AtomicUsize,
-    pub freed: Sender<()>,
-    pub free: Receiver<()>,
+    /// Prefix of the request ids of this process; no two processes share one.
+    pub request_id_prefix: String,
+    pub next_request: AtomicU64,
+    /// Number of open connections.
+    pub open_connections: AtomicUsize,
+    /// Wakes the accept loop after a connection has closed or the limit has changed.
+    pub capacity_changed: Sender<()>,
+    pub capacity_changes: Receiver<()>,
     pub stopping: AtomicBool,
 }
 
-/// Calls since the start, by their answer.
+/// Calls answered since the start, by kind of answer.
 #[derive(Debug, Default)]
-pub(crate) struct Counts {
+pub(crate) struct AnswerCounts {
     pub served: AtomicU64,
     pub refused: AtomicU64,
     pub failed: AtomicU64,
 }
 
-/// A call on its way to its one answer. If nothing answers it, whoever waits finds the channel closed.
-struct Waiting {
+/// A call that has not been answered yet. If it is dropped unanswered, those that wait for it find the channel closed.
+struct ActiveCall {
     front: Arc<Front>,
     settings: Arc<Settings>,
     sender: usize,
     function: usize,
-    waits: Span,
+    sender_timeout: Span,
     class: usize,
     webhook_id: Arc<str>,
-    /// The id with its sender's name, as it is remembered.
+    /// The id scoped by the sender's name: the key of the replay cache.
     scoped: Id,
     remembered: bool,
-    settled: bool,
+    completed: bool,
     due: Time,
-    callback: Option<Owed>,
-    reply: Sender<Told>,
+    callback: Option<PendingCallback>,
+    reply: Sender<QueuedResponse>,
 }
 
-impl Waiting {
-    fn settle(&mut self, ending: Ending<Arc<Response>>, answer: Option<&Arc<Response>>) {
-        self.settled = true;
+impl ActiveCall {
+    fn complete(&mut self, ending: Ending<Arc<Response>>, answer: Option<&Arc<Response>>) {
+        self.completed = true;
         if !self.remembered {
             return;
         }
-        let waiters = self.front.memory().end(self.front.clock.now(), &self.scoped, ending);
+        let waiters = self.front.replay_cache().end(self.front.clock.now(), &self.scoped, ending);
         for (waiter, answer) in waiters.into_iter().zip(std::iter::repeat(answer)) {
             if let Some(answer) = answer {
-                let _ = waiter.try_send(answer.clone()); // one place each, so it has room
+                let _ = waiter.try_send(answer.clone()); // each waiter's channel has capacity for one answer
             }
         }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for ActiveCall {
     fn drop(&mut self) {
-        if !self.settled {
-            self.settle(Ending::Forget, None);
+        if !self.completed {
+            self.complete(Ending::Forget, None);
         }
     }
 }
 
-impl Origin for Waiting {
-    fn answer(mut self: Box<Self>, id: &RequestId, ended: Ended) {
-        let Ended { answer, attempts, worker, lag } = ended;
+impl Origin for ActiveCall {
+    fn answer(mut self: Box<Self>, id: &RequestId, end: CallEnd) {
+        let CallEnd { answer, attempts, worker, lag } = end;
         let front = self.front.clone();
         let settings = self.settings.clone();
         let class = &settings.router.classes[self.class];
-        let kept = remembers(class.effect, class.group, &answer, attempts);
+        let retention = retention(class.effect, class.group, &answer, attempts);
         let overdue = front.clock.now() >= self.due;
-        let (word, response, rest) = match answer {
+        let (kind, response, rest) = match answer {
             FinalAnswer::Served(Reply { content_type, body, rest }) => {
-                let kind = content_type.as_deref().unwrap_or("");
-                ("served", Response::new(200, kind, body), rest)
+                let content_type = content_type.as_deref().unwrap_or("");
+                ("served", Response::new(200, content_type, body), rest)
             }
             FinalAnswer::Refused { retry_after, .. } => {
                 let retry_after = retry_after.filter(|&t| t > 0);
                 let text = "turned away before it ran";
-                ("refused", problem(&Away { retry_after, ..away(503, "refused", text) }), None)
+                (
+                    "refused",
+                    problem_document(&Rejection { retry_after, ..rejection(503, "refused", text) }),
+                    None,
+                )
             }
-            FinalAnswer::Failed(why) => {
-                let text = format!("no answer could be had ({why:?}); it may have run");
+            FinalAnswer::Failed(failure) => {
+                let text = format!("no answer could be had ({failure:?}); it may have run");
                 let status = if overdue { 504 } else { 502 };
-                ("failed", problem(&Away { harmless: false, ..away(status, "failed", text) }), None)
+                (
+                    "failed",
+                    problem_document(&Rejection {
+                        safe_to_retry: false,
+                        ..rejection(status, "failed", text)
+                    }),
+                    None,
+                )
             }
         };
         let name = &settings.classes[self.class];
-        let count = match word {
+        let count = match kind {
             "served" => &front.counts.served,
             "refused" => &front.counts.refused,
             _ => &front.counts.failed,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        front.record(RecordedCall {
+        front.record_call(RecordedCall {
             arrived_at: front.clock.now().saturating_sub(lag),
             class: name.clone(),
             tenant: settings.tenants[settings.webhook.senders[self.sender].tenant].clone(),
             function: settings.functions[self.function].name.clone(),
-            sender_timeout: self.waits,
-            served: word == "served",
+            sender_timeout: self.sender_timeout,
+            served: kind == "served",
             latency: lag,
         });
-        front.metrics.answered(name, word, lag);
+        front.metrics.record_answer(name, kind, lag);
         tracing::info!(
             request = %id, webhook_id = %self.webhook_id, sender = %settings.webhook.senders[self.sender].name,
-            class = %name, answer = word, attempts, worker, lag_us = lag, "answered"
+            class = %name, answer = kind, attempts, worker, lag_us = lag, "answered"
         );
-        let response = Arc::new(response.with(REQUEST, &**id));
-        let size = response.body.len() + RECORD;
-        let ending = match kept {
-            // A stream has passed by and cannot be had again; nor is it kept.
-            Kept::Remember if rest.is_none() => Ending::Remember { answer: response.clone(), size },
+        let response = Arc::new(response.with(REQUEST_HEADER, &**id));
+        let size = response.body.len() + RECORD_OVERHEAD;
+        let ending = match retention {
+            // A streamed body is not buffered, so it cannot be replayed.
+            Retention::Remember if rest.is_none() => Ending::Remember { answer: response.clone(), size },
             _ => Ending::Forget,
         };
-        self.settle(ending, rest.is_none().then_some(&response));
-        if let Some(owed) = self.callback.take() {
+        self.complete(ending, rest.is_none().then_some(&response));
+        if let Some(callback) = self.callback.take() {
             let body = serde_json::json!({
                 "type": "call.answered",
                 "timestamp": unix_seconds(),
                 "data": {
                     "webhook_id": &*self.webhook_id,
                     "request": &**id,
-                    "answer": word,
+                    "answer": kind,
                     "status": response.status,
                     "body": String::from_utf8_lossy(&response.body),
                 },
             });
             let body: Arc<[u8]> = body.to_string().into_bytes().into();
-            smol::spawn(owed.post(format!("{}_answer", self.webhook_id), body)).detach();
+            smol::spawn(callback.post(format!("{}_answer", self.webhook_id), body)).detach();
         }
-        let (given, _due) = (front.clock.now(), front.answers_due.begin());
-        let _ = self.reply.try_send(Told { response, rest, given, _due });
+        let (queued_at, _due) = (front.clock.now(), front.answers_due.add());
+        let _ = self.reply.try_send(QueuedResponse { response, rest, queued_at, _due });
     }
 }
 
-/// The bounds of a connection, from the settings.
-fn limits(settings: &Settings) -> Limits {
-    let w = &settings.webhook;
+/// The limits of a connection.
+fn connection_limits(settings: &Settings) -> Limits {
+    let webhook = &settings.webhook;
     Limits {
-        head_bytes: w.max_head_bytes,
-        headers: w.max_headers,
-        head_time: w.head_timeout,
-        body_bytes: w.max_body_bytes,
-        body_time: w.body_timeout,
-        idle_time: w.idle_timeout,
-        write_time: w.write_timeout,
+        head_bytes: webhook.max_head_bytes,
+        headers: webhook.max_headers,
+        head_time: webhook.head_timeout,
+        body_bytes: webhook.max_body_bytes,
+        body_time: webhook.body_timeout,
+        idle_time: webhook.idle_timeout,
+        write_time: webhook.write_timeout,
     }
 }
 
-/// The bounds of the memory of ids, from the settings.
-pub(crate) fn bounds(settings: &Settings) -> Bounds {
-    let w = &settings.webhook;
-    let longest = w.senders.iter().map(|s| Bounds::keep_for(s.tolerance)).max().unwrap_or(0);
-    let keep = w.answer_retention.max(longest);
-    Bounds { count: w.max_remembered_ids, keep, waiters: w.max_waiters, bytes: w.max_remembered_bytes }
+/// The limits of the replay cache.
+pub(crate) fn replay_bounds(settings: &Settings) -> Bounds {
+    let webhook = &settings.webhook;
+    let longest = webhook.senders.iter().map(|s| Bounds::keep_for(s.tolerance)).max().unwrap_or(0);
+    let keep = webhook.answer_retention.max(longest);
+    Bounds {
+        count: webhook.max_remembered_ids,
+        keep,
+        waiters: webhook.max_waiters,
+        bytes: webhook.max_remembered_bytes,
+    }
 }
 
-/// The bounds of the budgets for failed signatures, from the settings.
-pub(crate) fn guard_bounds(settings: &Settings) -> badgerwind_guard::Limits {
-    let g = &settings.webhook.guard;
+/// The limits on failed signatures.
+pub(crate) fn guard_limits(settings: &Settings) -> badgerwind_guard::Limits {
+    let guard = &settings.webhook.guard;
     let budget = |(burst, rate)| Budget { burst, rate };
     badgerwind_guard::Limits {
-        source: budget(g.source_limit),
-        sender: budget(g.sender_limit),
-        max_sources: g.max_sources,
-        known_duration: g.known_source_time,
-        bytes_per_check: g.bytes_per_check,
+        source: budget(guard.source_limit),
+        sender: budget(guard.sender_limit),
+        max_sources: guard.max_sources,
+        known_duration: guard.known_source_time,
+        bytes_per_check: guard.bytes_per_check,
     }
 }
 
-/// A body of at most so many bytes is read to its end after its message was turned away, so that the connection can
-/// go on.
-const SHORT: u64 = 16 * 1024;
+/// Largest body, in bytes, that is read to its end after its message was rejected, so that the connection can be
+/// reused.
+const MAX_DRAINED_BODY: u64 = 16 * 1024;
 
-/// Bodies above this many bytes are checked on a thread of their own, so that other connections go on meanwhile.
-const LARGE: u64 = 32 * 1024;
+/// Largest body, in bytes, whose signature is checked in place; the check of a larger one runs on a separate thread so
+/// that it does not block other connections.
+const MAX_INLINE_CHECK: u64 = 32 * 1024;
 
-/// What a remembered id takes beside its answer's body, at the most: `cargo bench -p badgerwind-webhook --bench replay`
-/// says up to 240 bytes for the id, the rest is the answer's head.
-const RECORD: usize = 512;
+/// Upper bound, in bytes, on a remembered id's memory besides the body of its answer: up to 240 bytes for the id, as
+/// measured by `cargo bench -p badgerwind-webhook --bench replay`; the rest is for the answer's head.
+const RECORD_OVERHEAD: usize = 512;
 
-/// A message whose signature was good.
+/// A message whose signature is valid.
 struct Verified {
     /// The name of the key that signed it.
     key: Arc<str>,
-    /// Its timestamp.
+    /// Its timestamp, in seconds since the Unix epoch.
     sent: i64,
-    /// Of path and body.
+    /// Digest of path and body.
     digest: Digest,
     body: Vec<u8>,
 }
 
-/// What becomes of one message.
+/// The result of handling one message.
 enum Handled {
     Answer(Arc<Response>),
     Stream(Arc<Response>, Receiver<Vec<u8>>),
-    /// The sender has left.
-    Gone,
+    /// The sender has disconnected.
+    Disconnected,
 }
 
 impl Front {
-    /// What holds now.
-    pub(crate) fn rules(&self) -> Arc<Rules> {
-        self.rules.read().unwrap_or_else(PoisonError::into_inner).clone()
+    /// The current configuration.
+    pub(crate) fn config(&self) -> Arc<FrontConfig> {
+        self.config.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Other rules from now on; messages already taken keep theirs.
-    pub(crate) fn change(&self, rules: Rules) {
-        self.memory().set_bounds(bounds(&rules.settings));
+    /// Replaces the configuration; messages already being handled keep the previous one.
+    pub(crate) fn set_config(&self, config: FrontConfig) {
+        self.replay_cache().set_bounds(replay_bounds(&config.settings));
         let names = |s: &Settings| s.webhook.senders.iter().map(|s| s.name.clone()).collect::<Vec<_>>();
         let mut guard = self.guard();
-        guard.set_limits(guard_bounds(&rules.settings));
-        if names(&self.rules().settings) != names(&rules.settings) {
+        guard.set_limits(guard_limits(&config.settings));
+        if names(&self.config().settings) != names(&config.settings) {
             guard.reset_senders();
             let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
-            *skews = vec![Skew::default(); rules.settings.webhook.senders.len()];
+            *skews = vec![Skew::default(); config.settings.webhook.senders.len()];
         }
         drop(guard);
-        *self.rules.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(rules);
-        let _ = self.freed.try_send(());
+        *self.config.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(config);
+        let _ = self.capacity_changed.try_send(());
     }
 
-    fn record(&self, call: RecordedCall) {
-        let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
-        let oldest = self.clock.now().saturating_sub(RECENT);
-        while recent.len() >= MOST_RECENT || recent.front().is_some_and(|c| c.arrived_at < oldest) {
+    fn record_call(&self, call: RecordedCall) {
+        let mut recent = self.recent_calls.lock().unwrap_or_else(PoisonError::into_inner);
+        let oldest = self.clock.now().saturating_sub(RECENT_WINDOW);
+        while recent.len() >= MAX_RECENT_CALLS || recent.front().is_some_and(|c| c.arrived_at < oldest) {
             recent.pop_front();
         }
         recent.push_back(call);
     }
 
-    /// The time by which signatures are judged, in seconds since the Unix epoch.
-    fn wall(&self) -> i64 {
+    /// The time against which timestamps of signatures are checked, in seconds since the Unix epoch.
+    fn signature_time(&self) -> i64 {
         let (now, reading) = (self.clock.now(), unix_micros());
         let mut wall = self.wall.lock().unwrap_or_else(PoisonError::into_inner);
-        let judged = wall.at(now, reading);
+        let time = wall.at(now, reading);
         self.metrics.clock_behind.set(wall.behind(now, reading));
-        judged
+        time
     }
 
     fn lag(&self) -> MutexGuard<'_, Lag> {
@@ -345,31 +366,33 @@
         self.guard.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn memory(&self) -> MutexGuard<'_, Memory> {
+    fn replay_cache(&self) -> MutexGuard<'_, ReplayCache> {
         self.replay.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Accepts connections until the task is dropped.
     pub(crate) async fn listen(self: Arc<Self>, listener: TcpListener) {
         loop {
-            // The bound may change while connections are open; a place freed or a change wakes this.
-            while self.open.load(Ordering::Relaxed) >= self.rules().settings.webhook.max_connections {
-                let _ = self.free.recv().await;
+            // The limit may change while connections are open; a closed connection or a new limit wakes this loop.
+            while self.open_connections.load(Ordering::Relaxed)
+                >= self.config().settings.webhook.max_connections
+            {
+                let _ = self.capacity_changes.recv().await;
             }
             let (stream, peer) = match listener.accept().await {
                 Ok((stream, from)) => (stream, from.ip()),
                 Err(e) => {
-                    tracing::warn!("a connection cannot be accepted: {e}");
+                    tracing::warn!("cannot accept a connection: {e}");
                     Timer::after(ACCEPT_PAUSE).await;
                     continue;
                 }
             };
-            let _ = stream.set_nodelay(true); // only a delay is lost where it is not to be had
-            let rules = self.rules();
-            let limits = limits(&rules.settings);
-            let tls = rules.tls.clone();
+            let _ = stream.set_nodelay(true); // a failure only costs latency
+            let config = self.config();
+            let limits = connection_limits(&config.settings);
+            let tls = config.tls.clone();
             let front = self.clone();
-            self.open.fetch_add(1, Ordering::Relaxed);
+            self.open_connections.fetch_add(1, Ordering::Relaxed);
             smol::spawn(async move {
                 front.metrics.connections.inc();
                 let stream = match tls {
@@ -377,46 +400,46 @@
                     Some(tls) => tls.accept(stream, limits.head_time).await,
                 };
                 match stream {
-                    Ok(stream) => front.connection(Conn::new(stream, Arc::new(limits)), peer).await,
+                    Ok(stream) => front.serve_connection(Conn::new(stream, Arc::new(limits)), peer).await,
                     Err(e) => {
-                        front.metrics.turned_away("handshake");
-                        tracing::debug!(source = %peer, "no handshake: {e}");
+                        front.metrics.record_rejection("handshake");
+                        tracing::debug!(source = %peer, "TLS handshake failed: {e}");
                     }
                 }
                 front.metrics.connections.dec();
-                front.open.fetch_sub(1, Ordering::Relaxed);
-                let _ = front.freed.try_send(());
+                front.open_connections.fetch_sub(1, Ordering::Relaxed);
+                let _ = front.capacity_changed.try_send(());
             })
             .detach();
         }
     }
 
-    async fn connection(self: &Arc<Self>, mut conn: Conn<Stream>, peer: IpAddr) {
+    async fn serve_connection(self: &Arc<Self>, mut conn: Conn<Stream>, peer: IpAddr) {
         loop {
             let head = match conn.head().await {
                 Ok(Some(head)) => head,
                 Ok(None) => return conn.close().await,
-                Err(e) => return self.refuse_wire(conn, e).await,
+                Err(e) => return self.reject_malformed(conn, e).await,
             };
-            let began = self.clock.now();
-            self.answers_due.let_out().await;
-            // One message is judged by one set of rules, whatever changes meanwhile.
-            let rules = self.rules();
-            // What needs no body is judged before one is read.
-            let judged = route(&rules.settings, &head)
-                .and_then(|route| Ok((route, self.claimed(&rules, &head, route.0, peer)?)));
-            let (route, claimed) = match judged {
-                Ok(judged) => judged,
-                Err(away) => {
-                    self.metrics.turned_away(away.reason);
-                    // Reading a short body costs less than the connection that would be opened next.
-                    let short = matches!(head.framing, badgerwind_http::Framing::Length(n) if n <= SHORT)
+            let arrived_at = self.clock.now();
+            self.answers_due.yield_to_answers().await;
+            // The whole message is handled under one configuration, even if it is replaced meanwhile.
+            let config = self.config();
+            // All checks that do not need the body run before it is read.
+            let checked = route(&config.settings, &head)
+                .and_then(|route| Ok((route, self.check_headers(&config, &head, route.0, peer)?)));
+            let (route, claimed) = match checked {
+                Ok(checked) => checked,
+                Err(rejected) => {
+                    self.metrics.record_rejection(rejected.reason);
+                    // Reading a short body costs less than a new connection.
+                    let short = matches!(head.framing, badgerwind_http::Framing::Length(n) if n <= MAX_DRAINED_BODY)
                         && !head.expects_continue();
                     let keep = short
                         && head.keeps_alive()
                         && !self.stopping.load(Ordering::Relaxed)
                         && conn.body(&head).await.is_ok();
-                    if conn.respond(&problem(&away), keep).await.is_err() || !keep {
+                    if conn.respond(&problem_document(&rejected), keep).await.is_err() || !keep {
                         return conn.close().await;
                     }
                     continue;
@@ -424,14 +447,15 @@
             };
             let body = match conn.body(&head).await {
                 Ok(body) => body,
-                Err(e) => return self.refuse_wire(conn, e).await,
+                Err(e) => return self.reject_malformed(conn, e).await,
             };
-            let handled = self.message(&mut conn, &rules, &head, route, (claimed, body, began)).await;
+            let handled =
+                self.handle_message(&mut conn, &config, &head, route, (claimed, body, arrived_at)).await;
             let keep = head.keeps_alive() && !self.stopping.load(Ordering::Relaxed);
             let written = match handled {
                 Handled::Answer(response) => conn.respond(&response, keep).await,
-                Handled::Stream(response, rest) => stream(&mut conn, &response, rest, keep).await,
-                Handled::Gone => return,
+                Handled::Stream(response, rest) => forward_stream(&mut conn, &response, rest, keep).await,
+                Handled::Disconnected => return,
             };
             if written.is_err() || !keep {
                 return conn.close().await;
@@ -439,88 +463,90 @@
         }
     }
 
-    async fn refuse_wire(&self, mut conn: Conn<Stream>, e: badgerwind_http::ServeError) {
+    async fn reject_malformed(&self, mut conn: Conn<Stream>, e: badgerwind_http::ServeError) {
         if let Some(status) = e.status() {
-            self.metrics.turned_away("malformed");
-            let _ = conn.respond(&problem(&away(status, "malformed", e.to_string())), false).await;
+            self.metrics.record_rejection("malformed");
+            let _ =
+                conn.respond(&problem_document(&rejection(status, "malformed", e.to_string())), false).await;
             conn.close().await;
         }
     }
 
-    /// What is judged before a body is read: the source's budget, the form of the headers, the time.
-    fn claimed(
+    /// The checks that run before the body is read: the source's limit of failed signatures, the form of the signature
+    /// headers, and the timestamp.
+    fn check_headers(
         &self,
-        rules: &Rules,
+        config: &FrontConfig,
         head: &RequestHead,
         route: usize,
         peer: IpAddr,
-    ) -> Result<(Permit, Claim), Away> {
-        let w = &rules.settings.webhook;
-        let sender = w.routes[route].sender;
+    ) -> Result<(Permit, Claim), Rejection> {
+        let webhook = &config.settings.webhook;
+        let sender = webhook.routes[route].sender;
         let header = |name| head.headers.get(name);
         let lines: Vec<&str> = head.headers.all("x-forwarded-for").collect();
-        let source = forwarded_address(peer, &w.guard.load_balancers, &lines).unwrap_or(peer);
-        let who = Claimant { source: Source::from_address(source), sender };
+        let source = forwarded_address(peer, &webhook.guard.load_balancers, &lines).unwrap_or(peer);
+        let claimant = Claimant { source: Source::from_address(source), sender };
         let bytes = match head.framing {
-            badgerwind_http::Framing::Length(n) => n.min(w.max_body_bytes as u64),
-            _ => w.max_body_bytes as u64,
+            badgerwind_http::Framing::Length(n) => n.min(webhook.max_body_bytes as u64),
+            _ => webhook.max_body_bytes as u64,
         };
         let now = self.clock.now();
-        let permit = self.guard().admit(now, who, bytes).map_err(|turned| {
+        let permit = self.guard().admit(now, claimant, bytes).map_err(|rejected| {
             let text = "too many signatures from there have failed; this message was not looked at";
-            Away { retry_after: Some(turned.wait()), ..away(429, "failed-signatures", text) }
+            Rejection { retry_after: Some(rejected.wait()), ..rejection(429, "failed-signatures", text) }
         })?;
         let (id, signature) = (header(badgerwind_webhook::ID), header(badgerwind_webhook::SIGNATURE));
         let time = header(badgerwind_webhook::TIMESTAMP);
-        match rules.rings[sender].claim(self.wall(), id, time, signature) {
+        match config.rings[sender].claim(self.signature_time(), id, time, signature) {
             Ok(claim) => Ok((permit, claim)),
             Err(e) => {
                 self.guard().record_invalid(now, permit);
-                Err(self.unverified(&w.senders[sender].name, who.source, &e))
+                Err(self.reject_unverified(&webhook.senders[sender].name, claimant.source, &e))
             }
         }
     }
 
-    fn unverified(&self, sender: &str, source: Source, e: &VerifyError) -> Away {
+    fn reject_unverified(&self, sender: &str, source: Source, e: &VerifyError) -> Rejection {
         tracing::debug!(sender, %source, "{e}");
-        self.metrics.failed_signature(sender);
+        self.metrics.record_invalid_signature(sender);
         let (status, reason) = match e {
             VerifyError::Mismatch => (401, "bad-signature"),
             e if e.is_stale() => (401, "stale-timestamp"),
             _ => (400, "malformed-webhook"),
         };
-        away(status, reason, e.to_string())
+        rejection(status, reason, e.to_string())
     }
 
-    /// Holds a message's body against its claim; gives the body back, with the key's name and the body's digest.
+    /// Checks the body against the signature; returns it with the key's name, the timestamp and the digest.
     async fn verify(
         &self,
-        rules: &Arc<Rules>,
+        config: &Arc<FrontConfig>,
         route: usize,
         (permit, claim): (Permit, Claim),
         body: Vec<u8>,
-    ) -> Result<Verified, Away> {
-        let now = self.wall();
-        let (sent, of, source) = (claim.sent(), rules.clone(), permit.claimant().source);
+    ) -> Result<Verified, Rejection> {
+        let now = self.signature_time();
+        let (sent, signing_config, source) = (claim.sent(), config.clone(), permit.claimant().source);
         let check = move || {
-            let route = &of.settings.webhook.routes[route];
-            let key = claim.check(&of.rings[route.sender], now, &body)?;
+            let route = &signing_config.settings.webhook.routes[route];
+            let key = claim.check(&signing_config.rings[route.sender], now, &body)?;
             let digest = Digest::of_parts(&[route.path.as_bytes(), b"\n", &body]);
             Ok(Verified { key, sent, digest, body })
         };
-        let checked = match permit.bytes() > LARGE {
+        let checked = match permit.bytes() > MAX_INLINE_CHECK {
             true => {
-                let _place = self.checks.acquire().await;
+                let _permit = self.check_permits.acquire().await;
                 smol::unblock(check).await
             }
             false => check(),
         };
-        let sender = rules.settings.webhook.routes[route].sender;
-        let named = &rules.settings.webhook.senders[sender];
-        let (at, mut guard) = (self.clock.now(), self.guard());
+        let sender = config.settings.webhook.routes[route].sender;
+        let sender_settings = &config.settings.webhook.senders[sender];
+        let (checked_at, mut guard) = (self.clock.now(), self.guard());
         match &checked {
-            Ok(_) => guard.record_valid(at, permit),
-            Err(_) => guard.record_invalid(at, permit),
+            Ok(_) => guard.record_valid(checked_at, permit),
+            Err(_) => guard.record_invalid(checked_at, permit),
         }
         self.metrics.guard_sources.set(guard.tracked_sources() as i64);
         self.metrics.guard_known.set(guard.known_pairs() as i64);
@@ -528,179 +554,196 @@
         let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Ok(_), Some(skew)) = (&checked, skews.get_mut(sender)) {
             skew.seen(now, sent);
-            self.metrics.skew(&named.name, skew.ahead(now).unwrap_or(0));
+            self.metrics.set_clock_skew(&sender_settings.name, skew.ahead(now).unwrap_or(0));
         }
         drop(skews);
-        checked.map_err(|e| self.unverified(&named.name, source, &e))
+        checked.map_err(|e| self.reject_unverified(&sender_settings.name, source, &e))
     }
 
-    async fn message(
+    async fn handle_message(
         self: &Arc<Self>,
         conn: &mut Conn<Stream>,
-        rules: &Arc<Rules>,
+        config: &Arc<FrontConfig>,
         head: &RequestHead,
         (route, function): (usize, usize),
-        (claimed, body, began): ((Permit, Claim), Vec<u8>, Time),
+        (claimed, body, arrived_at): ((Permit, Claim), Vec<u8>, Time),
     ) -> Handled {
         let source = claimed.0.claimant().source;
-        let verified = self.verify(rules, route, claimed, body).await;
-        let admitted = verified.and_then(|v| self.admit(rules, head, (route, function), (v, source), began));
+        let verified = self.verify(config, route, claimed, body).await;
+        let admitted =
+            verified.and_then(|v| self.admit(config, head, (route, function), (v, source), arrived_at));
         match admitted {
-            Err(away) => {
-                self.metrics.turned_away(away.reason);
-                Handled::Answer(Arc::new(problem(&away)))
+            Err(rejected) => {
+                self.metrics.record_rejection(rejected.reason);
+                Handled::Answer(Arc::new(problem_document(&rejected)))
             }
-            Ok(Admitted::Known(answer)) => {
-                self.metrics.turned_away("replayed");
+            Ok(Admitted::Answered(answer)) => {
+                self.metrics.record_rejection("replayed");
                 Handled::Answer(replayed(&answer))
             }
-            Ok(Admitted::Waits(answer, due)) => {
-                self.metrics.turned_away("replayed");
+            Ok(Admitted::InProgress(answer, due)) => {
+                self.metrics.record_rejection("replayed");
                 let late = async {
                     Timer::at(self.clock.instant(due)).await;
                     Err(async_channel::RecvError)
                 };
-                // One that leaves no longer waits: the call may go on for nobody else.
-                let gone = async {
+                // A sender that disconnects no longer counts as waiting; the call ends if nobody else waits.
+                let disconnected = async {
                     conn.gone().await;
                     None
                 };
                 let answered = async { Some(answer.recv().or(late).await) };
-                let Some(got) = answered.or(gone).await else { return Handled::Gone };
-                Handled::Answer(match got {
+                let Some(received) = answered.or(disconnected).await else { return Handled::Disconnected };
+                Handled::Answer(match received {
                     Ok(answer) => replayed(&answer),
                     Err(_) => {
                         let text = "an earlier message with this id is still under way, or went unanswered";
-                        Arc::new(problem(&Away { harmless: false, ..away(504, "failed", text) }))
+                        Arc::new(problem_document(&Rejection {
+                            safe_to_retry: false,
+                            ..rejection(504, "failed", text)
+                        }))
                     }
                 })
             }
-            Ok(Admitted::Run(call, answer)) => {
+            Ok(Admitted::Start(call, answer)) => {
                 let (id, class) = (call.request.id.clone(), call.request.class);
                 if self.inputs.send(Input::Call(*call)).await.is_err() {
-                    return Handled::Answer(Arc::new(problem(&away(503, "stopping", "the daemon stops"))));
+                    return Handled::Answer(Arc::new(problem_document(&rejection(
+                        503,
+                        "stopping",
+                        "the daemon stops",
+                    ))));
                 }
-                // What must not run twice and has begun goes on when its sender leaves, so that the answer can be remembered.
-                let keeps = rules.settings.router.classes[class].effect != Effect::Repeatable;
-                let gone = async {
+                // A started call that must not run twice is finished after its sender disconnects, so that its answer can
+                // be remembered.
+                let finish_started = config.settings.router.classes[class].effect != Effect::Repeatable;
+                let disconnected = async {
                     conn.gone().await;
                     None
                 };
                 let answered = async { Some(answer.recv().await) };
-                let Some(got) = answered.or(gone).await else {
-                    // The same message may have come again meanwhile: then its sender waits there.
-                    let webhook = &rules.settings.webhook;
+                let Some(received) = answered.or(disconnected).await else {
+                    // The same message may have arrived again on another connection, where its sender waits.
+                    let webhook = &config.settings.webhook;
                     let sender = &webhook.senders[webhook.routes[route].sender];
                     let scoped = Id::of(&sender.name, head.headers.get(badgerwind_webhook::ID).unwrap_or(""));
-                    let waited_for = || self.memory().waiting(&scoped).iter().any(|w| !w.is_closed());
+                    let waited_for =
+                        || self.replay_cache().waiting(&scoped).iter().any(|waiter| !waiter.is_closed());
                     while waited_for() && !answer.is_closed() {
-                        Timer::after(WAITED_FOR).await;
+                        Timer::after(REPEAT_POLL_INTERVAL).await;
                     }
-                    let _ = self.inputs.send(Input::CallerDisconnected { id, finish_started: keeps }).await;
-                    return Handled::Gone;
+                    let _ = self.inputs.send(Input::CallerDisconnected { id, finish_started }).await;
+                    return Handled::Disconnected;
                 };
-                if let Ok(Told { given, .. }) = &got {
+                if let Ok(QueuedResponse { queued_at, .. }) = &received {
                     let now = self.clock.now();
-                    let waited = now.saturating_sub(*given);
+                    let waited = now.saturating_sub(*queued_at);
                     self.lag().observe(now, waited);
-                    tracing::debug!(request = %id, waited_us = waited, "its answer goes out");
+                    tracing::debug!(request = %id, waited_us = waited, "writing the answer");
                 }
-                match got {
-                    Ok(Told { response, rest: Some(rest), .. }) => Handled::Stream(response, rest),
-                    Ok(Told { response, rest: None, .. }) => Handled::Answer(response),
+                match received {
+                    Ok(QueuedResponse { response, rest: Some(rest), .. }) => Handled::Stream(response, rest),
+                    Ok(QueuedResponse { response, rest: None, .. }) => Handled::Answer(response),
                     Err(_) => {
                         let text = "the daemon could not answer; it may have run";
-                        let away = Away { harmless: false, ..away(502, "failed", text) };
-                        Handled::Answer(Arc::new(problem(&away)))
+                        let rejected = Rejection { safe_to_retry: false, ..rejection(502, "failed", text) };
+                        Handled::Answer(Arc::new(problem_document(&rejected)))
                     }
                 }
             }
         }
     }
 
-    /// Time and memory: whether a verified message starts a call.
+    /// Decides by the deadline and the replay cache whether a verified message starts a call.
     fn admit(
         self: &Arc<Self>,
-        rules: &Rules,
+        config: &FrontConfig,
         head: &RequestHead,
         (route, function): (usize, usize),
         (verified, source): (Verified, Source),
-        began: Time,
-    ) -> Result<Admitted, Away> {
-        let settings = &rules.settings;
-        let w = &settings.webhook;
-        let route = &w.routes[route];
+        arrived_at: Time,
+    ) -> Result<Admitted, Rejection> {
+        let settings = &config.settings;
+        let webhook = &settings.webhook;
+        let route = &webhook.routes[route];
         let header = |name| head.headers.get(name);
         let id = header(badgerwind_webhook::ID);
-        let sender = &w.senders[route.sender];
+        let sender = &webhook.senders[route.sender];
         let Verified { key, sent, digest, body } = verified;
         let id: Arc<str> = id.unwrap_or("").into();
         if self.stopping.load(Ordering::Relaxed) {
-            return Err(away(503, "stopping", "this front end stops; another will take it"));
+            return Err(rejection(503, "stopping", "this front end stops; another will take it"));
         }
         let class = &settings.router.classes[route.class];
-        let waits = match header(WAITS).map(str::parse::<u64>) {
+        let sender_timeout = match header(DEADLINE_HEADER).map(str::parse::<u64>) {
             None => class.deadline,
             Some(Ok(ms)) => ms.saturating_mul(1000).min(class.deadline),
-            Some(Err(_)) => return Err(away(400, "malformed-deadline", format!("{WAITS} must be whole"))),
+            Some(Err(_)) => {
+                return Err(rejection(400, "malformed-deadline", format!("{DEADLINE_HEADER} must be whole")))
+            }
         };
-        // Twice the slack is kept back: once for the module's last word, once for its way to the sender.
-        let set = &settings.router;
-        // What this front end runs behind is kept back as well: an answer that was promised comes.
-        let waits = {
+        let router = &settings.router;
+        // The front end's own lag is subtracted from the time left, so that the answer arrives in time.
+        let sender_timeout = {
             let lag = self.lag();
-            self.metrics.lag.set(lag.get(began) as f64 / 1e6);
-            lag.usable_wait(began, waits)
+            self.metrics.lag.set(lag.get(arrived_at) as f64 / 1e6);
+            lag.usable_wait(arrived_at, sender_timeout)
         };
-        let due = (began + waits).saturating_sub(2 * set.answer_slack);
-        if due <= self.clock.now() + set.round {
-            return Err(away(503, "no-time", "too little of the sender's time is left"));
+        // Twice the slack is reserved: once for the module's final decision, once for the answer's way to the sender.
+        let due = (arrived_at + sender_timeout).saturating_sub(2 * router.answer_slack);
+        if due <= self.clock.now() + router.round {
+            return Err(rejection(503, "no-time", "too little of the sender's time is left"));
         }
-        let callback = match header(CALLBACK).map(|name| sender.callbacks.iter().position(|c| c.name == name))
-        {
-            Some(None) => {
-                let text = "the settings name no such callback of this sender";
-                return Err(away(400, "unknown-callback", text));
-            }
-            asked => asked.flatten(),
-        };
+        let callback =
+            match header(CALLBACK_HEADER).map(|name| sender.callbacks.iter().position(|c| c.name == name)) {
+                Some(None) => {
+                    let text = "the settings name no such callback of this sender";
+                    return Err(rejection(400, "unknown-callback", text));
+                }
+                index => index.flatten(),
+            };
         let unsafe_call = class.effect != Effect::Repeatable;
         let scoped = Id::of(&sender.name, &id);
-        let (waiter, wait) = async_channel::bounded(1);
-        let mut memory = self.memory();
-        // The time is judged again: a body may take longer to come than its id is remembered.
-        let judged = rules.rings[route.sender].in_time(self.wall(), sent);
-        judged.map_err(|e| self.unverified(&sender.name, source, &e))?;
+        let (waiter, earlier_answer) = async_channel::bounded(1);
+        let mut cache = self.replay_cache();
+        // The timestamp is checked again: a body may take longer to arrive than its id is remembered.
+        let in_time = config.rings[route.sender].in_time(self.signature_time(), sent);
+        in_time.map_err(|e| self.reject_unverified(&sender.name, source, &e))?;
         let now = self.clock.now();
-        // A place for its callback is taken before the memory lets it in, so that a repeat beside it never waits for
-        // what will not run; one that is known needs none.
-        let callback = match callback.filter(|_| !memory.knows(now, &scoped)) {
+        // The callback's slot is reserved before the id is entered into the cache, so that a concurrent repeat never
+        // waits for a call that will not run. An id already in the cache needs no slot.
+        let callback = match callback.filter(|_| !cache.knows(now, &scoped)) {
             None => None,
-            Some(n) => {
-                let c = &sender.callbacks[n];
-                let key = rules.callbacks[route.sender][n].clone();
-                let owed = Owed::take(&self.owed, w.max_callbacks, (&c.name, c.address, &c.path), key);
+            Some(index) => {
+                let callback = &sender.callbacks[index];
+                let key = config.callbacks[route.sender][index].clone();
+                let pending = PendingCallback::reserve(
+                    &self.pending_callbacks,
+                    webhook.max_callbacks,
+                    (&callback.name, callback.address, &callback.path),
+                    key,
+                );
                 let text = "no more callbacks can be owed now; nothing was started";
-                Some(owed.ok_or_else(|| away(503, "callbacks-full", text))?)
+                Some(pending.ok_or_else(|| rejection(503, "callbacks-full", text))?)
             }
         };
-        let admission = memory.admit(now, &scoped, digest, unsafe_call, || waiter);
-        self.metrics.remembered_ids.set(memory.len() as i64);
-        drop(memory);
+        let admission = cache.admit(now, &scoped, digest, unsafe_call, || waiter);
+        self.metrics.remembered_ids.set(cache.len() as i64);
+        drop(cache);
         let remembered = match admission {
             Admission::Run => true,
             Admission::RunUnremembered => false,
-            Admission::Answered(answer) => return Ok(Admitted::Known(answer)),
-            Admission::Waits => return Ok(Admitted::Waits(wait, due)),
+            Admission::Answered(answer) => return Ok(Admitted::Answered(answer)),
+            Admission::Waits => return Ok(Admitted::InProgress(earlier_answer, due)),
             Admission::Conflict => {
-                return Err(away(
+                return Err(rejection(
                     409,
                     "id-conflict",
                     "this webhook-id came before with another body or path",
                 ));
             }
             Admission::Full => {
-                return Err(away(
+                return Err(rejection(
                     503,
                     "memory-full",
                     "no more ids can be remembered now; nothing was started",
@@ -708,82 +751,86 @@
             }
         };
         let (reply, answer) = async_channel::bounded(1);
-        let waiting = Waiting {
+        let active = ActiveCall {
             front: self.clone(),
             settings: settings.clone(),
             sender: route.sender,
             function,
-            waits,
+            sender_timeout,
             scoped,
             class: route.class,
             webhook_id: id.clone(),
             remembered,
-            settled: false,
+            completed: false,
             due,
             callback,
             reply,
         };
-        let f = &settings.functions[function];
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let function_settings = &settings.functions[function];
+        let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         let request = Request {
-            id: format!("{}-{number:x}", self.life).into(),
-            retry: header(RETRY).is_some_and(|v| v == "1"),
+            id: format!("{}-{number:x}", self.request_id_prefix).into(),
+            retry: header(RETRY_HEADER).is_some_and(|v| v == "1"),
             tenant: sender.tenant,
             hint: None,
-            function: f.name.as_str().into(),
-            memory_mb: f.memory_mb,
-            lanes: f.lanes,
+            function: function_settings.name.as_str().into(),
+            memory_mb: function_settings.memory_mb,
+            lanes: function_settings.lanes,
             class: route.class,
             due,
-            load_time: f.load_time,
+            load_time: function_settings.load_time,
         };
-        let trace = TraceParent::of(header("traceparent"), fastrand::u128(..));
+        let trace = TraceParent::from_header(header("traceparent"), fastrand::u128(..));
         tracing::debug!(
-            request = %request.id, webhook_id = %id, sender = %sender.name, %key, function = %f.name,
-            trace_id = %trace.trace, "taken"
+            request = %request.id, webhook_id = %id, sender = %sender.name, %key, function = %function_settings.name,
+            trace_id = %trace.trace_id, "taken"
         );
         let content = Content {
             trace,
             settings: settings.clone(),
-            module: rules.module,
+            module: config.module,
             key: format!("{}_{id}", sender.name.replace('.', "_")),
             function,
             class: route.class,
             tenant: sender.tenant,
-            taken: began,
-            handed: self.clock.now(),
+            accepted_at: arrived_at,
+            queued_at: self.clock.now(),
             due,
             content_type: header("content-type").map(str::to_owned),
             body: body.into(),
         };
-        let origin: Box<dyn Origin> = Box::new(waiting);
-        Ok(Admitted::Run(Box::new(Call { request, origin, content: Arc::new(content) }), answer))
+        let origin: Box<dyn Origin> = Box::new(active);
+        Ok(Admitted::Start(Box::new(Call { request, origin, content: Arc::new(content) }), answer))
     }
 }
 
-/// The route and the function of a target.
-fn route(settings: &Settings, head: &RequestHead) -> Result<(usize, usize), Away> {
-    let (w, path) = (&settings.webhook, head.path());
-    let named = |start: &str| {
+/// Resolves the request target to the indices of its route and its function.
+fn route(settings: &Settings, head: &RequestHead) -> Result<(usize, usize), Rejection> {
+    let (webhook, path) = (&settings.webhook, head.path());
+    let function_at = |start: &str| {
         let name = path.strip_prefix(start)?;
         settings.functions.iter().position(|f| f.name == name)
     };
-    let found = w.routes.iter().enumerate().find_map(|(n, r)| match r.target {
+    let found = webhook.routes.iter().enumerate().find_map(|(n, r)| match r.target {
         Target::Function(f) => (r.path == path).then_some((n, f)),
-        Target::FromPath => named(&r.path).map(|f| (n, f)),
+        Target::FromPath => function_at(&r.path).map(|f| (n, f)),
     });
-    let found = found.ok_or_else(|| away(404, "unknown-path", "no route leads there"))?;
+    let found = found.ok_or_else(|| rejection(404, "unknown-path", "no route leads there"))?;
     if head.method != "POST" {
-        return Err(away(405, "wrong-method", "webhooks come by POST"));
+        return Err(rejection(405, "wrong-method", "webhooks come by POST"));
     }
     if head.headers.get("expect").is_some() && !head.expects_continue() {
-        return Err(away(417, "unknown-expectation", "only 100-continue can be expected"));
+        return Err(rejection(417, "unknown-expectation", "only 100-continue can be expected"));
     }
     Ok(found)
 }
 
+/// What is done with a verified message.
 enum Admitted {
-    Known(Arc<Response>),
-    Waits(Receiver<Arc<Response>>, Time),
-    Run(Box<Call<Box<dyn Origin>, Arc<Content>>>, Receiver<Told>),
+    /// The same message was answered before.
+    Answered(Arc<Response>),
+    /// The same message is in progress: its answer, and the time until which the sender waits for it.
+    InProgress(Receiver<Arc<Response>>, Time),
+    /// A new call, and its answer.
+    Start(Box<Call<Box<dyn Origin>, Arc<Content>>>, Receiver<QueuedResponse>),
 }
--- a/crates/badgerwind-gateway/src/lib.rs
+++ b/crates/badgerwind-gateway/src/lib.rs
@@ -1,21 +1,21 @@
-//! The daemon. Fronts know a protocol and nothing of routing; the engine owns the driver and carries out what it
-//! asks for; the clients of runners, list and peers move bytes. Nothing here decides where a call goes or whether
-//! it is tried again.
+//! The gateway daemon. Fronts implement a protocol; the engine runs the driver and carries out its outputs; clients talk
+//! to runners, the list service and other front ends. Where a call goes and whether it is retried is decided by the
+//! decision module, not here.
 
 #![warn(missing_docs)]
 
 mod answers;
 mod answers_due;
 mod callbacks;
-#[doc(hidden)] // the engine's
+#[doc(hidden)] // public for the engine's tests
 pub mod clock;
 pub mod control;
 mod dispatch;
-#[doc(hidden)] // for its own tests
+#[doc(hidden)] // public for its tests
 pub mod engine;
+mod evidence;
 pub mod fleet;
 mod front;
-mod known;
 mod list;
 mod log_limit;
 pub mod logging;
@@ -29,6 +29,6 @@
 mod trace;
 mod zones;
 
-pub use answers::{remembers, Kept};
+pub use answers::{retention, Retention};
 pub use platform::{serve_platform, PlatformError, PlatformOptions};
-pub use serve::{serve, Options, Reread, Running, ServeError, Stopped};
+pub use serve::{serve, Options, Running, ServeError, SettingsReader, Stopped};
--- a/crates/badgerwind-gateway/src/log_limit.rs
+++ b/crates/badgerwind-gateway/src/log_limit.rs
@@ -1,26 +1,26 @@
-//! Lines in the log that anybody could cause: few of them, and how many were left out.
+//! Rate limit for log lines that any client can cause; counts the suppressed ones.
 
 use badgerwind::interface::{Span, Time};
 use std::cell::Cell;
 
-/// Between two lines of one kind, in microseconds.
-const BETWEEN: Span = 10_000_000;
+/// Least time between two lines of one kind, in microseconds.
+const INTERVAL: Span = 10_000_000;
 
 /// Limits the log lines of one kind.
 #[derive(Default)]
 pub(crate) struct LogLimit {
     next: Cell<Time>,
-    left_out: Cell<u64>,
+    suppressed: Cell<u64>,
 }
 
 impl LogLimit {
-    /// Whether a line may be written now: then, how many were left out since the last one.
+    /// If a line may be written now, returns how many were suppressed since the last one.
     pub(crate) fn may(&self, now: Time) -> Option<u64> {
         if now < self.next.get() {
-            self.left_out.set(self.left_out.get() + 1);
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
-        self.next.set(now + BETWEEN);
-        Some(self.left_out.take())
+        self.next.set(now + INTERVAL);
+        Some(self.suppressed.take())
     }
 }
--- a/crates/badgerwind-gateway/src/metrics.rs
+++ b/crates/badgerwind-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of the daemon, in OpenMetrics text.
+//! Metrics of the daemon in the OpenMetrics text format, and the HTTP server for operators.
 
 use badgerwind::interface::{Figures, Outcome, Span};
 use badgerwind_config::Report;
@@ -50,7 +50,7 @@
     pub zone: String,
 }
 
-/// All figures; cheap to update from any thread.
+/// All metrics; cheap to update from any thread.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
@@ -59,7 +59,7 @@
     pub attempts: Family<ByOutcome, Counter>,
     pub orders: Family<ByOutcome, Counter>,
     pub turned_away: Family<ByReason, Counter>,
-    pub held: Gauge,
+    pub unanswered_calls: Gauge,
     pub remembered_ids: Gauge,
     pub guard_sources: Gauge,
     pub guard_known: Gauge,
@@ -70,16 +70,16 @@
     pub connections: Gauge,
     pub runners: Gauge,
     pub list_version: Gauge<u64, AtomicU64>,
-    /// Unix time of the list service's last answer, in seconds; 0 before the first.
+    /// Unix time of the list service's last answer, in seconds; 0 before the first answer.
     pub list_answered: Gauge<u64, AtomicU64>,
     pub list_failures: Counter,
     pub batch_time: Histogram,
-    pub remembered: Family<ByPart, Gauge>,
+    pub module_records: Family<ByPart, Gauge>,
     pub budget_owned: Family<ByBudget, Gauge>,
-    pub budget_whole: Family<ByBudget, Gauge>,
+    pub budget_total: Family<ByBudget, Gauge>,
     pub budget_refused: Family<ByBudget, Counter>,
-    pub members_there: Gauge,
-    pub keeper: Gauge,
+    pub live_members: Gauge,
+    pub is_coordinator: Gauge,
     pub zone_share: Family<ByZone, Gauge<f64, AtomicU64>>,
     pub zone_moves: Family<ByZone, Gauge>,
 }
@@ -89,13 +89,13 @@
         let mut registry = Registry::with_prefix("badgerwind");
         let times = || Histogram::new(exponential_buckets(0.0005, 2.0, 16));
         let (answer_time, batch_time) = (times(), times());
-        let m = Metrics {
+        let metrics = Metrics {
             answers: Family::default(),
             answer_time,
             attempts: Family::default(),
             orders: Family::default(),
             turned_away: Family::default(),
-            held: Gauge::default(),
+            unanswered_calls: Gauge::default(),
             remembered_ids: Gauge::default(),
             guard_sources: Gauge::default(),
             guard_known: Gauge::default(),
@@ -109,77 +109,93 @@
             list_answered: Gauge::default(),
             list_failures: Counter::default(),
             batch_time,
-            remembered: Family::default(),
+            module_records: Family::default(),
             budget_owned: Family::default(),
-            budget_whole: Family::default(),
+            budget_total: Family::default(),
             budget_refused: Family::default(),
-            members_there: Gauge::default(),
-            keeper: Gauge::default(),
+            live_members: Gauge::default(),
+            is_coordinator: Gauge::default(),
             zone_share: Family::default(),
             zone_moves: Family::default(),
             registry: Registry::default(),
         };
-        let r = &mut registry;
-        r.register("answers", "Final answers, by class and answer", m.answers.clone());
-        r.register("answer_seconds", "From a call's arrival to its final answer", m.answer_time.clone());
-        r.register("attempts", "Ended attempts, by outcome", m.attempts.clone());
-        r.register("load_orders", "Ended load orders, by outcome", m.orders.clone());
-        r.register("turned_away", "Messages answered by the front itself, by reason", m.turned_away.clone());
-        r.register("held", "Calls owed an answer", m.held.clone());
-        r.register("remembered_ids", "Webhook ids remembered", m.remembered_ids.clone());
+        let target = &mut registry;
+        target.register("answers", "Final answers, by class and answer", metrics.answers.clone());
+        target.register(
+            "answer_seconds",
+            "From a call's arrival to its final answer",
+            metrics.answer_time.clone(),
+        );
+        target.register("attempts", "Ended attempts, by outcome", metrics.attempts.clone());
+        target.register("load_orders", "Ended load orders, by outcome", metrics.orders.clone());
+        target.register(
+            "turned_away",
+            "Messages answered by the front itself, by reason",
+            metrics.turned_away.clone(),
+        );
+        target.register("held", "Calls owed an answer", metrics.unanswered_calls.clone());
+        target.register("remembered_ids", "Webhook ids remembered", metrics.remembered_ids.clone());
         let help = "Source addresses whose budget of failed signatures is not whole";
-        r.register("guard_sources", help, m.guard_sources.clone());
+        target.register("guard_sources", help, metrics.guard_sources.clone());
         let help = "Pairs of source address and sender that signed of late";
-        r.register("guard_known", help, m.guard_known.clone());
+        target.register("guard_known", help, metrics.guard_known.clone());
         let help = "Messages whose signature failed, by the sender that they claimed";
-        r.register("failed_signatures", help, m.failed_signatures.clone());
+        target.register("failed_signatures", help, metrics.failed_signatures.clone());
         let help =
             "How far a sender's clock runs ahead of this one, by its signed messages of late, in seconds";
-        r.register("sender_clock_skew_seconds", help, m.clock_skew.clone());
+        target.register("sender_clock_skew_seconds", help, metrics.clock_skew.clone());
         let help = "By how much this machine's clock reads less than it has read, in seconds";
-        r.register("clock_behind_seconds", help, m.clock_behind.clone());
+        target.register("clock_behind_seconds", help, metrics.clock_behind.clone());
         let help = "How far this front end runs behind its own clock, in seconds; kept back of senders' time";
-        r.register("lag_seconds", help, m.lag.clone());
-        r.register("connections", "Connections of senders", m.connections.clone());
-        r.register("runners_ready", "Runners listed as ready", m.runners.clone());
-        r.register("list_version", "Version of the runner list", m.list_version.clone());
-        r.register(
+        target.register("lag_seconds", help, metrics.lag.clone());
+        target.register("connections", "Connections of senders", metrics.connections.clone());
+        target.register("runners_ready", "Runners listed as ready", metrics.runners.clone());
+        target.register("list_version", "Version of the runner list", metrics.list_version.clone());
+        target.register(
             "list_answered_timestamp_seconds",
             "Unix time of the list service's last answer; 0 before the first",
-            m.list_answered.clone(),
+            metrics.list_answered.clone(),
+        );
+        target.register(
+            "list_failures",
+            "Questions to the list service that failed",
+            metrics.list_failures.clone(),
         );
-        r.register("list_failures", "Questions to the list service that failed", m.list_failures.clone());
         let help = "How much the decision module remembers: workers, ready workers, cells, functions, planned and waiting ones";
-        r.register("module_remembered", help, m.remembered.clone());
-        r.register("batch_seconds", "Time that a batch of events took", m.batch_time.clone());
-        r.register(
+        target.register("module_remembered", help, metrics.module_records.clone());
+        target.register("batch_seconds", "Time that a batch of events took", metrics.batch_time.clone());
+        target.register(
             "budget_owned_units",
             "Units of a budget that this front end owns",
-            m.budget_owned.clone(),
+            metrics.budget_owned.clone(),
         );
-        r.register("budget_whole_units", "Units of a budget in all", m.budget_whole.clone());
+        target.register("budget_whole_units", "Units of a budget in all", metrics.budget_total.clone());
         let help = "Load orders held back because no unit was there";
-        r.register("budget_refused", help, m.budget_refused.clone());
+        target.register("budget_refused", help, metrics.budget_refused.clone());
         let help = "Front ends taken to be there, this one among them; 0 without budgets";
-        r.register("members_there", help, m.members_there.clone());
-        r.register("budget_keeper", "1 while this front end is keeper of the budgets", m.keeper.clone());
+        target.register("members_there", help, metrics.live_members.clone());
+        target.register(
+            "budget_keeper",
+            "1 while this front end is keeper of the budgets",
+            metrics.is_coordinator.clone(),
+        );
         let help = "Part of a zone's runners that this front end sends to; nothing where zones are not left";
-        r.register("zone_share", help, m.zone_share.clone());
-        r.register(
+        target.register("zone_share", help, metrics.zone_share.clone());
+        target.register(
             "zone_moves",
             "Changes of a zone's stage that this front end knows of",
-            m.zone_moves.clone(),
+            metrics.zone_moves.clone(),
         );
-        Metrics { registry, ..m }
+        Metrics { registry, ..metrics }
     }
 
-    pub(crate) fn answered(&self, class: &str, answer: &'static str, lag: Span) {
+    pub(crate) fn record_answer(&self, class: &str, answer: &'static str, lag: Span) {
         self.answers.get_or_create(&ByAnswer { class: class.to_owned(), answer }).inc();
         self.answer_time.observe(lag as f64 / 1e6);
     }
 
-    pub(crate) fn remembered(&self, figures: &Figures) {
-        let parts = [
+    pub(crate) fn set_module_records(&self, figures: &Figures) {
+        let records = [
             ("workers", figures.workers),
             ("ready_workers", figures.ready),
             ("cells", figures.cells),
@@ -187,20 +203,20 @@
             ("planned_functions", figures.planned),
             ("waiting_functions", figures.waiting),
         ];
-        for (part, count) in parts {
-            self.remembered.get_or_create(&ByPart { part }).set(count as i64);
+        for (part, count) in records {
+            self.module_records.get_or_create(&ByPart { part }).set(count as i64);
         }
     }
 
-    pub(crate) fn turned_away(&self, reason: &'static str) {
+    pub(crate) fn record_rejection(&self, reason: &'static str) {
         self.turned_away.get_or_create(&ByReason { reason }).inc();
     }
 
-    pub(crate) fn failed_signature(&self, sender: &str) {
+    pub(crate) fn record_invalid_signature(&self, sender: &str) {
         self.failed_signatures.get_or_create(&BySender { sender: sender.to_owned() }).inc();
     }
 
-    pub(crate) fn skew(&self, sender: &str, ahead: i64) {
+    pub(crate) fn set_clock_skew(&self, sender: &str, ahead: i64) {
         self.clock_skew.get_or_create(&BySender { sender: sender.to_owned() }).set(ahead);
     }
 
@@ -212,8 +228,8 @@
     }
 }
 
-/// The word for an outcome in figures and logs.
-pub(crate) fn word(outcome: Outcome) -> &'static str {
+/// The name of an outcome in metrics and logs.
+pub(crate) fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
@@ -227,16 +243,16 @@
     }
 }
 
-/// What `/health` says.
+/// Status and text of `/health`.
 pub(crate) type Health = Arc<dyn Fn() -> (u16, &'static str) + Send + Sync>;
 
-/// Connections served at once: this is for staff and one or two collectors.
-const MOST_CONNECTIONS: usize = 32;
+/// Most concurrent connections: the server is meant for operators and one or two collectors.
+const MAX_CONNECTIONS: usize = 32;
 
-/// What `/fleet` says.
+/// Body of `/fleet`, if the settings enable it.
 pub(crate) type FleetReport = Arc<dyn Fn() -> Option<serde_json::Value> + Send + Sync>;
 
-/// Serves `/metrics`, `/health`, `/config` and `/fleet` until the listener is dropped.
+/// Serves `/metrics`, `/health`, `/config` and `/fleet` until the task is dropped.
 pub(crate) async fn serve(
     listener: TcpListener,
     metrics: Arc<Metrics>,
@@ -245,9 +261,9 @@
     fleet: FleetReport,
 ) {
     let limits = Arc::new(Limits { body_bytes: 1024, ..Limits::default() });
-    let places = Arc::new(smol::lock::Semaphore::new(MOST_CONNECTIONS));
+    let permits = Arc::new(smol::lock::Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let place = places.acquire_arc().await;
+        let permit = permits.acquire_arc().await;
         let Ok((stream, _)) = listener.accept().await else {
             smol::Timer::after(crate::front::ACCEPT_PAUSE).await;
             continue;
@@ -255,17 +271,17 @@
         let (metrics, health, limits) = (metrics.clone(), health.clone(), limits.clone());
         let (config, fleet) = (config.clone(), fleet.clone());
         smol::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let mut conn = Conn::new(stream, limits);
             while let Ok(Some(head)) = conn.head().await {
                 let response = match head.path() {
                     "/metrics" => {
-                        let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-                        Response::new(200, kind, metrics.text().into_bytes())
+                        let content_type = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+                        Response::new(200, content_type, metrics.text().into_bytes())
                     }
                     "/health" => {
-                        let (status, word) = health();
-                        Response::new(status, "text/plain", word.as_bytes())
+                        let (status, text) = health();
+                        Response::new(status, "text/plain", text.as_bytes())
                     }
                     "/config" => {
                         let report = config.lock().unwrap_or_else(PoisonError::into_inner).clone();
--- a/crates/badgerwind-gateway/src/peers.rs
+++ b/crates/badgerwind-gateway/src/peers.rs
@@ -1,8 +1,8 @@
-//! Messages between front ends: one datagram each, authenticated, lost without harm.
+//! Messages between front ends: one authenticated datagram each. Lost datagrams do no harm.
 //!
-//! `number(4) counter(8) bytes(0..=256) tag(16)`, big-endian; the tag is HMAC-SHA256 over all before it, cut to 16
-//! bytes (RFC 2104 section 5). The counter only grows within a sender's life and starts at its wall clock, so a
-//! datagram that comes again is passed over.
+//! `number(4) counter(8) bytes(0..=256) tag(16)`, big-endian; the tag is HMAC-SHA256 over all preceding bytes, truncated
+//! to 16 bytes (RFC 2104 section 5). A sender's counter starts at its wall clock and only grows while the process runs, so
+//! a replayed datagram is dropped.
 
 use crate::dispatch::Input;
 use crate::shares::Shares;
@@ -18,6 +18,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Sends and receives the messages between front ends.
 pub(crate) struct Peers {
     pub socket: Async<UdpSocket>,
     pub key: Key,
@@ -26,41 +27,48 @@
     pub counter: AtomicU64,
 }
 
-const TAG: usize = 16;
-const MOST: usize = 256;
+/// Length of the authentication tag, in bytes.
+const TAG_BYTES: usize = 16;
+/// Largest message in a datagram, in bytes.
+const MAX_MESSAGE_BYTES: usize = 256;
 
-fn tag(key: &Key, message: &[u8]) -> Option<Hmac<Sha256>> {
+fn mac_of(key: &Key, message: &[u8]) -> Option<Hmac<Sha256>> {
     let Key::Shared(secret) = key else { return None };
     let mut mac = Hmac::<Sha256>::new_from_slice(secret).ok()?;
     mac.update(message);
     Some(mac)
 }
 
+/// Makes a datagram; `None` if the key is not a shared secret.
 pub(crate) fn seal(key: &Key, number: u32, counter: u64, bytes: &[u8]) -> Option<Vec<u8>> {
-    let mut out = [&number.to_be_bytes()[..], &counter.to_be_bytes(), bytes].concat();
-    let mac = tag(key, &out)?.finalize().into_bytes();
-    out.extend_from_slice(&mac[..TAG]);
-    Some(out)
+    let mut datagram = [&number.to_be_bytes()[..], &counter.to_be_bytes(), bytes].concat();
+    let mac = mac_of(key, &datagram)?.finalize().into_bytes();
+    datagram.extend_from_slice(&mac[..TAG_BYTES]);
+    Some(datagram)
 }
 
-/// The sender's number, its counter and the bytes; `None` for what is forged, cut or too long.
+/// Checks a datagram and returns the sender's number, its counter and the message; `None` if the tag is invalid or the
+/// length is wrong.
 pub(crate) fn open<'a>(key: &Key, datagram: &'a [u8]) -> Option<(u32, u64, &'a [u8])> {
-    let (message, sum) = datagram.split_at_checked(datagram.len().checked_sub(TAG)?)?;
-    tag(key, message)?.verify_truncated_left(sum).ok()?;
+    let (message, tag) = datagram.split_at_checked(datagram.len().checked_sub(TAG_BYTES)?)?;
+    mac_of(key, message)?.verify_truncated_left(tag).ok()?;
     let (number, rest) = message.split_first_chunk::<4>()?;
     let (counter, bytes) = rest.split_first_chunk::<8>()?;
-    (bytes.len() <= MOST).then(|| (u32::from_be_bytes(*number), u64::from_be_bytes(*counter), bytes))
+    (bytes.len() <= MAX_MESSAGE_BYTES)
+        .then(|| (u32::from_be_bytes(*number), u64::from_be_bytes(*counter), bytes))
 }
 
-/// How often, and how long apart, an address that is in use is tried again.
-const BINDS: (u32, Duration) = (20, Duration::from_millis(50));
+/// Attempts to bind an address that is in use.
+const BIND_ATTEMPTS: u32 = 20;
+/// Pause between those attempts.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Binds a socket for datagrams. Where a process that just died still held the address, or one that was being started had a
-/// copy of its descriptor for an instant, it is free a moment later.
+/// Binds a datagram socket. Retries while the address is in use: a process that has just ended may still hold it, and so
+/// may a process being spawned that has inherited a copy of the descriptor until it runs its program.
 pub(crate) fn bind(address: SocketAddr) -> std::io::Result<UdpSocket> {
-    for _ in 1..BINDS.0 {
+    for _ in 1..BIND_ATTEMPTS {
         match UdpSocket::bind(address) {
-            Err(e) if e.kind() == std::io::ErrorKind::AddrInUse => std::thread::sleep(BINDS.1),
+            Err(e) if e.kind() == std::io::ErrorKind::AddrInUse => std::thread::sleep(BIND_RETRY_DELAY),
             other => return other,
         }
     }
@@ -68,8 +76,8 @@
 }
 
 impl Peers {
-    /// Sends to one, or to all; what cannot be sent at once is lost, as datagrams are.
-    pub(crate) fn tell(&self, to: Option<u32>, bytes: &[u8]) {
+    /// Sends to one peer, or to all; a datagram that cannot be sent at once is dropped.
+    pub(crate) fn send(&self, to: Option<u32>, bytes: &[u8]) {
         for (_, address) in self.peers.iter().filter(|(n, _)| to.is_none_or(|to| to == *n)) {
             let counter = self.counter.fetch_add(1, Ordering::Relaxed);
             if let Some(datagram) = seal(&self.key, self.number, counter, bytes) {
@@ -78,7 +86,7 @@
         }
     }
 
-    /// Hands on what comes, for ever.
+    /// Receives messages and passes them to budgets, zones or the engine, for ever.
     pub(crate) async fn listen(
         &self,
         report: Sender<Input>,
@@ -97,10 +105,10 @@
             let fresh = newest.get(&from).is_none_or(|&last| counter > last);
             if known && fresh {
                 newest.insert(from, counter);
-                if shares.as_ref().is_some_and(|s| s.heard(from, bytes)) {
+                if shares.as_ref().is_some_and(|s| s.receive(from, bytes)) {
                     continue;
                 }
-                if zones.as_ref().is_some_and(|z| z.heard(from, bytes)) {
+                if zones.as_ref().is_some_and(|z| z.receive(from, bytes)) {
                     continue;
                 }
                 if report.send(Input::Message { from, bytes: bytes.to_vec() }).await.is_err() {
--- a/crates/badgerwind-gateway/src/platform/shell.rs
+++ b/crates/badgerwind-gateway/src/platform/shell.rs
@@ -5,7 +5,7 @@
 use super::executors::Executors;
 use crate::clock::Clock;
 use crate::engine::{Backend, InputOf, OutputOf};
-use crate::metrics::word;
+use crate::metrics::outcome_name;
 use async_channel::Sender;
 use badgerwind::interface::*;
 use badgerwind_driver::Output;
@@ -194,11 +194,11 @@
                 tracing::debug!(request = %r.id, class = r.class, function = %r.function, retry = r.retry, "taken");
             }
             Input::AttemptEnded { id, attempt, end } => {
-                let (outcome, mark, crowd) = (word(end.outcome), end.mark, end.crowd);
+                let (outcome, mark, crowd) = (outcome_name(end.outcome), end.mark, end.crowd);
                 tracing::debug!(request = %id, attempt, outcome, ?mark, crowd, "attempt ended");
             }
             Input::OrderEnded { order, outcome, copies } => {
-                tracing::debug!(order = order.0, outcome = word(*outcome), copies, "order ended");
+                tracing::debug!(order = order.0, outcome = outcome_name(*outcome), copies, "order ended");
             }
             _ => {}
         }
--- a/crates/badgerwind-gateway/src/runners.rs
+++ b/crates/badgerwind-gateway/src/runners.rs
@@ -1,4 +1,4 @@
-//! The runners: where each listens, and the calls, call-offs, orders and probes that go to them.
+//! The client of the runners: their endpoints, and the calls, cancellations, load orders and probes sent to them.
 
 use crate::dispatch::{Content, Input};
 use async_channel::{Receiver, Sender};
@@ -17,46 +17,49 @@
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 use std::time::Duration;
 
-/// A runner's answer.
+/// A runner's answer to a call.
 #[derive(Clone, Debug)]
 pub(crate) struct Reply {
     pub content_type: Option<String>,
     pub body: Arc<[u8]>,
-    /// A streamed answer goes on here; an empty piece ends it rightly, a close without one does not.
+    /// The remaining body of a streamed answer. An empty chunk marks the regular end; a close without one means that the
+    /// stream broke off.
     pub rest: Option<Receiver<Vec<u8>>>,
 }
 
+/// Sends requests to runners.
 pub(crate) struct Runners {
     settings: RwLock<Arc<Settings>>,
-    key: RwLock<Key>,
+    signing_key: RwLock<Key>,
     tls: RwLock<Option<ClientTls>>,
     clock: crate::clock::Clock,
-    places: Mutex<HashMap<WorkerId, Place>>,
+    endpoints: Mutex<HashMap<WorkerId, Endpoint>>,
 }
 
-/// Where a runner listens.
-struct Place {
+/// The endpoint of a runner.
+struct Endpoint {
     pool: Arc<Pool>,
-    /// It drains: nothing new begins there, however much of the grace is left. On a machine that runs late the news of the drain
-    /// may have waited for longer than anybody here can tell.
-    drains: bool,
+    /// The runner is draining: no new work is sent to it, even while its grace period lasts. On an overloaded machine the
+    /// notice of the drain may have been delayed for an unknown time.
+    draining: bool,
 }
 
-/// Pieces of a streamed answer that wait for a slow sender; beyond them its runner waits.
-const PIECES: usize = 16;
+/// Chunks of a streamed answer that are queued for a slow sender; beyond them backpressure stops the runner.
+const STREAM_QUEUE: usize = 16;
 
-/// What an attempt's task is told.
+/// Signals to the task of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Stop {
-    /// It is called off.
-    Off(CancelReason),
-    /// Nobody waits for it: it is not to begin.
+pub(crate) enum AttemptSignal {
+    /// Cancel the attempt.
+    Cancel(CancelReason),
+    /// Nobody waits for the answer: do not start the attempt.
     Withhold,
 }
 
+/// What came first, the result or a signal.
 enum Race<T> {
-    Ended(T),
-    Off(Stop),
+    Completed(T),
+    Signal(AttemptSignal),
 }
 
 impl Runners {
@@ -66,144 +69,153 @@
         tls: Option<ClientTls>,
         clock: crate::clock::Clock,
     ) -> Self {
-        let (settings, key, tls) = (RwLock::new(settings), RwLock::new(key), RwLock::new(tls));
-        Runners { settings, key, tls, clock, places: Mutex::default() }
+        let (settings, signing_key, tls) = (RwLock::new(settings), RwLock::new(key), RwLock::new(tls));
+        Runners { settings, signing_key, tls, clock, endpoints: Mutex::default() }
     }
 
-    /// Other settings, another key and other certificates from now on; calls already taken keep the settings that
-    /// they came under.
-    pub(crate) fn change(&self, settings: Arc<Settings>, key: Key, tls: Option<ClientTls>) {
-        let bounds = bounds(&settings);
-        let mut now = self.tls.write().unwrap_or_else(PoisonError::into_inner);
-        let under_tls = now.is_some() || tls.is_some();
-        for place in self.places().values() {
-            place.pool.set_bounds(bounds);
+    /// Replaces settings, key and certificates; calls already accepted keep the settings they were accepted under.
+    pub(crate) fn update(&self, settings: Arc<Settings>, key: Key, tls: Option<ClientTls>) {
+        let bounds = pool_bounds(&settings);
+        let mut current_tls = self.tls.write().unwrap_or_else(PoisonError::into_inner);
+        let under_tls = current_tls.is_some() || tls.is_some();
+        for endpoint in self.endpoints().values() {
+            endpoint.pool.set_bounds(bounds);
             if under_tls {
-                place.pool.set_tls(tls.clone());
+                endpoint.pool.set_tls(tls.clone());
             }
         }
-        *now = tls;
-        drop(now);
+        *current_tls = tls;
+        drop(current_tls);
         *self.settings.write().unwrap_or_else(PoisonError::into_inner) = settings;
-        *self.key.write().unwrap_or_else(PoisonError::into_inner) = key;
+        *self.signing_key.write().unwrap_or_else(PoisonError::into_inner) = key;
     }
 
     fn settings(&self) -> Arc<Settings> {
         self.settings.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn places(&self) -> std::sync::MutexGuard<'_, HashMap<WorkerId, Place>> {
-        self.places.lock().unwrap_or_else(PoisonError::into_inner)
+    fn endpoints(&self) -> std::sync::MutexGuard<'_, HashMap<WorkerId, Endpoint>> {
+        self.endpoints.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in where runners listen, and which of them leave. What is out at one that is gone keeps its connections.
-    pub(crate) fn listed(&self, list: &list::List) {
-        let bounds = bounds(&self.settings());
+    /// Applies a list: endpoints, draining and removed runners. Attempts at a removed runner keep their connections.
+    pub(crate) fn apply_list(&self, list: &list::List) {
+        let bounds = pool_bounds(&self.settings());
         let tls = self.tls.read().unwrap_or_else(PoisonError::into_inner);
-        let mut places = self.places();
+        let mut endpoints = self.endpoints();
         if list.whole {
-            let named: HashSet<WorkerId> = list.runners.iter().map(|r| r.id).collect();
-            places.retain(|id, _| named.contains(id));
+            let listed_ids: HashSet<WorkerId> = list.runners.iter().map(|r| r.id).collect();
+            endpoints.retain(|id, _| listed_ids.contains(id));
         }
-        for r in &list.runners {
-            if r.state == list::State::Gone {
-                places.remove(&r.id);
+        for runner in &list.runners {
+            if runner.state == list::State::Gone {
+                endpoints.remove(&runner.id);
                 continue;
             }
-            let known = places.remove(&r.id).filter(|p| p.pool.address() == r.address);
-            let mut place = known.unwrap_or_else(|| {
-                let pool = Pool::new(r.address, bounds);
+            let existing = endpoints.remove(&runner.id).filter(|p| p.pool.address() == runner.address);
+            let mut endpoint = existing.unwrap_or_else(|| {
+                let pool = Pool::new(runner.address, bounds);
                 pool.set_tls(tls.clone());
-                Place { pool: Arc::new(pool), drains: false }
+                Endpoint { pool: Arc::new(pool), draining: false }
             });
-            place.drains = r.state != list::State::Ready;
-            places.insert(r.id, place);
+            endpoint.draining = runner.state != list::State::Ready;
+            endpoints.insert(runner.id, endpoint);
         }
     }
 
     fn pool(&self, worker: WorkerId) -> Option<Arc<Pool>> {
-        self.places().get(&worker).map(|p| p.pool.clone())
+        self.endpoints().get(&worker).map(|p| p.pool.clone())
     }
 
-    /// Whether new work may begin at a runner over a connection of this pool. Asked when the first byte can go: while a
-    /// connection came up, the runner may have begun to drain, gone, or moved.
-    fn may_begin(&self, worker: WorkerId, pool: &Arc<Pool>) -> bool {
-        self.places().get(&worker).is_some_and(|p| !p.drains && Arc::ptr_eq(&p.pool, pool))
+    /// Whether new work may start at a runner over a connection of this pool. Checked when the first byte can be sent:
+    /// while the connection was established, the runner may have started to drain, been removed, or changed its address.
+    fn may_start(&self, worker: WorkerId, pool: &Arc<Pool>) -> bool {
+        self.endpoints().get(&worker).is_some_and(|p| !p.draining && Arc::ptr_eq(&p.pool, pool))
     }
 
+    /// Closes the idle connections to a runner.
     pub(crate) fn close_idle(&self, worker: WorkerId) {
         if let Some(pool) = self.pool(worker) {
             pool.close_idle();
         }
     }
 
-    fn call(&self, id: &RequestId, attempt: u32, content: &Content) -> Exchange {
-        let s = &content.settings;
-        let f = &s.functions[content.function];
-        let key = self.key.read().unwrap_or_else(PoisonError::into_inner).clone();
+    /// The request of an attempt, signed and with the call's headers.
+    fn call_request(&self, id: &RequestId, attempt: u32, content: &Content) -> Exchange {
+        let settings = &content.settings;
+        let function = &settings.functions[content.function];
+        let key = self.signing_key.read().unwrap_or_else(PoisonError::into_inner).clone();
         let keys = std::slice::from_ref(&key);
         let signed = sign(keys, &content.key, crate::clock::unix_seconds(), &content.body);
-        let left = content.due.saturating_sub(self.clock.now()) / 1000;
-        let fence = Fence { taken: content.taken, front: s.router.my_number, attempt };
+        let time_left = content.due.saturating_sub(self.clock.now()) / 1000;
+        let fence = Fence { taken: content.accepted_at, front: settings.router.my_number, attempt };
         let mut headers = vec![
             (badgerwind_webhook::ID, signed.id),
             (badgerwind_webhook::TIMESTAMP, signed.timestamp.to_string()),
             (badgerwind_webhook::SIGNATURE, signed.signature),
             (runner::ATTEMPT, format!("{id}/{attempt}")),
-            (runner::FRONT, s.router.my_number.to_string()),
+            (runner::FRONT, settings.router.my_number.to_string()),
             (runner::FENCE, fence.to_text()),
             ("traceparent", content.trace.child(fence.taken.wrapping_mul(64) + u64::from(attempt))),
-            (runner::CLASS, s.classes[content.class].clone()),
-            (runner::TENANT, s.tenants[content.tenant].clone()),
-            (runner::MEMORY, f.memory_mb.to_string()),
-            (runner::LANES, f.lanes.to_string()),
-            (runner::TIME_LEFT, left.to_string()),
+            (runner::CLASS, settings.classes[content.class].clone()),
+            (runner::TENANT, settings.tenants[content.tenant].clone()),
+            (runner::MEMORY, function.memory_mb.to_string()),
+            (runner::LANES, function.lanes.to_string()),
+            (runner::TIME_LEFT, time_left.to_string()),
         ];
         headers.extend(content.content_type.clone().map(|t| ("content-type", t)));
-        Exchange { method: "POST", target: runner::call_path(&f.name), headers, body: content.body.clone() }
+        Exchange {
+            method: "POST",
+            target: runner::call_path(&function.name),
+            headers,
+            body: content.body.clone(),
+        }
     }
 
-    /// One attempt, to its end. Called off, it asks the runner to stop and gives its connection up once that is
-    /// confirmed; an answer that comes first counts.
+    /// Runs one attempt to its end. When cancelled it asks the runner to stop, and drops its connection once the runner
+    /// has confirmed; an answer that arrives first counts.
     pub(crate) async fn attempt(
         &self,
         id: &RequestId,
         attempt: u32,
         worker: WorkerId,
         content: &Content,
-        called_off: Receiver<Stop>,
+        signals: Receiver<AttemptSignal>,
         report: &Sender<Input>,
     ) -> AttemptEnd<Reply> {
         let Some(pool) = self.pool(worker) else { return AttemptEnd::from_outcome(Outcome::ConnectFailed) };
-        let told = || async {
-            match called_off.recv().await {
-                Ok(stop) => stop,
+        let next_signal = || async {
+            match signals.recv().await {
+                Ok(signal) => signal,
                 Err(_) => futures_lite::future::pending().await,
             }
         };
-        // Until the connection is up nothing has begun, and nothing has to be stopped at the runner.
-        let way = match async { Race::Off(told().await) }.or(async { Race::Ended(pool.way().await) }).await {
-            Race::Ended(Ok(way)) => way,
-            Race::Ended(Err(e)) => return failed(&e),
-            Race::Off(Stop::Withhold) => return AttemptEnd::from_outcome(Outcome::Moot),
-            Race::Off(Stop::Off(CancelReason::Cancelled)) => {
+        // Until the connection is established nothing has started, and nothing has to be stopped at the runner.
+        let connection = match async { Race::Signal(next_signal().await) }
+            .or(async { Race::Completed(pool.way().await) })
+            .await
+        {
+            Race::Completed(Ok(connection)) => connection,
+            Race::Completed(Err(e)) => return end_of_error(&e),
+            Race::Signal(AttemptSignal::Withhold) => return AttemptEnd::from_outcome(Outcome::Moot),
+            Race::Signal(AttemptSignal::Cancel(CancelReason::Cancelled)) => {
                 return AttemptEnd::from_outcome(Outcome::Cancelled)
             }
-            Race::Off(Stop::Off(CancelReason::TimedOut)) => {
+            Race::Signal(AttemptSignal::Cancel(CancelReason::TimedOut)) => {
                 return AttemptEnd::from_outcome(Outcome::ConnectFailed)
             }
         };
-        if !self.may_begin(worker, &pool) {
+        if !self.may_start(worker, &pool) {
             return AttemptEnd::from_outcome(Outcome::Moot);
         }
-        let request = self.call(id, attempt, content);
+        let request = self.call_request(id, attempt, content);
         let streaming = content.settings.router.classes[content.class].streaming;
         let mut call = Box::pin(async {
-            let mut answer = match way.send(&request).await {
+            let mut answer = match connection.send(&request).await {
                 Ok(answer) => answer,
-                Err(e) => return failed(&e),
+                Err(e) => return end_of_error(&e),
             };
-            if streaming && judged(&answer.head) == Outcome::Ok {
+            if streaming && outcome_of(&answer.head) == Outcome::Ok {
                 return self.stream(id, attempt, answer, report).await;
             }
             let mut body = Vec::new();
@@ -211,19 +223,22 @@
                 match answer.piece(&mut body).await {
                     Ok(true) => {}
                     Ok(false) => break,
-                    Err(e) => return failed(&e),
+                    Err(e) => return end_of_error(&e),
                 }
             }
-            ended(&answer.finish(), body)
+            end_of_answer(&answer.finish(), body)
         });
-        let why = loop {
-            match async { Race::Ended((&mut call).await) }.or(async { Race::Off(told().await) }).await {
-                Race::Ended(end) => return end,
-                Race::Off(Stop::Withhold) => {} // it has begun
-                Race::Off(Stop::Off(why)) => break why,
+        let reason = loop {
+            match async { Race::Completed((&mut call).await) }
+                .or(async { Race::Signal(next_signal().await) })
+                .await
+            {
+                Race::Completed(end) => return end,
+                Race::Signal(AttemptSignal::Withhold) => {} // it has started
+                Race::Signal(AttemptSignal::Cancel(reason)) => break reason,
             }
         };
-        let outcome = match why {
+        let outcome = match reason {
             CancelReason::Cancelled => Outcome::Cancelled,
             CancelReason::TimedOut => Outcome::Timeout,
         };
@@ -233,21 +248,22 @@
             headers: vec![(runner::FRONT, content.settings.router.my_number.to_string())],
             body: Arc::from(&b""[..]),
         };
-        let bound = Duration::from_micros(content.settings.runners.cancel_timeout);
+        let cancel_timeout = Duration::from_micros(content.settings.runners.cancel_timeout);
         let stopped = async {
-            let late = async {
-                Timer::after(bound).await;
+            let timeout = async {
+                Timer::after(cancel_timeout).await;
             };
-            async { _ = pool.exchange(&stop).await }.or(late).await;
+            async { _ = pool.exchange(&stop).await }.or(timeout).await;
             None
         };
         match async { Some((&mut call).await) }.or(stopped).await {
-            // A runner that stops work answers the call so.
+            // A runner that stops the work ends the call with an error.
             Some(end) if end.outcome != Outcome::Error => end,
             _ => AttemptEnd::from_outcome(outcome),
         }
     }
 
+    /// Forwards a streamed answer until it ends.
     async fn stream(
         &self,
         id: &RequestId,
@@ -255,34 +271,35 @@
         mut answer: Answer<'_>,
         report: &Sender<Input>,
     ) -> AttemptEnd<Reply> {
-        let (pieces, rest) = async_channel::bounded(PIECES);
+        let (chunks, rest) = async_channel::bounded(STREAM_QUEUE);
         let content_type = answer.head.headers.get("content-type").map(str::to_owned);
         let reply = Reply { content_type, body: Arc::from(&b""[..]), rest: Some(rest) };
         let _ = report.send(Input::StreamBegan { id: id.clone(), attempt, reply }).await;
         loop {
-            let mut piece = Vec::new();
-            match answer.piece(&mut piece).await {
-                Ok(true) if pieces.send(piece).await.is_ok() => {}
-                Ok(true) => return AttemptEnd::from_outcome(Outcome::Cancelled), // the sender has left
+            let mut chunk = Vec::new();
+            match answer.piece(&mut chunk).await {
+                Ok(true) if chunks.send(chunk).await.is_ok() => {}
+                Ok(true) => return AttemptEnd::from_outcome(Outcome::Cancelled), // the sender has disconnected
                 Ok(false) => {
-                    let _ = pieces.send(Vec::new()).await;
-                    return ended(&answer.finish(), Vec::new());
+                    let _ = chunks.send(Vec::new()).await;
+                    return end_of_answer(&answer.finish(), Vec::new());
                 }
-                Err(e) => return failed(&e),
+                Err(e) => return end_of_error(&e),
             }
         }
     }
 
-    fn parameters(&self, function: &str, copies: u32) -> Arc<[u8]> {
+    /// The body of a load order.
+    fn load_parameters(&self, function: &str, copies: u32) -> Arc<[u8]> {
         let settings = self.settings();
         let f = settings.functions.iter().find(|f| f.name == function);
         let (memory_mb, lanes) = f.map_or((0.0, 1), |f| (f.memory_mb, f.lanes));
         let order = LoadOrder { parameters: LoadParameters { copies, memory_mb, lanes } };
-        // A plain record of numbers always becomes JSON.
+        // Serializing a struct of numbers cannot fail.
         serde_json::to_vec(&order).unwrap_or_default().into()
     }
 
-    fn post(&self, target: String, body: Arc<[u8]>) -> Exchange {
+    fn post_request(&self, target: String, body: Arc<[u8]>) -> Exchange {
         let headers = vec![
             ("content-type", "application/json".to_owned()),
             (runner::FRONT, self.settings().router.my_number.to_string()),
@@ -290,41 +307,43 @@
         Exchange { method: "POST", target, headers, body }
     }
 
-    /// A load order, to its end; its time-out is the caller's.
+    /// Runs a load order to its end and returns the number of copies loaded; the caller applies the timeout.
     pub(crate) async fn order(&self, worker: WorkerId, function: &str, copies: u32) -> (Outcome, u32) {
         let Some(pool) = self.pool(worker) else { return (Outcome::ConnectFailed, 0) };
-        let request = self.post(runner::load_path(function), self.parameters(function, copies));
-        let ordered = async {
-            let way = pool.way().await?;
-            if copies > 0 && !self.may_begin(worker, &pool) {
+        let request = self.post_request(runner::load_path(function), self.load_parameters(function, copies));
+        let response = async {
+            let connection = pool.way().await?;
+            if copies > 0 && !self.may_start(worker, &pool) {
                 return Ok(None);
             }
-            way.send(&request).await?.whole().await.map(Some)
+            connection.send(&request).await?.whole().await.map(Some)
         };
-        match ordered.await {
-            Err(e) => (failed(&e).outcome, 0),
+        match response.await {
+            Err(e) => (end_of_error(&e).outcome, 0),
             Ok(None) => (Outcome::Full, 0),
             Ok(Some((head, body))) => {
-                let stand = serde_json::from_slice(&body).map_or(0, |a: LoadAnswer| a.copies);
+                let loaded = serde_json::from_slice(&body).map_or(0, |a: LoadAnswer| a.copies);
                 let outcome = match head.status {
                     200..=299 => Outcome::Ok,
                     503 => Outcome::Full,
                     _ => Outcome::Error,
                 };
-                (outcome, stand)
+                (outcome, loaded)
             }
         }
     }
 
+    /// Drops all copies of a function at a runner.
     pub(crate) async fn unload(&self, worker: WorkerId, function: &str) {
         let Some(pool) = self.pool(worker) else { return };
-        let request = self.post(runner::unload_path(function), Arc::from(&b"{}"[..]));
-        let late = async {
+        let request = self.post_request(runner::unload_path(function), Arc::from(&b"{}"[..]));
+        let timeout = async {
             Timer::after(Duration::from_micros(self.settings().router.order_timeout)).await;
         };
-        async { _ = pool.exchange(&request).await }.or(late).await;
+        async { _ = pool.exchange(&request).await }.or(timeout).await;
     }
 
+    /// Probes a runner for readiness; returns its load report if it sent one.
     pub(crate) async fn probe(&self, worker: WorkerId) -> (Outcome, Option<Vec<f64>>) {
         let Some(pool) = self.pool(worker) else { return (Outcome::ConnectFailed, None) };
         let request = Exchange {
@@ -333,7 +352,7 @@
             headers: vec![],
             body: Arc::from(&b""[..]),
         };
-        let late = async {
+        let timeout = async {
             Timer::after(Duration::from_micros(self.settings().runners.probe_timeout)).await;
             (Outcome::Timeout, None)
         };
@@ -343,24 +362,25 @@
                     let outcome = if head.status == 200 { Outcome::Ok } else { Outcome::Full };
                     (outcome, runner::report(head.headers.get(runner::REPORT)))
                 }
-                Err(e) => (failed(&e).outcome, None),
+                Err(e) => (end_of_error(&e).outcome, None),
             }
         };
-        probe.or(late).await
+        probe.or(timeout).await
     }
 }
 
-fn bounds(settings: &Settings) -> PoolBounds {
-    let s = &settings.runners;
+fn pool_bounds(settings: &Settings) -> PoolBounds {
+    let runners = &settings.runners;
     PoolBounds {
-        most: s.max_connections,
-        connect_time: s.connect_timeout,
-        idle_time: s.idle_timeout,
-        body_bytes: s.max_answer_bytes,
+        most: runners.max_connections,
+        connect_time: runners.connect_timeout,
+        idle_time: runners.idle_timeout,
+        body_bytes: runners.max_answer_bytes,
     }
 }
 
-fn failed(e: &ExchangeError) -> AttemptEnd<Reply> {
+/// The end of an attempt without an answer.
+fn end_of_error(e: &ExchangeError) -> AttemptEnd<Reply> {
     AttemptEnd::from_outcome(match e {
         ExchangeError::Connect(_) => Outcome::ConnectFailed,
         ExchangeError::Reset(_) => Outcome::Reset,
@@ -368,14 +388,15 @@
     })
 }
 
-fn judged(head: &ResponseHead) -> Outcome {
+fn outcome_of(head: &ResponseHead) -> Outcome {
     runner::outcome(head.status, head.headers.get(runner::OUTCOME))
 }
 
-fn ended(head: &ResponseHead, body: Vec<u8>) -> AttemptEnd<Reply> {
+/// The end of an attempt with an answer.
+fn end_of_answer(head: &ResponseHead, body: Vec<u8>) -> AttemptEnd<Reply> {
     let content_type = head.headers.get("content-type").map(str::to_owned);
     AttemptEnd {
-        outcome: judged(head),
+        outcome: outcome_of(head),
         mark: runner::mark(head.headers.get(runner::COPY)),
         crowd: head.headers.get(runner::CROWD).and_then(|c| c.parse().ok()),
         report: runner::report(head.headers.get(runner::REPORT)),
--- a/crates/badgerwind-gateway/src/secrets.rs
+++ b/crates/badgerwind-gateway/src/secrets.rs
@@ -1,4 +1,5 @@
-//! Keys from their files. A file that others can read is refused; no error holds any of a key's bytes.
+//! Loads keys and certificates from files. A key file that other users can read is rejected; errors never contain key
+//! material.
 
 use badgerwind_http::{ClientTls, Identity, ServerTls, TlsError};
 use badgerwind_settings::{Problem, Settings};
@@ -9,46 +10,46 @@
 /// All keys and certificates that the settings name.
 #[derive(Clone, Debug)]
 pub struct Secrets {
-    /// The live keys of each sender, by its place.
+    /// The valid keys of each sender, by the sender's index.
     pub rings: Vec<KeyRing>,
-    /// What signs callbacks, by sender's and callback's place.
+    /// The keys that sign callbacks, by the sender's and the callback's index.
     pub callbacks: Vec<Vec<Key>>,
-    /// What signs calls to runners.
+    /// The key that signs calls to runners.
     pub runners: Key,
-    /// What front ends share.
+    /// The secret that the front ends share.
     pub peers: Option<Key>,
-    /// How senders are met, where under TLS.
+    /// TLS towards senders, if configured.
     pub senders_tls: Option<ServerTls>,
-    /// How runners are met, where under TLS.
+    /// TLS towards runners, if configured.
     pub runners_tls: Option<ClientTls>,
 }
 
-/// A key file is one short line.
-const MOST_BYTES: u64 = 4096;
+/// Largest key file, in bytes; it holds one short line.
+const MAX_KEY_BYTES: u64 = 4096;
 
-/// The most bytes of a file in PEM: a chain, or some authorities.
-const MOST_PEM: u64 = 1 << 20;
+/// Largest PEM file, in bytes: a certificate chain or a few authorities.
+const MAX_PEM_BYTES: u64 = 1 << 20;
 
-/// What is wrong, and what would be right.
-type Wrong = (String, String);
+/// What is wrong with a file, and how to correct it.
+type FileProblem = (String, String);
 
-/// Refuses a file that others can read.
-fn private(path: &Path, meta: &std::fs::Metadata) -> Result<(), Wrong> {
+/// Rejects a file that other users can read.
+fn check_private(path: &Path, meta: &std::fs::Metadata) -> Result<(), FileProblem> {
     let shown = path.display();
     #[cfg(unix)]
     {
         use std::os::unix::fs::PermissionsExt;
         let mode = meta.permissions().mode() & 0o777;
         if mode & 0o077 != 0 {
-            let what = format!("the key file {shown} is open to others (mode {mode:03o})");
-            return Err((what, format!("chmod 600 {shown}")));
+            let message = format!("the key file {shown} is open to others (mode {mode:03o})");
+            return Err((message, format!("chmod 600 {shown}")));
         }
     }
     Ok(())
 }
 
-/// Reads one key file; the error says what is wrong and what would be right.
-pub fn read_key(path: &Path) -> Result<Key, Wrong> {
+/// Reads one key file; the error says what is wrong and how to correct it.
+pub fn read_key(path: &Path) -> Result<Key, FileProblem> {
     let shown = path.display();
     let meta = std::fs::metadata(path).map_err(|e| {
         (
@@ -56,8 +57,8 @@
             "write one with: badgerwind keys new".to_owned(),
         )
     })?;
-    private(path, &meta)?;
-    if meta.len() > MOST_BYTES {
+    check_private(path, &meta)?;
+    if meta.len() > MAX_KEY_BYTES {
         return Err((format!("the key file {shown} holds {} bytes", meta.len()), "it holds one key".into()));
     }
     let text = std::fs::read_to_string(path).map(Zeroizing::new).map_err(|e| {
@@ -66,68 +67,69 @@
     Key::parse(&text).map_err(|e| (format!("the key file {shown} holds no key"), e.to_string()))
 }
 
-/// Reads a file in PEM; a private key's may be its owner's alone to read.
-fn read_pem(path: &Path, secret: bool) -> Result<Zeroizing<Vec<u8>>, Wrong> {
+/// Reads a PEM file; a private key's must not be readable by other users.
+fn read_pem(path: &Path, secret: bool) -> Result<Zeroizing<Vec<u8>>, FileProblem> {
     let shown = path.display();
-    let unread =
+    let unreadable =
         |e: std::io::Error| (format!("{shown} cannot be read: {e}"), "name a file in PEM form".to_owned());
-    let meta = std::fs::metadata(path).map_err(unread)?;
+    let meta = std::fs::metadata(path).map_err(unreadable)?;
     if secret {
-        private(path, &meta)?;
+        check_private(path, &meta)?;
     }
-    if meta.len() > MOST_PEM {
-        return Err((format!("{shown} holds {} bytes", meta.len()), format!("at most {MOST_PEM}")));
+    if meta.len() > MAX_PEM_BYTES {
+        return Err((format!("{shown} holds {} bytes", meta.len()), format!("at most {MAX_PEM_BYTES}")));
     }
-    std::fs::read(path).map(Zeroizing::new).map_err(unread)
+    std::fs::read(path).map(Zeroizing::new).map_err(unreadable)
 }
 
-fn unfit(e: TlsError) -> Wrong {
-    (format!("TLS cannot be set up: {e}"), "certificates and keys in PEM form that fit together".into())
+fn tls_problem(e: TlsError) -> FileProblem {
+    (
+        format!("TLS cannot be set up: {e}"),
+        "use PEM files in which certificate and key belong together".into(),
+    )
 }
 
-/// How senders are met.
-fn senders_tls(folder: &Path, t: &badgerwind_settings::Tls) -> Result<ServerTls, Wrong> {
+/// Loads the TLS configuration towards senders.
+fn senders_tls(folder: &Path, tls: &badgerwind_settings::Tls) -> Result<ServerTls, FileProblem> {
     let (chain, key) =
-        (read_pem(&folder.join(&t.certificate), false)?, read_pem(&folder.join(&t.key_file), true)?);
-    let clients = t.client_authorities.as_ref().map(|c| read_pem(&folder.join(c), false)).transpose()?;
+        (read_pem(&folder.join(&tls.certificate), false)?, read_pem(&folder.join(&tls.key_file), true)?);
+    let clients = tls.client_authorities.as_ref().map(|c| read_pem(&folder.join(c), false)).transpose()?;
     let identity = Identity { chain: &chain, key: &key };
-    ServerTls::new(identity, clients.as_ref().map(|c| &c[..])).map_err(unfit)
+    ServerTls::new(identity, clients.as_ref().map(|c| &c[..])).map_err(tls_problem)
 }
 
-/// How runners are met.
-fn runners_tls(folder: &Path, t: &badgerwind_settings::RunnerTls) -> Result<ClientTls, Wrong> {
-    let authority = read_pem(&folder.join(&t.authority), false)?;
-    let own = match &t.identity {
+/// Loads the TLS configuration towards runners.
+fn runners_tls(folder: &Path, tls: &badgerwind_settings::RunnerTls) -> Result<ClientTls, FileProblem> {
+    let authority = read_pem(&folder.join(&tls.authority), false)?;
+    let own = match &tls.identity {
         Some((chain, key)) => {
             Some((read_pem(&folder.join(chain), false)?, read_pem(&folder.join(key), true)?))
         }
         None => None,
     };
     let identity = own.as_ref().map(|(chain, key)| Identity { chain, key });
-    ClientTls::new(&authority, &t.server_name, identity).map_err(unfit)
+    ClientTls::new(&authority, &tls.server_name, identity).map_err(tls_problem)
 }
 
-/// Reads all keys; relative files are from `folder`. All problems are returned together.
+/// Loads all keys and certificates; relative paths are relative to `folder`. All problems are returned together.
 pub fn load(file: &str, folder: &Path, settings: &Settings) -> Result<Secrets, Vec<Problem>> {
     let mut problems = Vec::new();
-    let mut tls = Vec::new();
-    let mut none = |line: usize, (what, right): Wrong| {
-        tls.push(Problem { file: file.into(), line, element: "tls".into(), message: what, remedy: right });
+    let mut tls_problems = Vec::new();
+    let mut report = |line: usize, (message, remedy): FileProblem| {
+        tls_problems.push(Problem { file: file.into(), line, element: "tls".into(), message, remedy });
     };
-    let (own, theirs) = (&settings.webhook.tls, &settings.runners.tls);
-    let senders_tls = own.as_ref().and_then(|t| senders_tls(folder, t).map_err(|w| none(t.line, w)).ok());
-    let runners_tls = theirs.as_ref().and_then(|t| runners_tls(folder, t).map_err(|w| none(t.line, w)).ok());
-    problems.append(&mut tls);
+    let (webhook_tls, runner_tls) = (&settings.webhook.tls, &settings.runners.tls);
+    let senders_tls = webhook_tls
+        .as_ref()
+        .and_then(|t| senders_tls(folder, t).map_err(|problem| report(t.line, problem)).ok());
+    let runners_tls = runner_tls
+        .as_ref()
+        .and_then(|t| runners_tls(folder, t).map_err(|problem| report(t.line, problem)).ok());
+    problems.append(&mut tls_problems);
     let mut key = |element: &str, line: usize, path: &Path| {
         let read = read_key(&folder.join(path));
-        read.map_err(|(what, right)| {
-            problems.push(Problem {
-                file: file.into(),
-                line,
-                element: element.into(),
-                message: what,
-                remedy: right,
-            });
+        read.map_err(|(message, remedy)| {
+            problems.push(Problem { file: file.into(), line, element: element.into(), message, remedy });
         })
         .ok()
     };
@@ -148,15 +150,9 @@
     let peers = settings.peers.as_ref().map(|p| key("peers", p.line, &p.key_file));
     if let Some(Some(Key::Public(_) | Key::Private(_))) = &peers {
         let line = settings.peers.as_ref().map_or(0, |p| p.line);
-        let what = "key-file holds an ed25519 key".to_owned();
-        let right = "front ends share a whsec_ secret".to_owned();
-        problems.push(Problem {
-            file: file.into(),
-            line,
-            element: "peers".into(),
-            message: what,
-            remedy: right,
-        });
+        let message = "key-file holds an ed25519 key".to_owned();
+        let remedy = "front ends share a whsec_ secret".to_owned();
+        problems.push(Problem { file: file.into(), line, element: "peers".into(), message, remedy });
     }
     match runners {
         Some(runners) if problems.is_empty() => {
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -1,12 +1,12 @@
-//! The daemon put together: listeners, engine, clients, and an orderly stop.
+//! Starts the daemon's listeners, engine and clients, reloads its settings and shuts it down.
 
 use crate::answers_due::AnswersDue;
 use crate::clock::Clock;
-use crate::control::{Follower, Following};
+use crate::control::{FollowOptions, Follower};
 use crate::dispatch::Dispatch;
 use crate::engine::{Control, Engine, EngineEnd, Terms};
-use crate::front::{bounds, guard_bounds, Counts, Front, Rules};
-use crate::list::Lister;
+use crate::front::{guard_limits, replay_bounds, AnswerCounts, Front, FrontConfig};
+use crate::list::ListClient;
 use crate::metrics::{self, Metrics};
 use crate::peers::Peers;
 use crate::runners::Runners;
@@ -32,38 +32,38 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::{Duration, Instant};
 
-/// Changes a list before it is told; for tests that blind a front end to something.
+/// Modifies a list before it is applied; lets tests hide parts of it from a front end.
 pub type ListFilter = fn(&mut List);
 
-/// What a daemon is started with.
+/// The configuration of a daemon.
 pub struct Options {
-    /// Its settings.
+    /// The settings.
     pub settings: Arc<Settings>,
-    /// Its keys.
+    /// The keys and certificates.
     pub secrets: Secrets,
-    /// The folder from which relative files count.
+    /// The directory to which relative paths are relative.
     pub folder: PathBuf,
-    /// `None` in service.
+    /// For tests only: modifies lists before they are applied.
     pub list_filter: Option<ListFilter>,
-    /// The control service to follow, where the settings name one.
-    pub following: Option<Following>,
-    /// In place of the module; `None` in service.
+    /// How to follow the control service, if the settings name one.
+    pub follow: Option<FollowOptions>,
+    /// For tests only: replaces the decision module.
     pub decider: Option<Box<dyn Decider + Send>>,
 }
 
 impl Options {
-    /// As in service.
+    /// Options for production: without any of those for tests.
     pub fn new(settings: Arc<Settings>, secrets: Secrets, folder: PathBuf) -> Self {
-        Options { settings, secrets, folder, list_filter: None, following: None, decider: None }
+        Options { settings, secrets, folder, list_filter: None, follow: None, decider: None }
     }
 }
 
-/// Reads the settings anew.
-pub type Reread = Box<dyn Fn() -> Result<Settings, Vec<Problem>> + Send + Sync>;
+/// Reads the settings again.
+pub type SettingsReader = Box<dyn Fn() -> Result<Settings, Vec<Problem>> + Send + Sync>;
 
-/// The settings that run, with what names keys from others. Calls know their sender by its place, so the senders
-/// must be the same in the same order.
-fn take_over(running: &Settings, from: Settings) -> Result<Settings, Vec<Problem>> {
+/// The running settings, with the reloadable parts from another version. Calls refer to their sender by its index, so
+/// the senders must be the same in the same order.
+fn merge_reloadable(running: &Settings, from: Settings) -> Result<Settings, Vec<Problem>> {
     let names =
         |s: &Settings| s.webhook.senders.iter().map(|s| (s.name.clone(), s.tenant)).collect::<Vec<_>>();
     if names(running) != names(&from) {
@@ -71,14 +71,14 @@
             file: "settings".into(),
             line: 1,
             element: "webhook".into(),
-            message: "other senders than those that run".into(),
-            remedy: "restart, or offer them as a version of the routes; keys are then read again".into(),
+            message: "the senders differ from those of the running settings".into(),
+            remedy: "restart, or publish them as a version of the routes; keys are then read again".into(),
         }]);
     }
     let mut settings = running.clone();
     settings.webhook.senders = from.webhook.senders;
     settings.webhook.guard = from.webhook.guard;
-    // TLS begins or ends with a restart: it would cut off whoever has not heard.
+    // TLS is only turned on or off by a restart: a reload would cut off clients that have not been reconfigured.
     if settings.webhook.tls.is_some() && from.webhook.tls.is_some() {
         settings.webhook.tls = from.webhook.tls;
     }
@@ -86,45 +86,46 @@
         settings.runners.tls = from.runners.tls;
     }
     (settings.runners.key_file, settings.runners.line) = (from.runners.key_file, from.runners.line);
-    // Budgets begin or end with a restart; while they run, their limits may change.
+    // Budgets are only turned on or off by a restart; their limits may be reloaded.
     if settings.budgets.is_some() && from.budgets.is_some() {
         settings.budgets = from.budgets;
     }
-    // Of zones only an operator's words; they are by place, so the zones must be the same.
-    if let (Some(own), Some(theirs)) = (&mut settings.leaving, from.leaving) {
+    // Only the operator's directives are reloaded. They refer to zones by index, so the zones must be the same.
+    if let (Some(current), Some(new)) = (&mut settings.leaving, from.leaving) {
         if settings.zones == from.zones {
-            own.directives = theirs.directives;
+            current.directives = new.directives;
         }
     }
     Ok(settings)
 }
 
-/// Budgets that cannot follow those that run.
-fn unfit(budgets: &badgerwind_settings::Budgets, e: &badgerwind_budgets::SettingsError) -> Problem {
+/// The problem of budgets that cannot replace the current ones.
+fn budgets_problem(budgets: &badgerwind_settings::Budgets, e: &badgerwind_budgets::SettingsError) -> Problem {
     Problem {
         file: "settings".into(),
         line: budgets.line,
         element: "budgets".into(),
         message: e.to_string(),
-        remedy: "count version up and change units alone; for all else restart the front ends".into(),
+        remedy: "increase version and change only units; all other changes need a restart of the front ends"
+            .into(),
     }
 }
 
 /// Why a daemon could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// An address could not be listened on.
+    /// A listener could not be bound.
     #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// The address.
+        /// Its address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// The settings do not hold together.
+    /// The settings are invalid.
     #[error("the settings cannot be used: {}", .0.first().map_or(String::new(), ToString::to_string))]
     Settings(Vec<badgerwind_settings::Problem>),
-    /// A thread could not be started.
+    /// The engine's thread could not be started.
     #[error("cannot start the engine's thread: {0}")]
     Thread(std::io::Error),
 }
@@ -132,17 +133,17 @@
 /// How a daemon ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Stopped {
-    /// Asked to, and everything was answered.
+    /// It was stopped, and every call was answered.
     Orderly,
-    /// The decision module failed; everything was answered as failed.
+    /// The decision module failed, and all open calls were answered as failed.
     ModuleFailed(String),
 }
 
-/// A daemon at work.
+/// A running daemon.
 pub struct Running {
-    /// Where webhooks come in.
+    /// The address that accepts webhooks.
     pub webhook: SocketAddr,
-    /// Where figures are served.
+    /// The address that serves metrics.
     pub metrics: Option<SocketAddr>,
     front: Arc<Front>,
     runners: Arc<Runners>,
@@ -151,16 +152,16 @@
     folder: PathBuf,
     control: Sender<Control>,
     ended: Receiver<EngineEnd>,
-    owed: Arc<AtomicUsize>,
-    within: Duration,
+    unanswered: Arc<AtomicUsize>,
+    stop_timeout: Duration,
     accepting: smol::Task<()>,
     _tasks: Vec<smol::Task<()>>,
 }
 
-/// Inputs that wait for the engine; beyond them whoever brings one waits.
-const INPUTS: usize = 8192;
-/// How long answers already given may take to be written at the end.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+/// Inputs queued for the engine; further senders wait.
+const INPUT_QUEUE: usize = 8192;
+/// Time for writing the last answers before the process ends.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(200);
 
 async fn bind(address: SocketAddr) -> Result<(TcpListener, SocketAddr), ServeError> {
     let failed = |error| ServeError::Listen { address, error };
@@ -169,15 +170,15 @@
     Ok((listener, bound))
 }
 
-/// Starts a daemon; it serves once this returns.
+/// Starts a daemon; it accepts webhooks once this returns.
 pub async fn serve(options: Options) -> Result<Running, ServeError> {
-    let Options { settings, secrets, folder, list_filter, following, decider } = options;
+    let Options { settings, secrets, folder, list_filter, follow, decider } = options;
     let (clock, metrics) = (Clock::start(), Arc::new(Metrics::new()));
-    let set = &settings.router;
+    let router_settings = &settings.router;
     let (listener, webhook) = bind(settings.webhook.listen).await?;
-    let (report, inputs) = async_channel::bounded(INPUTS);
+    let (report, inputs) = async_channel::bounded(INPUT_QUEUE);
     let (control, controls) = async_channel::bounded(4);
-    let (ask_list, list_calls) = async_channel::bounded(64);
+    let (list_requests, received_requests) = async_channel::bounded(64);
     let runners = Arc::new(Runners::new(settings.clone(), secrets.runners, secrets.runners_tls, clock));
     let mut tasks = Vec::new();
     let peers = match (&settings.peers, secrets.peers) {
@@ -188,7 +189,7 @@
             let socket = bound.and_then(Async::<UdpSocket>::new).map_err(failed)?;
             let counter = AtomicU64::new(clock.now());
             let peers = p.peers.clone();
-            Some(Arc::new(Peers { socket, key, number: set.my_number, peers, counter }))
+            Some(Arc::new(Peers { socket, key, number: router_settings.my_number, peers, counter }))
         }
         _ => None,
     };
@@ -202,59 +203,61 @@
         let (report, shares, zones) = (report.clone(), shares.clone(), zones.clone());
         tasks.push(smol::spawn(async move { peers.listen(report, shares, zones).await }));
     }
-    // Where zones may be left, the list passes through there: one task tells the engine all that it hears of runners.
-    let lists = match zones.clone() {
+    // With zone evacuation the list passes through `Zones`, so that one task reports everything about runners to the
+    // engine.
+    let list_updates = match zones.clone() {
         Some(zones) => {
-            let (lists, listed) = async_channel::bounded(16);
-            tasks.push(smol::spawn(zones.run(listed, report.clone())));
-            lists
+            let (list_updates, received_updates) = async_channel::bounded(16);
+            tasks.push(smol::spawn(zones.run(received_updates, report.clone())));
+            list_updates
         }
         None => report.clone(),
     };
     if let Some(shares) = shares.clone() {
         tasks.push(smol::spawn(shares.run()));
     }
-    let listed: Arc<Mutex<Vec<WorkerEntry>>> = Arc::default();
-    let lister = Lister {
+    let listed_runners: Arc<Mutex<Vec<WorkerEntry>>> = Arc::default();
+    let list_client = ListClient {
         settings: settings.clone(),
         cache: settings.list.cache.as_ref().map(|c| folder.join(c)),
         filter: list_filter,
         runners: runners.clone(),
         metrics: metrics.clone(),
-        report: lists,
-        calls: list_calls,
-        listed: listed.clone(),
+        report: list_updates,
+        requests: received_requests,
+        listed_runners: listed_runners.clone(),
     };
-    tasks.push(smol::spawn(lister.run()));
+    tasks.push(smol::spawn(list_client.run()));
 
-    let owed = Arc::new(AtomicUsize::new(0));
+    let unanswered = Arc::new(AtomicUsize::new(0));
     let lag: Arc<Mutex<badgerwind_driver::Lag>> = Arc::default();
     let backend = Dispatch {
         clock,
         report: report.clone(),
         runners: runners.clone(),
         peers,
-        ask_list,
+        list_requests,
         metrics: metrics.clone(),
         attempts: Default::default(),
         shares: shares.clone(),
         zones: zones.clone(),
     };
-    let engine = Engine { clock, inputs, control: controls, owed: owed.clone(), lag: lag.clone(), backend };
+    let engine =
+        Engine { clock, inputs, control: controls, owed: unanswered.clone(), lag: lag.clone(), backend };
     let seed = if settings.seed == 0 { fastrand::u64(..) } else { settings.seed };
-    let decider = decider.unwrap_or_else(|| Box::new(Router::new(seed, set.clone())));
+    let decider = decider.unwrap_or_else(|| Box::new(Router::new(seed, router_settings.clone())));
     let (end, ended) = async_channel::bounded(1);
-    let terms = Terms::new(driver_limits(&settings), set);
+    let terms = Terms::new(driver_limits(&settings), router_settings);
     let thread = std::thread::Builder::new().name("engine".into());
     thread
         .spawn(move || {
-            // Dropping the channel tells of an engine that ended in any other way.
+            // If the engine panics, the dropped channel reports its end.
             let _ = end.try_send(smol::block_on(engine.run(decider, terms)));
         })
         .map_err(ServeError::Thread)?;
 
-    let (freed, free) = async_channel::bounded(1);
-    let rules = Rules {
+    let (capacity_changed, capacity_changes) = async_channel::bounded(1);
+    let front_config = FrontConfig {
         settings: settings.clone(),
         rings: secrets.rings,
         callbacks: secrets.callbacks,
@@ -263,33 +266,40 @@
     };
     let front = Arc::new(Front {
         answers_due: AnswersDue::default(),
-        rules: RwLock::new(Arc::new(rules)),
-        recent: Mutex::default(),
-        counts: Counts::default(),
-        owed: Arc::default(),
-        replay: Mutex::new(Replay::new(bounds(&settings))),
+        config: RwLock::new(Arc::new(front_config)),
+        recent_calls: Mutex::default(),
+        counts: AnswerCounts::default(),
+        pending_callbacks: Arc::default(),
+        replay: Mutex::new(Replay::new(replay_bounds(&settings))),
         lag,
-        guard: Mutex::new(Guard::new(clock.now(), guard_bounds(&settings))),
+        guard: Mutex::new(Guard::new(clock.now(), guard_limits(&settings))),
         wall: Mutex::new(Wall::default()),
         skews: Mutex::new(vec![Skew::default(); settings.webhook.senders.len()]),
-        checks: smol::lock::Semaphore::new(std::thread::available_parallelism().map_or(1, |n| n.get())),
+        check_permits: smol::lock::Semaphore::new(
+            std::thread::available_parallelism().map_or(1, |n| n.get()),
+        ),
         inputs: report,
         clock,
         metrics: metrics.clone(),
-        life: format!("{:x}-{:x}", set.my_number, clock.now() / 1000),
-        next: AtomicU64::new(0),
-        open: AtomicUsize::new(0),
-        freed,
-        free,
+        request_id_prefix: format!("{:x}-{:x}", router_settings.my_number, clock.now() / 1000),
+        next_request: AtomicU64::new(0),
+        open_connections: AtomicUsize::new(0),
+        capacity_changed,
+        capacity_changes,
         stopping: AtomicBool::new(false),
     });
-    let config: Arc<Mutex<Vec<Report>>> = Arc::default();
-    if let (Some(c), Some(Following { file, kept })) = (&settings.control, following) {
-        let times = Follower::times(c);
-        let (client, ..) = Client::new((c.name.clone(), c.cluster.clone()), file, kept, times)
-            .map_err(ServeError::Settings)?;
+    let config_report: Arc<Mutex<Vec<Report>>> = Arc::default();
+    if let (Some(control_settings), Some(FollowOptions { file, stored })) = (&settings.control, follow) {
+        let timing = Follower::timing(control_settings);
+        let (client, ..) = Client::new(
+            (control_settings.name.clone(), control_settings.cluster.clone()),
+            file,
+            stored,
+            timing,
+        )
+        .map_err(ServeError::Settings)?;
         let follower = Follower {
-            settings: c.clone(),
+            settings: control_settings.clone(),
             folder: folder.clone(),
             clock,
             front: front.clone(),
@@ -297,9 +307,9 @@
             engine: control.clone(),
             shares: shares.clone(),
             zones: zones.clone(),
-            listed,
-            report: config.clone(),
-            unanswered: Default::default(),
+            listed_runners,
+            report: config_report.clone(),
+            unanswered_log: Default::default(),
         };
         tasks.push(smol::spawn(follower.run(client)));
     }
@@ -317,20 +327,20 @@
                 (200, "ready\n")
             }
         });
-        let told = (shares.clone(), zones.clone());
+        let reporters = (shares.clone(), zones.clone());
         let fleet: metrics::FleetReport = Arc::new(move || {
-            let (shares, zones) = &told;
+            let (shares, zones) = &reporters;
             if shares.is_none() && zones.is_none() {
                 return None;
             }
             let (shares, zones) = (shares.as_ref().map(|s| s.report()), zones.as_ref().map(|z| z.report()));
             Some(serde_json::json!({ "shares": shares, "zones": zones }))
         });
-        tasks.push(smol::spawn(metrics::serve(listener, metrics, health, config, fleet)));
+        tasks.push(smol::spawn(metrics::serve(listener, metrics, health, config_report, fleet)));
     }
     let accepting = smol::spawn(front.clone().listen(listener));
-    tracing::info!(%webhook, number = set.my_number, "serving");
-    let within = settings.stop_timeout;
+    tracing::info!(%webhook, number = router_settings.my_number, "serving");
+    let stop_timeout = settings.stop_timeout;
     Ok(Running {
         runners,
         shares,
@@ -341,68 +351,69 @@
         front,
         control,
         ended,
-        owed,
-        within,
+        unanswered,
+        stop_timeout,
         accepting,
         _tasks: tasks,
     })
 }
 
 impl Running {
-    /// Reads the key files and certificates again, all or none: where one cannot be used, all stay as they are and the
-    /// problems come back. `reread` brings the settings anew, of which the parts that name keys are taken over:
-    /// senders' secrets and callbacks, budgets, certificates, the runners' key; without it the settings stay.
+    /// Returns a function that reloads the key files and certificates. It applies all or none: if one is invalid, nothing
+    /// changes and the problems are returned. `reread` reads the settings again, of which these parts are applied: the
+    /// senders' secrets and callbacks, the guard, budgets, zone directives, certificates and the runners' key. Without it
+    /// the settings stay unchanged.
     pub fn reloader(
         &self,
-        reread: Option<Reread>,
+        reread: Option<SettingsReader>,
     ) -> impl Fn() -> Result<(), Vec<badgerwind_settings::Problem>> + Send + 'static {
         let (front, runners, folder) = (self.front.clone(), self.runners.clone(), self.folder.clone());
         let (shares, zones) = (self.shares.clone(), self.zones.clone());
         move || {
-            let rules = front.rules();
+            let config = front.config();
             let settings = match &reread {
-                None => rules.settings.clone(),
-                Some(reread) => Arc::new(take_over(&rules.settings, reread()?)?),
+                None => config.settings.clone(),
+                Some(reread) => Arc::new(merge_reloadable(&config.settings, reread()?)?),
             };
             let secrets = crate::secrets::load("settings", &folder, &settings)?;
             if let (Some(shares), Some(budgets)) = (&shares, &settings.budgets) {
-                shares.change(budgets).map_err(|e| vec![unfit(budgets, &e)])?;
+                shares.apply_limits(budgets).map_err(|e| vec![budgets_problem(budgets, &e)])?;
             }
             if let (Some(zones), Some(leaving)) = (&zones, &settings.leaving) {
-                zones.change(leaving);
+                zones.set_directives(leaving);
             }
-            runners.change(settings.clone(), secrets.runners, secrets.runners_tls);
-            front.change(Rules {
+            runners.update(settings.clone(), secrets.runners, secrets.runners_tls);
+            front.set_config(FrontConfig {
                 settings,
                 rings: secrets.rings,
                 callbacks: secrets.callbacks,
                 tls: secrets.senders_tls,
-                module: rules.module,
+                module: config.module,
             });
             Ok(())
         }
     }
 
-    /// Serves until `stop` ends, then stops in an orderly way: nothing new is taken, what is owed is answered by
-    /// the module or, when the time for that is up or `now` ends, failed.
-    pub async fn until(
+    /// Serves until `stop` completes, then shuts down gracefully: no new call is accepted, and open calls are answered by
+    /// the module. Calls still open when the stop timeout ends or `now` completes are answered as failed.
+    pub async fn serve_until(
         self,
         stop: impl std::future::Future<Output = ()>,
         now: impl std::future::Future<Output = ()>,
     ) -> Stopped {
-        let Running { front, control, ended, owed, within, accepting, shares, _tasks, .. } = self;
-        let failed = |end: Result<EngineEnd, async_channel::RecvError>| match end {
+        let Running { front, control, ended, unanswered, stop_timeout, accepting, shares, _tasks, .. } = self;
+        let stopped = |end: Result<EngineEnd, async_channel::RecvError>| match end {
             Ok(EngineEnd::ModuleFailed(text)) => Stopped::ModuleFailed(text),
             Ok(EngineEnd::Asked) => Stopped::Orderly,
             Err(_) => Stopped::ModuleFailed("the engine's thread has ended".into()),
         };
-        let asked = async {
+        let stop_requested = async {
             stop.await;
             None
         };
-        if let Some(end) = async { Some(failed(ended.recv().await)) }.or(asked).await {
-            // Every sender has its answer; let it be written.
-            Timer::after(LAST_WORDS).await;
+        if let Some(end) = async { Some(stopped(ended.recv().await)) }.or(stop_requested).await {
+            // Every call has been answered; leave time for the answers to be written.
+            Timer::after(FINAL_WRITE_TIME).await;
             return end;
         }
         front.stopping.store(true, Ordering::Relaxed);
@@ -410,29 +421,29 @@
         if let Some(shares) = &shares {
             shares.leave();
         }
-        tracing::info!(owed = owed.load(Ordering::Relaxed), "stopping");
-        let until = Instant::now() + within;
+        tracing::info!(owed = unanswered.load(Ordering::Relaxed), "stopping");
+        let deadline = Instant::now() + stop_timeout;
         let idle = async {
-            // What a front has taken reaches the engine within a round; two quiet looks in a row end the wait.
-            let mut quiet = 0;
-            while quiet < 2 && Instant::now() < until {
+            // A call accepted by a front reaches the engine within a round, so the count must be zero twice in a row.
+            let mut zero_counts = 0;
+            while zero_counts < 2 && Instant::now() < deadline {
                 Timer::after(Duration::from_millis(20)).await;
-                quiet = if owed.load(Ordering::Relaxed) == 0 { quiet + 1 } else { 0 };
+                zero_counts = if unanswered.load(Ordering::Relaxed) == 0 { zero_counts + 1 } else { 0 };
             }
             None
         };
-        let at_once = async {
+        let immediate = async {
             now.await;
             None
         };
-        let broke = async { Some(failed(ended.recv().await)) };
-        if let Some(end) = idle.or(at_once).or(broke).await {
-            Timer::after(LAST_WORDS).await;
+        let engine_ended = async { Some(stopped(ended.recv().await)) };
+        if let Some(end) = idle.or(immediate).or(engine_ended).await {
+            Timer::after(FINAL_WRITE_TIME).await;
             return end;
         }
         let _ = control.send(Control::End).await;
-        let end = failed(ended.recv().await);
-        Timer::after(LAST_WORDS).await;
+        let end = stopped(ended.recv().await);
+        Timer::after(FINAL_WRITE_TIME).await;
         end
     }
 }
