--- a/crates/badgerwind-gateway/src/shares.rs
+++ b/crates/badgerwind-gateway/src/shares.rs
@@ -1,6 +1,6 @@
-//! The fleet's budgets in a front end: the deciders of `badgerwind-budgets` and `badgerwind-members` over the datagrams
-//! between front ends. A unit is spent under the lock that its lease is looked at under; the module is told its parts as an
-//! ordinary input. Nothing of the rules rests on it: a front end that hears nobody has its floors and the rules of before.
+//! The fleet's budgets in a front end: runs the state machines of `badgerwind-budgets` and `badgerwind-members` over the
+//! datagrams between front ends. A lease is checked and its unit spent under one lock. The decision module receives its
+//! local quotas as an ordinary input. A front end that receives no messages keeps its floors and its local limits.
 
 use crate::clock::Clock;
 use crate::dispatch::Input;
@@ -18,29 +18,31 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// One line of a budget's ownership in the log, at most, in this time.
-const LOG_SPAN: u64 = 1_000_000;
+/// Least time between two log lines on the ownership of one budget, in microseconds.
+const LOG_INTERVAL: u64 = 1_000_000;
 
-/// A budget as it stands here.
-struct Here {
+/// The local state of a budget.
+struct BudgetState {
     demand: Demand,
     refused: u64,
-    /// What was logged last, when it may be logged again, and changes since.
+    /// The number of owned units logged last, the earliest time of the next log line, and the changes since.
     logged: (usize, Time, u32),
 }
 
 struct State {
     budgets: Budgets,
-    /// Whose quotas the tenants' budgets divide.
+    /// Holds the tenants' quotas, which their budgets divide.
     router: RouterSettings,
     node: Node,
     members: Members,
-    here: Vec<Here>,
-    told: Option<Parts>,
+    local: Vec<BudgetState>,
+    /// The quotas sent to the module last.
+    last_quotas: Option<Parts>,
     rng: StdRng,
     coordinator: Option<Member>,
 }
 
+/// This front end's share of the fleet's budgets.
 pub(crate) struct Shares {
     clock: Clock,
     peers: Arc<Peers>,
@@ -70,15 +72,23 @@
             others,
             badgerwind_members::DetectionSettings::for_period(budgets.lease_settings.request_interval),
         );
-        let here = |(limit, b): (&badgerwind_budgets::Limit, &badgerwind_settings::Budget)| Here {
+        let state_of = |(limit, b): (&badgerwind_budgets::Limit, &badgerwind_settings::Budget)| BudgetState {
             demand: Demand::new(limit.cooldown, b.resource == BudgetResource::Orders),
             refused: 0,
             logged: (0, 0, 0),
         };
-        let here = budgets.limit_set.limits.iter().zip(&budgets.budgets).map(here).collect();
+        let local = budgets.limit_set.limits.iter().zip(&budgets.budgets).map(state_of).collect();
         let router = settings.router.clone();
-        let state =
-            Mutex::new(State { budgets, router, node, members, here, told: None, rng, coordinator: None });
+        let state = Mutex::new(State {
+            budgets,
+            router,
+            node,
+            members,
+            local,
+            last_quotas: None,
+            rng,
+            coordinator: None,
+        });
         Some(Arc::new(Shares { clock, peers, report, metrics, state }))
     }
 
@@ -86,8 +96,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Another version of the limits. Refused as a whole where it cannot follow the one that runs.
-    pub(crate) fn change(&self, next: &Budgets) -> Result<(), SettingsError> {
+    /// Applies another version of the limits; it is rejected as a whole if it cannot follow the current one.
+    pub(crate) fn apply_limits(&self, next: &Budgets) -> Result<(), SettingsError> {
         let mut state = self.state();
         if next.budgets != state.budgets.budgets || next.lease_settings != state.budgets.lease_settings {
             return Err(SettingsError::IncompatibleChange(next.limit_set.version));
@@ -101,8 +111,8 @@
         Ok(())
     }
 
-    /// Other settings run: quotas may differ, and tenants stand at other places. What owns which unit stays as it is.
-    pub(crate) fn follow(&self, settings: &Settings) {
+    /// Applies other settings, in which quotas and the order of tenants may differ. Ownership of units does not change.
+    pub(crate) fn apply_settings(&self, settings: &Settings) {
         let mut state = self.state();
         state.router = settings.router.clone();
         let Some(next) = &settings.budgets else { return };
@@ -112,43 +122,43 @@
         }
     }
 
-    /// Whether a load order may go out: a unit is spent if so.
-    pub(crate) fn order(&self) -> bool {
+    /// Spends a unit for a load order; false if none is available.
+    pub(crate) fn try_spend_order(&self) -> bool {
         let mut state = self.state();
-        // The time is taken under the lock: a wait for it must not make a lease longer.
+        // The time is read under the lock, so that waiting for the lock does not extend a lease.
         let now = self.clock.now();
         let Some(n) = state.budgets.budgets.iter().position(|b| b.resource == BudgetResource::Orders) else {
             return true;
         };
-        state.here[n].demand.record(now, 1.0);
+        state.local[n].demand.record(now, 1.0);
         let spent = state.node.spend(now, n).is_some();
         if !spent {
-            state.here[n].refused += 1;
+            state.local[n].refused += 1;
             let name = state.budgets.budgets[n].name.clone();
             self.metrics.budget_refused.get_or_create(&ByBudget { budget: name }).inc();
         }
         spent
     }
 
-    /// A call of a tenant has come.
-    pub(crate) fn called(&self, tenant: usize) {
+    /// Records a call of a tenant as demand.
+    pub(crate) fn record_call(&self, tenant: usize) {
         let mut state = self.state();
-        let of = BudgetResource::Tenant(tenant);
-        let Some(n) = state.budgets.budgets.iter().position(|b| b.resource == of) else { return };
-        let units = units_of_a_call(&state, n, tenant);
+        let resource = BudgetResource::Tenant(tenant);
+        let Some(n) = state.budgets.budgets.iter().position(|b| b.resource == resource) else { return };
+        let units = units_per_call(&state, n, tenant);
         let now = self.clock.now();
-        state.here[n].demand.record(now, units);
+        state.local[n].demand.record(now, units);
     }
 
-    /// Bytes from another front end; false where they are not for the budgets.
-    pub(crate) fn heard(&self, from: u32, bytes: &[u8]) -> bool {
+    /// Handles a message from another front end; false if it concerns neither budgets nor membership.
+    pub(crate) fn receive(&self, from: u32, bytes: &[u8]) -> bool {
         let Ok(from) = Member::try_from(from) else { return false };
         if let Some(message) = Message::decode(bytes) {
             let mut state = self.state();
             let now = self.clock.now();
             let answer = state.node.receive(now, from, &message);
             drop(state);
-            answer.into_iter().for_each(|a| self.peers.tell(Some(u32::from(from)), &a.encode()));
+            answer.into_iter().for_each(|a| self.peers.send(Some(u32::from(from)), &a.encode()));
             return true;
         }
         let Some(message) = MembersMessage::decode(bytes) else { return false };
@@ -161,113 +171,113 @@
     }
 
     fn send_members(&self, out: Vec<(Member, MembersMessage)>) {
-        out.iter().for_each(|(to, message)| self.peers.tell(Some(u32::from(*to)), &message.encode()));
+        out.iter().for_each(|(to, message)| self.peers.send(Some(u32::from(*to)), &message.encode()));
     }
 
-    /// Says what is due, and tells the module its parts, for ever.
+    /// Runs the periodic tick and reports the local quotas to the module, for ever.
     pub(crate) async fn run(self: Arc<Self>) {
-        let pace = Duration::from_micros(self.state().node.tick_interval());
+        let interval = Duration::from_micros(self.state().node.tick_interval());
         loop {
-            if let Some(parts) = self.tick(pace) {
-                if self.report.send(Input::Parts(parts)).await.is_err() {
+            if let Some(quotas) = self.tick(interval) {
+                if self.report.send(Input::Parts(quotas)).await.is_err() {
                     return;
                 }
             }
-            smol::Timer::after(pace).await;
+            smol::Timer::after(interval).await;
         }
     }
 
-    fn tick(&self, pace: Duration) -> Option<Parts> {
+    fn tick(&self, interval: Duration) -> Option<Parts> {
         let mut state = self.state();
         let now = self.clock.now();
-        let State { budgets, router, node, members, here, told, rng, coordinator } = &mut *state;
+        let State { budgets, router, node, members, local, last_quotas, rng, coordinator } = &mut *state;
         let messages = members.tick(now, &mut |n| rng.random_range(0..n.max(1)));
-        let there = members.alive_count();
-        for (n, (here, limit)) in here.iter_mut().zip(&budgets.limit_set.limits).enumerate() {
+        let alive = members.alive_count();
+        for (n, (budget, limit)) in local.iter_mut().zip(&budgets.limit_set.limits).enumerate() {
             let owned = node.owned(now, n).len();
             let granted = limit.grantable().len();
-            node.set_wanted(n, here.demand.estimate(now, owned, reserve(granted, there)));
+            node.set_wanted(n, budget.demand.estimate(now, owned, reserve(granted, alive)));
         }
         let out = node.tick(now, rng.random());
         for (n, b) in budgets.budgets.iter().enumerate() {
             let owned = node.owned(now, n).len();
             let label = ByBudget { budget: b.name.clone() };
             self.metrics.budget_owned.get_or_create(&label).set(owned as i64);
-            self.metrics.budget_whole.get_or_create(&label).set(i64::from(budgets.limit_set.limits[n].units));
-            let (last, again, passed) = &mut here[n].logged;
+            self.metrics.budget_total.get_or_create(&label).set(i64::from(budgets.limit_set.limits[n].units));
+            let (last, next_log, changes) = &mut local[n].logged;
             if owned != *last {
-                *passed += 1;
+                *changes += 1;
             }
-            if *passed > 0 && now >= *again {
+            if *changes > 0 && now >= *next_log {
                 let (of, from) = (budgets.limit_set.limits[n].units, *last);
-                tracing::info!(budget = %b.name, owned, from, of, changes = *passed, "owned units changed");
-                (*last, *again, *passed) = (owned, now + LOG_SPAN, 0);
+                tracing::info!(budget = %b.name, owned, from, of, changes = *changes, "owned units changed");
+                (*last, *next_log, *changes) = (owned, now + LOG_INTERVAL, 0);
             }
         }
         if node.believed_coordinator() != *coordinator {
             *coordinator = node.believed_coordinator();
-            tracing::info!(coordinator = ?*coordinator, "another lease coordinator of the budgets");
+            tracing::info!(coordinator = ?*coordinator, "the lease coordinator of the budgets changed");
         }
-        self.metrics.members_there.set(there as i64);
-        self.metrics.keeper.set(i64::from(node.is_coordinator(now)));
-        // What will still count when the module is told next: a lease that ends before is not promised to it.
-        let at = now + pace.as_micros() as Time;
-        let parts = parts(budgets, node, at, router);
-        let news = told.as_ref() != Some(&parts);
-        *told = Some(parts.clone());
+        self.metrics.live_members.set(alive as i64);
+        self.metrics.is_coordinator.set(i64::from(node.is_coordinator(now)));
+        // The quotas cover the time until the next tick: units whose lease ends before then are not included.
+        let at = now + interval.as_micros() as Time;
+        let quotas = local_quotas(budgets, node, at, router);
+        let changed = last_quotas.as_ref() != Some(&quotas);
+        *last_quotas = Some(quotas.clone());
         drop(state);
         for (to, message) in &out {
             let bytes = message.encode();
             match to {
-                Recipient::All => self.peers.tell(None, &bytes),
-                Recipient::One(to) => self.peers.tell(Some(u32::from(*to)), &bytes),
+                Recipient::All => self.peers.send(None, &bytes),
+                Recipient::One(to) => self.peers.send(Some(u32::from(*to)), &bytes),
                 Recipient::Voters => {
                     let voters = self.state().budgets.lease_settings.voters.clone();
-                    voters.iter().for_each(|v| self.peers.tell(Some(u32::from(*v)), &bytes));
+                    voters.iter().for_each(|v| self.peers.send(Some(u32::from(*v)), &bytes));
                 }
             }
         }
         self.send_members(messages);
-        news.then_some(parts)
+        changed.then_some(quotas)
     }
 
-    /// Tells the others that this one goes; they need not suspect it first.
+    /// Announces the departure of this front end, so that the others need not detect it.
     pub(crate) fn leave(&self) {
         let messages = self.state().members.leave();
         self.send_members(messages);
     }
 
-    /// All that is known here, for operators.
+    /// The state of budgets and members, for operators.
     pub(crate) fn report(&self) -> Value {
         let mut state = self.state();
         let now = self.clock.now();
-        let State { budgets, node, members, here, .. } = &mut *state;
+        let State { budgets, node, members, local, .. } = &mut *state;
         let is_coordinator = node.is_coordinator(now);
-        let ms = |at: Time| at.saturating_sub(now) / 1000;
+        let ms_until = |at: Time| at.saturating_sub(now) / 1000;
         let rows: Vec<Value> = (budgets.budgets.iter().zip(&budgets.limit_set.limits).enumerate())
             .map(|(n, (b, limit))| {
                 let tenant = match b.resource {
                     BudgetResource::Orders => None,
                     BudgetResource::Tenant(t) => Some(t),
                 };
-                let standings = node.unit_states(now, n).map(|all| {
-                    let mut by: Vec<Value> = Vec::new();
-                    for (unit, standing) in all {
-                        let (state, member, left) = match standing {
-                            UnitState::Owned(m, until) => ("owned", Some(m), ms(until)),
-                            UnitState::CoolingDown(until) => ("rests", None, ms(until)),
+                let unit_ranges = node.unit_states(now, n).map(|all| {
+                    let mut ranges: Vec<Value> = Vec::new();
+                    for (unit, unit_state) in all {
+                        let (state, member, left) = match unit_state {
+                            UnitState::Owned(m, until) => ("owned", Some(m), ms_until(until)),
+                            UnitState::CoolingDown(until) => ("rests", None, ms_until(until)),
                             UnitState::Free => ("free", None, 0),
                         };
-                        match by.last_mut().filter(|l| {
+                        match ranges.last_mut().filter(|l| {
                             l["state"] == state && l["member"] == json!(member) && l["ms"] == left
                         }) {
                             Some(last) => last["to"] = json!(unit),
-                            None => by.push(json!({
+                            None => ranges.push(json!({
                                 "state": state, "member": member, "ms": left, "from": unit, "to": unit,
                             })),
                         }
                     }
-                    by
+                    ranges
                 });
                 json!({
                     "name": b.name,
@@ -278,12 +288,12 @@
                     "owned": node.owned(now, n).len(),
                     "owned_floor": limit.floor_of(members.me()).len(),
                     "ranges": node.owned(now, n).ranges(),
-                    "until_ms": ms(node.lease_end(n)),
+                    "until_ms": ms_until(node.lease_end(n)),
                     "wants": node.wanted(n),
-                    "asked_lately": here[n].demand.in_window(now),
+                    "asked_lately": local[n].demand.in_window(now),
                     "wait_ms": node.wait_time(now, n).map(|w| w / 1000),
-                    "refused": here[n].refused,
-                    "standings": standings,
+                    "refused": local[n].refused,
+                    "standings": unit_ranges,
                 })
             })
             .collect();
@@ -305,29 +315,30 @@
     }
 }
 
-/// A call's part of a tenant's quota within the window, in units.
-fn units_of_a_call(state: &State, n: usize, tenant: usize) -> f64 {
+/// How many units of a tenant's budget one call uses.
+fn units_per_call(state: &State, n: usize, tenant: usize) -> f64 {
     let limit = &state.budgets.limit_set.limits[n];
     let quota = state.router.tenants.get(tenant).and_then(|t| t.quota_per_s).unwrap_or(0.0);
     let calls = quota * limit.cooldown as f64 / 1e6;
     f64::from(limit.units) / calls.max(1e-9)
 }
 
-fn parts(budgets: &Budgets, node: &Node, at: Time, router: &RouterSettings) -> Parts {
-    let mut parts = Parts { orders: None, tenants: vec![None; router.tenants.len()] };
+/// The quotas that this front end may use at a given time, by the units that it owns then.
+fn local_quotas(budgets: &Budgets, node: &Node, at: Time, router: &RouterSettings) -> Parts {
+    let mut quotas = Parts { orders: None, tenants: vec![None; router.tenants.len()] };
     for (n, (b, limit)) in budgets.budgets.iter().zip(&budgets.limit_set.limits).enumerate() {
         let usable = node.usable(at, n) as f64;
         match b.resource {
-            BudgetResource::Orders => parts.orders = Some(usable),
+            BudgetResource::Orders => quotas.orders = Some(usable),
             BudgetResource::Tenant(t) => {
                 let quota = router.tenants.get(t).and_then(|t| t.quota_per_s);
-                if let (Some(part), Some(quota)) = (parts.tenants.get_mut(t), quota) {
-                    *part = Some(quota * usable / f64::from(limit.units));
+                if let (Some(local), Some(quota)) = (quotas.tenants.get_mut(t), quota) {
+                    *local = Some(quota * usable / f64::from(limit.units));
                 }
             }
         }
     }
-    parts
+    quotas
 }
 
 #[cfg(test)]
--- a/crates/badgerwind-gateway/tests/unit/peers.rs
+++ b/crates/badgerwind-gateway/tests/unit/peers.rs
@@ -1,19 +1,19 @@
-//! What only the inside of `peers.rs` shows.
+//! Unit tests of `peers.rs`.
 
 use super::*;
 use badgerwind_webhook::KeyKind;
 
 #[test]
-fn an_address_that_is_free_a_moment_later_is_bound() {
-    let held = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let at = held.local_addr().unwrap();
-    let (bound, ()) = (std::thread::spawn(move || bind(at)), std::thread::sleep(BINDS.1 * 2));
-    drop(held);
-    assert_eq!(bound.join().unwrap().unwrap().local_addr().unwrap(), at);
+fn bind_retries_until_the_address_is_free() {
+    let occupied = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let address = occupied.local_addr().unwrap();
+    let (bound, ()) = (std::thread::spawn(move || bind(address)), std::thread::sleep(BIND_RETRY_DELAY * 2));
+    drop(occupied);
+    assert_eq!(bound.join().unwrap().unwrap().local_addr().unwrap(), address);
 }
 
 #[test]
-fn a_message_changed_in_any_byte_is_passed_over() {
+fn a_datagram_changed_in_any_byte_is_rejected() {
     let key = Key::generate(KeyKind::Shared).unwrap();
     let sealed = seal(&key, 3, 9, b"full 7").unwrap();
     assert_eq!(open(&key, &sealed), Some((3, 9, &b"full 7"[..])));
--- a/crates/badgerwind-gateway/tests/unit/trace.rs
+++ b/crates/badgerwind-gateway/tests/unit/trace.rs
@@ -1,18 +1,18 @@
-//! What only the inside of `trace.rs` shows.
+//! Unit tests of `trace.rs`.
 
 use super::*;
 
 #[test]
-fn a_good_one_is_kept_and_anything_else_begins_a_new_trace() {
-    let good = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
-    let kept = TraceParent::of(Some(good), 5);
-    assert_eq!(kept.child(9), "00-4bf92f3577b34da6a3ce929d0e0e4736-0000000000000009-01");
+fn a_valid_header_is_continued_and_any_other_starts_a_new_trace() {
+    let valid = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
+    let parsed = TraceParent::from_header(Some(valid), 5);
+    assert_eq!(parsed.child(9), "00-4bf92f3577b34da6a3ce929d0e0e4736-0000000000000009-01");
     assert_eq!(
-        TraceParent::of(Some(&good.replacen("00", "cc", 1)), 5).trace,
-        kept.trace,
-        "a version to come"
+        TraceParent::from_header(Some(&valid.replacen("00", "cc", 1)), 5).trace_id,
+        parsed.trace_id,
+        "a future version"
     );
-    for bad in [
+    for invalid in [
         None,
         Some(""),
         Some("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7"),
@@ -22,6 +22,10 @@
         Some("00-4bf92f3577b34da6a3ce929d0e0e4736-0000000000000000-01"),
         Some("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01-more"),
     ] {
-        assert_eq!(TraceParent::of(bad, 5).child(0), format!("00-{:032x}-{:016x}-00", 5, 1), "{bad:?}");
+        assert_eq!(
+            TraceParent::from_header(invalid, 5).child(0),
+            format!("00-{:032x}-{:016x}-00", 5, 1),
+            "{invalid:?}"
+        );
     }
 }
