--- a/crates/badgerwind-driver/src/driver.rs
+++ b/crates/badgerwind-driver/src/driver.rs
@@ -99,9 +99,9 @@
     }
 
     /// Sizes of the decision module's state; all zero after it has failed.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> RouterStats {
         if self.module_failed {
-            return Figures::default();
+            return RouterStats::default();
         }
         self.decider.figures()
     }
@@ -153,7 +153,7 @@
                 }
                 for entry in &entries {
                     match entry.availability {
-                        Availability::Gone => _ = self.workers.remove(&entry.worker),
+                        Availability::Removed => _ = self.workers.remove(&entry.worker),
                         _ => _ = self.workers.insert(entry.worker),
                     }
                 }
@@ -176,7 +176,7 @@
                     call.content = None;
                     self.withhold(&id, out);
                     self.forget_if_finished(&id);
-                    self.handle_event(Event::ClientGone { id }, out);
+                    self.handle_event(Event::ClientDisconnected { id }, out);
                 }
             }
             Input::StreamBegan { id, attempt, reply } => self.on_stream_began(id, attempt, reply, out),
@@ -190,7 +190,7 @@
                 }
             }
             Input::PresumedRestart { worker } => self.handle_event(Event::PresumedRestart { worker }, out),
-            Input::Parts(parts) => self.handle_event(Event::Parts(parts), out),
+            Input::Parts(parts) => self.handle_event(Event::LocalQuotas(parts), out),
             Input::Message { from, bytes } => self.handle_event(Event::Message { from, bytes }, out),
         }
     }
@@ -299,7 +299,7 @@
                     out.push(Output::Log { text });
                     self.complete(&id, FinalAnswer::Failed(Failure::Overdue), None, out);
                     self.forget_if_finished(&id);
-                    self.handle_event(Event::ClientGone { id }, out);
+                    self.handle_event(Event::ClientDisconnected { id }, out);
                 }
             }
             Timer::OrderTimeout(order) => self.on_order_ended(order, Outcome::Timeout, 0, out),
@@ -418,7 +418,7 @@
                 }
             }
             Action::CloseIdle { worker } => out.push(Output::CloseIdle { worker }),
-            Action::Tell { to, mut bytes } => {
+            Action::SendMessage { to, mut bytes } => {
                 bytes.truncate(MAX_MESSAGE_BYTES);
                 out.push(Output::SendMessage { to, bytes });
             }
--- a/crates/badgerwind-gateway/src/dispatch.rs
+++ b/crates/badgerwind-gateway/src/dispatch.rs
@@ -236,7 +236,7 @@
         self.metrics.batch_time.observe(took.as_secs_f64());
     }
 
-    fn remembered(&mut self, figures: Figures) {
-        self.metrics.set_module_records(&figures);
+    fn remembered(&mut self, stats: RouterStats) {
+        self.metrics.set_module_records(&stats);
     }
 }
--- a/crates/badgerwind-gateway/src/metrics.rs
+++ b/crates/badgerwind-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of the daemon in the OpenMetrics text format, and the HTTP server for operators.
 
-use badgerwind::interface::{Figures, Outcome, Span};
+use badgerwind::interface::{Outcome, RouterStats, Span};
 use badgerwind_config::Report;
 use badgerwind_http::{Conn, Limits, Response};
 use prometheus_client::encoding::text::encode;
@@ -194,14 +194,14 @@
         self.answer_time.observe(lag as f64 / 1e6);
     }
 
-    pub(crate) fn set_module_records(&self, figures: &Figures) {
+    pub(crate) fn set_module_records(&self, stats: &RouterStats) {
         let records = [
-            ("workers", figures.workers),
-            ("ready_workers", figures.ready),
-            ("cells", figures.cells),
-            ("functions", figures.functions),
-            ("planned_functions", figures.planned),
-            ("waiting_functions", figures.waiting),
+            ("workers", stats.workers),
+            ("ready_workers", stats.ready),
+            ("cells", stats.cells),
+            ("functions", stats.functions),
+            ("planned_functions", stats.planned),
+            ("waiting_functions", stats.waiting),
         ];
         for (part, count) in records {
             self.module_records.get_or_create(&ByPart { part }).set(count as i64);
--- a/crates/badgerwind-gateway/src/shares.rs
+++ b/crates/badgerwind-gateway/src/shares.rs
@@ -7,7 +7,7 @@
 use crate::metrics::{ByBudget, Metrics};
 use crate::peers::Peers;
 use async_channel::Sender;
-use badgerwind::interface::{Parts, Settings as RouterSettings};
+use badgerwind::interface::{LocalQuotas, Settings as RouterSettings};
 use badgerwind_budgets::demand::reserve;
 use badgerwind_budgets::{Demand, Member, Message, Node, Recipient, SettingsError, Time, UnitState};
 use badgerwind_members::{Members, Message as MembersMessage};
@@ -37,7 +37,7 @@
     members: Members,
     local: Vec<BudgetState>,
     /// The quotas sent to the module last.
-    last_quotas: Option<Parts>,
+    last_quotas: Option<LocalQuotas>,
     rng: StdRng,
     coordinator: Option<Member>,
 }
@@ -187,7 +187,7 @@
         }
     }
 
-    fn tick(&self, interval: Duration) -> Option<Parts> {
+    fn tick(&self, interval: Duration) -> Option<LocalQuotas> {
         let mut state = self.state();
         let now = self.clock.now();
         let State { budgets, router, node, members, local, last_quotas, rng, coordinator } = &mut *state;
@@ -324,8 +324,8 @@
 }
 
 /// The quotas that this front end may use at a given time, by the units that it owns then.
-fn local_quotas(budgets: &Budgets, node: &Node, at: Time, router: &RouterSettings) -> Parts {
-    let mut quotas = Parts { orders: None, tenants: vec![None; router.tenants.len()] };
+fn local_quotas(budgets: &Budgets, node: &Node, at: Time, router: &RouterSettings) -> LocalQuotas {
+    let mut quotas = LocalQuotas { orders: None, tenants: vec![None; router.tenants.len()] };
     for (n, (b, limit)) in budgets.budgets.iter().zip(&budgets.limit_set.limits).enumerate() {
         let usable = node.usable(at, n) as f64;
         match b.resource {
--- a/crates/badgerwind-gateway/src/zones.rs
+++ b/crates/badgerwind-gateway/src/zones.rs
@@ -161,7 +161,7 @@
         for entry in &mut entries {
             let open = node.is_open(entry.worker, entry.zone as usize);
             match entry.availability {
-                Availability::Gone => _ = listed.remove(&entry.worker),
+                Availability::Removed => _ = listed.remove(&entry.worker),
                 _ => _ = listed.insert(entry.worker, (entry.clone(), open)),
             }
             if !open && entry.availability == Availability::Ready {
