--- a/crates/badgerwind-cli/src/outbox.rs
+++ b/crates/badgerwind-cli/src/outbox.rs
@@ -5,7 +5,7 @@
 
 use crate::send::{post, Message, To};
 use crate::Stop;
-use badgerwind_webhook::delivery::{next, Got, Next};
+use badgerwind_webhook::delivery::{next, AttemptResult, NextStep};
 use badgerwind_webhook::Key;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -112,7 +112,7 @@
         let id = id(file);
         let got = if state.open {
             // Killed in the middle of an attempt: nobody knows what became of it.
-            Got::NoAnswer
+            AttemptResult::NoAnswer
         } else {
             let body = std::fs::read(file).map_err(|e| failed(file, e))?;
             (state.made, state.open) = (state.made + 1, true);
@@ -123,27 +123,27 @@
             match smol::block_on(post(self.to.clone(), self.key, message)) {
                 Ok((head, _)) => {
                     let seconds: Option<u64> = head.headers.get("retry-after").and_then(|v| v.parse().ok());
-                    Got::Status(head.status, seconds.map(|s| s.saturating_mul(1_000_000)))
+                    AttemptResult::Status(head.status, seconds.map(|s| s.saturating_mul(1_000_000)))
                 }
-                Err(e) if e.starts_with("no connection") => Got::Unreached,
-                Err(_) => Got::NoAnswer,
+                Err(e) if e.starts_with("no connection") => AttemptResult::Unreached,
+                Err(_) => AttemptResult::NoAnswer,
             }
         };
         state.open = false;
         match next(got, state.made, self.lodgements, draw(&id, state.made)) {
-            Next::Done => {
+            NextStep::Delivered => {
                 println!("{id}: delivered at attempt {}", state.made);
                 self.put_away(file, "done")?;
                 Ok(None)
             }
-            Next::Dead(why) => {
+            NextStep::GiveUp(why) => {
                 println!("{id}: given up: {why}");
                 let reason = self.folder.join("dead").join(format!("{id}.reason"));
                 crate::write_whole(&reason, &format!("{why}\n"))?;
                 self.put_away(file, "dead")?;
                 Ok(None)
             }
-            Next::Again(pause) => {
+            NextStep::RetryAfter(pause) => {
                 state.due = now() + pause;
                 self.keep(file, &state)?;
                 Ok(Some(state.due))
--- a/crates/badgerwind-gateway/src/callbacks.rs
+++ b/crates/badgerwind-gateway/src/callbacks.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::unix_seconds;
 use badgerwind_http::{Exchange, ExchangeError, Pool, PoolBounds};
-use badgerwind_webhook::delivery::{next, Got, Next};
+use badgerwind_webhook::delivery::{next, AttemptResult, NextStep};
 use badgerwind_webhook::{sign, Key, ID, SIGNATURE, TIMESTAMP};
 use futures_lite::FutureExt;
 use smol::Timer;
@@ -47,20 +47,20 @@
             let got = self.once(&id, &body).await;
             // An answer posted twice does no harm: its receiver has the id.
             match next(got, made, false, fastrand::f64()) {
-                Next::Done => {
+                NextStep::Delivered => {
                     tracing::info!(callback = %self.name, webhook_id = %id, attempts = made, "callback delivered");
                     return;
                 }
-                Next::Dead(why) => {
+                NextStep::GiveUp(why) => {
                     tracing::warn!(callback = %self.name, webhook_id = %id, attempts = made, "callback given up: {why}");
                     return;
                 }
-                Next::Again(pause) => _ = Timer::after(Duration::from_micros(pause)).await,
+                NextStep::RetryAfter(pause) => _ = Timer::after(Duration::from_micros(pause)).await,
             }
         }
     }
 
-    async fn once(&self, id: &str, body: &Arc<[u8]>) -> Got {
+    async fn once(&self, id: &str, body: &Arc<[u8]>) -> AttemptResult {
         let bounds =
             PoolBounds { most: 1, connect_time: ANSWER_TIME, idle_time: ANSWER_TIME, body_bytes: 64 * 1024 };
         let pool = Pool::new(self.address, bounds);
@@ -75,16 +75,16 @@
         let request = Exchange { method, target, headers, body: body.clone() };
         let late = async {
             Timer::after(ANSWER_TIME).await;
-            Got::NoAnswer
+            AttemptResult::NoAnswer
         };
         let posted = async {
             match pool.exchange(&request).await {
                 Ok((head, _)) => {
                     let asked: Option<u64> = head.headers.get("retry-after").and_then(|v| v.parse().ok());
-                    Got::Status(head.status, asked.map(|s| s.saturating_mul(1_000_000)))
+                    AttemptResult::Status(head.status, asked.map(|s| s.saturating_mul(1_000_000)))
                 }
-                Err(ExchangeError::Connect(_)) => Got::Unreached,
-                Err(_) => Got::NoAnswer,
+                Err(ExchangeError::Connect(_)) => AttemptResult::Unreached,
+                Err(_) => AttemptResult::NoAnswer,
             }
         };
         posted.or(late).await
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -21,7 +21,8 @@
 use badgerwind_http::{Conn, Limits, RequestHead, Response, ServerTls, Stream};
 use badgerwind_settings::{Settings, Target};
 use badgerwind_webhook::{
-    Admission, Bounds, Claim, Digest, Ending, Id, Key, KeyRing, Replay, Skew, VerifyError, Wall,
+    Admission, Claim, ClockSkew, Digest, Ending, Id, Key, KeyRing, Replay, ReplayLimits, VerifyError,
+    WallClock,
 };
 use futures_lite::FutureExt;
 use smol::net::TcpListener;
@@ -92,9 +93,9 @@
     /// Budgets for failed signatures.
     pub guard: Mutex<Guard>,
     /// The time by which signatures are judged.
-    pub wall: Mutex<Wall>,
+    pub wall: Mutex<WallClock>,
     /// Senders' clocks, by their place.
-    pub skews: Mutex<Vec<Skew>>,
+    pub skews: Mutex<Vec<ClockSkew>>,
     /// Places for checks of large bodies, which go on threads of their own.
     pub checks: smol::lock::Semaphore,
     pub inputs: Sender<Input>,
@@ -247,11 +248,16 @@
 }
 
 /// The bounds of the memory of ids, from the settings.
-pub(crate) fn bounds(settings: &Settings) -> Bounds {
+pub(crate) fn bounds(settings: &Settings) -> ReplayLimits {
     let w = &settings.webhook;
-    let longest = w.senders.iter().map(|s| Bounds::keep_for(s.tolerance)).max().unwrap_or(0);
+    let longest = w.senders.iter().map(|s| ReplayLimits::retention_for(s.tolerance)).max().unwrap_or(0);
     let keep = w.remember.max(longest);
-    Bounds { count: w.remember_most, keep, waiters: w.waiters, bytes: w.remember_bytes }
+    ReplayLimits {
+        max_ids: w.remember_most,
+        retention: keep,
+        max_waiters: w.waiters,
+        max_bytes: w.remember_bytes,
+    }
 }
 
 /// The bounds of the budgets for failed signatures, from the settings.
@@ -305,14 +311,14 @@
 
     /// Other rules from now on; messages already taken keep theirs.
     pub(crate) fn change(&self, rules: Rules) {
-        self.memory().set_bounds(bounds(&rules.settings));
+        self.memory().set_limits(bounds(&rules.settings));
         let names = |s: &Settings| s.webhook.senders.iter().map(|s| s.name.clone()).collect::<Vec<_>>();
         let mut guard = self.guard();
         guard.set_bounds(guard_bounds(&rules.settings));
         if names(&self.rules().settings) != names(&rules.settings) {
             guard.senders_changed();
             let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
-            *skews = vec![Skew::default(); rules.settings.webhook.senders.len()];
+            *skews = vec![ClockSkew::default(); rules.settings.webhook.senders.len()];
         }
         drop(guard);
         *self.rules.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(rules);
@@ -527,7 +533,7 @@
         drop(guard);
         let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Ok(_), Some(skew)) = (&checked, skews.get_mut(sender)) {
-            skew.seen(now, sent);
+            skew.observe(now, sent);
             self.metrics.skew(&named.name, skew.ahead(now).unwrap_or(0));
         }
         drop(skews);
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -22,7 +22,7 @@
 use badgerwind_guard::Guard;
 use badgerwind_protocol::list::List;
 use badgerwind_settings::{Problem, Settings};
-use badgerwind_webhook::{Replay, Skew, Wall};
+use badgerwind_webhook::{ClockSkew, Replay, WallClock};
 use futures_lite::FutureExt;
 use smol::net::TcpListener;
 use smol::{Async, Timer};
@@ -270,8 +270,8 @@
         replay: Mutex::new(Replay::new(bounds(&settings))),
         lag,
         guard: Mutex::new(Guard::new(clock.now(), guard_bounds(&settings))),
-        wall: Mutex::new(Wall::default()),
-        skews: Mutex::new(vec![Skew::default(); settings.webhook.senders.len()]),
+        wall: Mutex::new(WallClock::default()),
+        skews: Mutex::new(vec![ClockSkew::default(); settings.webhook.senders.len()]),
         checks: smol::lock::Semaphore::new(std::thread::available_parallelism().map_or(1, |n| n.get())),
         inputs: report,
         clock,
--- a/crates/badgerwind-webhook/benches/replay.rs
+++ b/crates/badgerwind-webhook/benches/replay.rs
@@ -1,16 +1,17 @@
-//! What the memory of ids takes: bytes an id by how many are remembered, and the longest time that one message waits
-//! for it while it fills, stands full, and empties after a silence.
+//! Cost of the replay table: bytes per id for several table sizes, and the longest time that one message
+//! waits for the table while it fills, while it is full, and while it empties after a period without
+//! messages.
 //!
-//! `cargo bench -p badgerwind-webhook --bench replay`; each size runs in a process of its own, so that its memory is
-//! its own. Machines are noisy; bytes are not.
+//! `cargo bench -p badgerwind-webhook --bench replay`. Each size runs in its own process, so that memory is
+//! measured separately. The times vary with the load of the machine; the byte counts do not.
 
-use badgerwind_webhook::{Admission, Bounds, Digest, Ending, Id, Replay};
+use badgerwind_webhook::{Admission, Digest, Ending, Id, Replay, ReplayLimits};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// An answer of a lodgement: a receipt.
+/// Size in bytes of a lodgement's answer, which is a receipt.
 const ANSWER: usize = 160;
-const KEEP: u64 = 600_000_000;
+const RETENTION: u64 = 600_000_000;
 
 /// Resident memory of this process, in KiB.
 fn resident() -> u64 {
@@ -20,10 +21,11 @@
 }
 
 fn fill(count: usize) {
-    let bounds = Bounds { count, keep: KEEP, waiters: 16, bytes: usize::MAX };
+    let limits =
+        ReplayLimits { max_ids: count, retention: RETENTION, max_waiters: 16, max_bytes: usize::MAX };
     let before = resident();
     let began = Instant::now();
-    let mut memory: Replay<Arc<[u8]>, u32> = Replay::new(bounds);
+    let mut memory: Replay<Arc<[u8]>, u32> = Replay::new(limits);
     let made = began.elapsed();
     let digest = Digest::of(b"a body");
     let mut longest = [Duration::ZERO; 2];
@@ -36,20 +38,20 @@
         longest[at] = longest[at].max(began.elapsed());
         admitted == Admission::Run
     };
-    // As many as the time allows: the last comes just before the first is forgotten.
+    // Fills the table within one retention period: the last id is added just before the first one expires.
     for n in 0..count {
-        assert!(call(&mut memory, n as u64 * KEEP / count as u64, n, 0), "{n}");
+        assert!(call(&mut memory, n as u64 * RETENTION / count as u64, n, 0), "{n}");
     }
     let grown = resident() - before;
-    assert!(!call(&mut memory, KEEP - 1, count, 0), "full");
-    // As many again come and go at a full table: what was let go leaves gaps behind.
+    assert!(!call(&mut memory, RETENTION - 1, count, 0), "full");
+    // Replaces every id while the table is full; removed entries leave gaps in the hash tables.
     for n in 0..count {
-        let now = KEEP + n as u64 * KEEP / count as u64;
+        let now = RETENTION + n as u64 * RETENTION / count as u64;
         assert!(call(&mut memory, now, count + n, 0), "{n}");
     }
-    // A silence in which all of it ages, then messages again.
+    // A period without messages in which all ids expire, then messages again.
     for n in 0..1000.min(count) {
-        assert!(call(&mut memory, 4 * KEEP, 2 * count + n, 1));
+        assert!(call(&mut memory, 4 * RETENTION, 2 * count + n, 1));
     }
     println!(
         "{count:>9} ids: {:>4.0} bytes an id beside its answer of {ANSWER}; made in {:>6.1} ms; longest wait {:>7.2} ms while filling, {:>7.2} ms after a silence",
@@ -61,7 +63,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` runs this too, and wants no measurement.
+    // `cargo test --benches` also runs this program, without `--bench`; it must not measure then.
     let args: Vec<String> = std::env::args().collect();
     if !args.iter().any(|a| a == "--bench") {
         return;
--- a/crates/badgerwind-webhook/benches/verify.rs
+++ b/crates/badgerwind-webhook/benches/verify.rs
@@ -1,6 +1,7 @@
-//! What checking a signature costs by the size of the body, and what a forged one costs beside a good one.
+//! Cost of verifying a signature by body size, for valid, forged and stale messages.
 //!
-//! `cargo bench -p badgerwind-webhook --bench verify`; machines are noisy, read the ratios.
+//! `cargo bench -p badgerwind-webhook --bench verify`. Times vary with the load of the machine; compare
+//! ratios.
 
 use badgerwind_webhook::{sign, Key, KeyKind, KeyRing, RingKey};
 use std::hint::black_box;
@@ -9,7 +10,7 @@
 const NOW: i64 = 1_800_000_000;
 
 fn main() {
-    // `cargo test --benches` runs this too, and wants no measurement.
+    // `cargo test --benches` also runs this program, without `--bench`; it must not measure then.
     if !std::env::args().any(|a| a == "--bench") {
         return;
     }
--- a/crates/badgerwind-webhook/examples/interop.rs
+++ b/crates/badgerwind-webhook/examples/interop.rs
@@ -1,5 +1,6 @@
-//! One half of `tools/interop/run`: signs a table of messages for other languages' libraries, or verifies what they
-//! signed. One message a line: secret, id, timestamp, body in base64, signature, separated by tabs.
+//! The Rust side of `tools/interop/run`: signs a table of messages for libraries in other languages, or
+//! verifies the messages that they signed. One message per line: secret, id, timestamp, body in base64,
+//! signature, separated by tabs.
 
 use badgerwind_webhook::{sign, Key, KeyRing, RingKey};
 use base64::engine::general_purpose::STANDARD;
@@ -42,7 +43,7 @@
             good += 1;
         } else {
             bad += 1;
-            eprintln!("not as it should be: {id} at {time}");
+            eprintln!("unexpected result for message {id} at {time}");
         }
     }
     println!("{good} of theirs accepted, {bad} wrong");
--- a/crates/badgerwind-webhook/src/key.rs
+++ b/crates/badgerwind-webhook/src/key.rs
@@ -1,35 +1,36 @@
-//! Keys in their written forms: `whsec_` (shared secret), `whsk_` (ed25519 private), `whpk_` (ed25519 public).
+//! Keys and their text encodings: `whsec_` (shared secret), `whsk_` (ed25519 private), `whpk_` (ed25519
+//! public).
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use ed25519_dalek::{SigningKey, VerifyingKey};
 use zeroize::{Zeroize, Zeroizing};
 
-/// What is wrong with the written form of a key. It never holds any of the key's bytes.
+/// Why a key's text cannot be parsed. It never contains any of the key's bytes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// Neither of the known prefixes.
+    /// The text starts with none of the known prefixes.
     #[error("a key starts with whsec_ (shared secret), whsk_ (ed25519 private) or whpk_ (ed25519 public)")]
     Prefix,
-    /// The rest is no base64.
-    #[error("what follows the prefix {0} is not base64")]
+    /// The text after the prefix is not base64.
+    #[error("the text after the prefix {0} is not base64")]
     Base64(&'static str),
-    /// Too few or too many bytes.
-    #[error("a {kind} key holds {wanted} bytes, this one {found}")]
+    /// The key has too few or too many bytes.
+    #[error("a {kind} key must hold {wanted} bytes; this one holds {found}")]
     Length {
         /// The prefix.
         kind: &'static str,
-        /// What would be right.
+        /// The permitted lengths.
         wanted: &'static str,
-        /// Bytes found.
+        /// The number of bytes found.
         found: usize,
     },
-    /// No point on the curve.
-    #[error("the whpk_ key is no ed25519 public key")]
+    /// The bytes do not encode a point on the curve.
+    #[error("the whpk_ key is not a valid ed25519 public key")]
     Point,
 }
 
-/// What a key can do.
+/// What a key can be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyKind {
     /// Signs and verifies `v1`.
@@ -40,12 +41,12 @@
     Public,
 }
 
-/// A key. Its bytes are wiped when it is dropped, and its debug form shows none of them.
+/// A key. Secret bytes are zeroized on drop, and the `Debug` output contains none of them.
 #[derive(Clone)]
 pub enum Key {
     /// A shared secret.
     Shared(Zeroizing<Vec<u8>>),
-    /// An ed25519 private key; it wipes itself.
+    /// An ed25519 private key, which zeroizes itself on drop.
     Private(Box<SigningKey>),
     /// An ed25519 public key.
     Public(VerifyingKey),
@@ -57,11 +58,11 @@
     }
 }
 
-/// The specification asks for 24 to 64 bytes in a shared secret ("Signature scheme").
-const SHARED: std::ops::RangeInclusive<usize> = 24..=64;
+/// Permitted length of a shared secret in bytes, as the specification requires ("Signature scheme").
+const SHARED_SECRET_BYTES: std::ops::RangeInclusive<usize> = 24..=64;
 
 impl Key {
-    /// Reads the written form; white space around it is passed over.
+    /// Parses a key's text; surrounding white space is ignored.
     pub fn parse(text: &str) -> Result<Key, KeyError> {
         let text = text.trim();
         let bytes = |prefix: &'static str, rest: &str| {
@@ -69,13 +70,13 @@
         };
         if let Some(rest) = text.strip_prefix("whsec_") {
             let secret = bytes("whsec_", rest)?;
-            if !SHARED.contains(&secret.len()) {
+            if !SHARED_SECRET_BYTES.contains(&secret.len()) {
                 return Err(KeyError::Length { kind: "whsec_", wanted: "24 to 64", found: secret.len() });
             }
             Ok(Key::Shared(secret))
         } else if let Some(rest) = text.strip_prefix("whsk_") {
             let secret = bytes("whsk_", rest)?;
-            // Some libraries write seed and public key together, 64 bytes; the seed comes first.
+            // Some libraries write the seed followed by the public key, 64 bytes in all.
             let seed = match secret.len() {
                 32 | 64 => <[u8; 32]>::try_from(&secret[..32]).ok(),
                 _ => None,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// A new shared secret of 32 random bytes, or a new ed25519 private key.
+    /// Generates a shared secret of 32 random bytes, or an ed25519 private key.
     pub fn generate(kind: KeyKind) -> Result<Key, getrandom::Error> {
         let mut bytes = Zeroizing::new([0u8; 32]);
         getrandom::fill(&mut bytes[..])?;
@@ -108,10 +109,10 @@
         })
     }
 
-    /// The written form, to be stored in a file that nobody else reads.
+    /// The key as text, including secret bytes; store it only in a file that no other user can read.
     pub fn to_text(&self) -> Zeroizing<String> {
         let (prefix, bytes) = match self {
-            Key::Shared(s) => ("whsec_", s.clone()),
+            Key::Shared(secret) => ("whsec_", secret.clone()),
             Key::Private(k) => ("whsk_", Zeroizing::new(k.to_bytes().to_vec())),
             Key::Public(k) => ("whpk_", Zeroizing::new(k.to_bytes().to_vec())),
         };
@@ -120,7 +121,7 @@
         text
     }
 
-    /// What it can do.
+    /// What the key can be used for.
     pub fn kind(&self) -> KeyKind {
         match self {
             Key::Shared(_) => KeyKind::Shared,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The public half of a private key.
+    /// The public key of a private or public key; `None` for a shared secret.
     pub fn public(&self) -> Option<Key> {
         match self {
             Key::Private(k) => Some(Key::Public(k.verifying_key())),
--- a/crates/badgerwind-webhook/src/sign.rs
+++ b/crates/badgerwind-webhook/src/sign.rs
@@ -1,4 +1,4 @@
-//! Signing, and verifying against a ring of live keys.
+//! Signing messages, and verifying them against a key ring.
 
 use crate::Key;
 use base64::engine::general_purpose::STANDARD;
@@ -21,7 +21,7 @@
     pub signature: String,
 }
 
-/// Signs a message under every key that can sign; several keys give several signatures, separated by spaces.
+/// Signs a message with every key that can sign; several keys give several signatures, separated by spaces.
 pub fn sign(keys: &[Key], id: &str, timestamp: i64, body: &[u8]) -> Signed {
     let start = format!("{id}.{timestamp}.");
     let mut parts = Vec::new();
@@ -43,90 +43,91 @@
 }
 
 fn mac(secret: &[u8], start: &[u8], body: &[u8]) -> Option<HmacSha256> {
-    // An HMAC takes a key of any length (RFC 2104 section 2), so this is never `None`.
+    // HMAC accepts keys of any length (RFC 2104 section 2), so this is never `None`.
     let mut mac = HmacSha256::new_from_slice(secret).ok()?;
     mac.update(start);
     mac.update(body);
     Some(mac)
 }
 
-/// Why a message is not accepted. The texts tell a sender what to mend and an attacker nothing of the keys.
+/// Why a message is rejected. The texts tell a sender what to correct and reveal nothing about the keys.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VerifyError {
-    /// A header is not there.
+    /// A header is missing.
     #[error("the header {0} is missing")]
     Missing(&'static str),
-    /// An id that cannot be one.
+    /// The id is malformed.
     #[error("webhook-id must be 1 to 256 visible ASCII characters with no full stop")]
     MalformedId,
-    /// Not a whole number of seconds.
+    /// The timestamp is not a whole number of seconds.
     #[error("webhook-timestamp must be whole seconds since the Unix epoch")]
     MalformedTimestamp,
-    /// Signed too long ago: perhaps replayed, or a slow clock.
+    /// The message was signed too long ago: it may be replayed, or the sender's clock may be slow.
     #[error("webhook-timestamp is {by} s too old; check the sender's clock")]
     TooOld {
         /// Seconds beyond the tolerance.
         by: u64,
     },
-    /// Signed in the future: a fast clock.
+    /// The message was signed in the future: the sender's clock is fast.
     #[error("webhook-timestamp is {by} s too far in the future; check the sender's clock")]
     TooNew {
         /// Seconds beyond the tolerance.
         by: u64,
     },
-    /// No signature of a known version and form.
+    /// There is no well-formed signature of a known version.
     #[error("webhook-signature holds no signature of version v1 or v1a")]
     NoSignature,
-    /// More signatures than are looked at.
+    /// There are more signatures than the limit.
     #[error("webhook-signature holds more than {most} signatures")]
     TooMany {
-        /// The bound.
+        /// The limit.
         most: usize,
     },
-    /// None is by a live key over this message.
+    /// No signature of this message matches a live key.
     #[error("no signature matches")]
     Mismatch,
 }
 
 impl VerifyError {
-    /// True where the time is at fault, not the signature.
+    /// True if the message was rejected for its timestamp, not for its signature.
     pub fn is_stale(&self) -> bool {
         matches!(self, VerifyError::TooOld { .. } | VerifyError::TooNew { .. })
     }
-    /// True where the message is not of the specification's form.
+    /// True if the message does not have the form that the specification requires.
     pub fn is_malformed(&self) -> bool {
         !self.is_stale() && !matches!(self, VerifyError::Mismatch)
     }
 }
 
-/// A live key, with the name that logs use for it.
+/// A key of a ring, with the name that logs use for it.
 #[derive(Clone, Debug)]
 pub struct RingKey {
-    /// Its name; never its bytes.
+    /// The key's name; it never contains the key's bytes.
     pub name: Arc<str>,
     /// The key.
     pub key: Key,
-    /// It counts from this time on, in seconds since the Unix epoch; `None`: always.
+    /// The key is live from this time on, in seconds since the Unix epoch; `None` sets no start.
     pub not_before: Option<i64>,
-    /// It counts until before this time; `None`: for ever.
+    /// The key is live until before this time, in seconds since the Unix epoch; `None` sets no end.
     pub not_after: Option<i64>,
 }
 
-/// The live keys of one sender. Several may be live at once, so that a secret can be rotated without a gap.
+/// The keys of one sender. Several may be live at once, so that a secret can be rotated without a gap.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
     /// The keys.
     pub keys: Vec<RingKey>,
-    /// How far a timestamp may lie from now, both ways, in seconds; a timestamp at the very edge is accepted.
+    /// How far a timestamp may differ from the current time in either direction, in seconds, inclusive.
     pub tolerance: u64,
 }
 
-/// Signatures looked at in one message: enough for a rotation of both kinds, and a bound on work.
-const MOST_SIGNATURES: usize = 8;
+/// Largest number of signatures in one message: enough for a rotation of both kinds of keys, and a limit on
+/// work.
+const MAX_SIGNATURES: usize = 8;
 
 impl KeyRing {
-    /// Checks a message as it came: headers as text, the body as raw bytes. Cheap checks come first. Returns the
-    /// name of the key that matched. `now` is in seconds since the Unix epoch.
+    /// Verifies a message as received, headers as text and the body as raw bytes. The cheap checks run first.
+    /// Returns the name of the key that matched. `now` is in seconds since the Unix epoch.
     pub fn verify(
         &self,
         now: i64,
@@ -138,18 +139,19 @@
         self.claim(now, id, timestamp, signature)?.check(self, now, body)
     }
 
-    /// Whether a timestamp lies within the tolerance, both edges included. To be asked again when a message whose
-    /// body took its time is held against the memory of ids: it may have grown too old since, and been forgotten.
+    /// Whether a timestamp lies within the tolerance, inclusive. Call it again right before the lookup in
+    /// [`crate::Replay`] if reading the body took time: the message may have become too old since, and its id
+    /// may have been forgotten.
     pub fn in_time(&self, now: i64, sent: i64) -> Result<(), VerifyError> {
-        let apart = now.abs_diff(sent);
-        if apart <= self.tolerance {
+        let difference = now.abs_diff(sent);
+        if difference <= self.tolerance {
             return Ok(());
         }
-        let by = apart - self.tolerance;
+        let by = difference - self.tolerance;
         Err(if sent < now { VerifyError::TooOld { by } } else { VerifyError::TooNew { by } })
     }
 
-    /// What can be judged by the headers alone, before a body is read: their form and the time.
+    /// Checks what the headers alone show, before the body is read: their form and the timestamp.
     pub fn claim(
         &self,
         now: i64,
@@ -160,7 +162,8 @@
         let id = id.ok_or(VerifyError::Missing(crate::ID))?;
         let timestamp = timestamp.ok_or(VerifyError::Missing(crate::TIMESTAMP))?;
         let signature = signature.ok_or(VerifyError::Missing(crate::SIGNATURE))?;
-        // A full stop in the id would let the borders of what is signed move ("Signature scheme").
+        // A full stop in the id would make the boundary between id and timestamp ambiguous ("Signature
+        // scheme").
         if id.is_empty() || id.len() > 256 || !id.bytes().all(|b| b.is_ascii_graphic() && b != b'.') {
             return Err(VerifyError::MalformedId);
         }
@@ -169,29 +172,30 @@
         self.in_time(now, sent)?;
         let (mut shared, mut public) = (Vec::new(), Vec::new());
         for (n, part) in signature.split(' ').filter(|p| !p.is_empty()).enumerate() {
-            if n >= MOST_SIGNATURES {
-                return Err(VerifyError::TooMany { most: MOST_SIGNATURES });
+            if n >= MAX_SIGNATURES {
+                return Err(VerifyError::TooMany { most: MAX_SIGNATURES });
             }
             let Some((version, text)) = part.split_once(',') else { continue };
             let Ok(bytes) = STANDARD.decode(text) else { continue };
             match version {
                 "v1" if bytes.len() == 32 => shared.push(bytes),
                 "v1a" => public.extend(ed25519_dalek::Signature::from_slice(&bytes)),
-                _ => {} // "Signature scheme": versions not known are passed over
+                _ => {} // unknown versions are ignored ("Signature scheme")
             }
         }
         if shared.is_empty() && public.is_empty() {
             return Err(VerifyError::NoSignature);
         }
-        // The timestamp goes in as it was written: what was signed is text.
+        // The signed content holds the timestamp as the sender wrote it.
         Ok(Claim { start: format!("{id}.{timestamp}."), sent, shared, public })
     }
 }
 
-/// What a message's headers claim, in good form and of a good time; whether it is true, its body shows.
+/// The signatures of a message whose headers are well formed and whose timestamp is valid; they are not yet
+/// verified.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// What is signed before the body.
+    /// The signed content before the body.
     start: String,
     sent: i64,
     shared: Vec<Vec<u8>>,
@@ -204,14 +208,15 @@
         self.sent
     }
 
-    /// Holds the claim against the body and the live keys of a ring; returns the name of the key that matched.
+    /// Verifies the signatures with the body and the live keys of a ring; returns the name of the key that
+    /// matched.
     pub fn check(&self, ring: &KeyRing, now: i64, body: &[u8]) -> Result<Arc<str>, VerifyError> {
         let Claim { start, shared, public, .. } = self;
         let live =
             |k: &&RingKey| k.not_before.is_none_or(|t| now >= t) && k.not_after.is_none_or(|t| now < t);
-        let mut whole = None;
-        for ring in ring.keys.iter().filter(live) {
-            let matched = match &ring.key {
+        let mut signed_content = None;
+        for ring_key in ring.keys.iter().filter(live) {
+            let matched = match &ring_key.key {
                 Key::Shared(secret) if !shared.is_empty() => {
                     // `verify_slice` compares in constant time.
                     let mac = mac(secret, start.as_bytes(), body);
@@ -219,11 +224,13 @@
                 }
                 Key::Shared(_) => false,
                 Key::Private(_) | Key::Public(_) if public.is_empty() => false,
-                Key::Private(k) => verify_public(&k.verifying_key(), &mut whole, start, body, public),
-                Key::Public(k) => verify_public(k, &mut whole, start, body, public),
+                Key::Private(k) => {
+                    verify_public(&k.verifying_key(), &mut signed_content, start, body, public)
+                }
+                Key::Public(k) => verify_public(k, &mut signed_content, start, body, public),
             };
             if matched {
-                return Ok(ring.name.clone());
+                return Ok(ring_key.name.clone());
             }
         }
         Err(VerifyError::Mismatch)
@@ -232,12 +239,13 @@
 
 fn verify_public(
     key: &ed25519_dalek::VerifyingKey,
-    whole: &mut Option<Vec<u8>>,
+    signed_content: &mut Option<Vec<u8>>,
     start: &str,
     body: &[u8],
     signatures: &[ed25519_dalek::Signature],
 ) -> bool {
-    let text = whole.get_or_insert_with(|| [start.as_bytes(), body].concat());
-    // Strict: no small-order keys or signatures, so that a signature binds one message (RFC 8032 section 8).
-    signatures.iter().any(|s| key.verify_strict(text, s).is_ok())
+    let content = signed_content.get_or_insert_with(|| [start.as_bytes(), body].concat());
+    // Strict verification rejects small-order keys and signatures, so that a signature binds one message (RFC
+    // 8032 section 8).
+    signatures.iter().any(|s| key.verify_strict(content, s).is_ok())
 }
--- a/crates/badgerwind-webhook/tests/clocks.rs
+++ b/crates/badgerwind-webhook/tests/clocks.rs
@@ -1,17 +1,17 @@
-//! What is told of senders' clocks.
+//! Estimates of senders' clocks, and the clock by which timestamps are checked.
 
-use badgerwind_webhook::{Bounds, Key, KeyKind, KeyRing, RingKey, Skew, Wall};
+use badgerwind_webhook::{ClockSkew, Key, KeyKind, KeyRing, ReplayLimits, RingKey, WallClock};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const NOW: i64 = 1_796_000_040; // the start of a span of a minute
+const NOW: i64 = 1_796_000_040; // the start of a window
 
 #[test]
 fn a_message_on_its_way_makes_a_clock_look_slower_and_the_fastest_message_tells() {
-    let mut skew = Skew::default();
+    let mut skew = ClockSkew::default();
     assert_eq!(skew.ahead(NOW), None);
     for (at, timestamp) in [(NOW, NOW + 7), (NOW + 1, NOW + 2), (NOW + 2, NOW + 10), (NOW + 3, NOW - 30)] {
-        skew.seen(at, timestamp);
+        skew.observe(at, timestamp);
     }
     assert_eq!(skew.ahead(NOW + 3), Some(8));
     assert!(!skew.is_wide(NOW + 3, 16) && skew.is_wide(NOW + 3, 15));
@@ -19,27 +19,28 @@
 
 #[test]
 fn a_clock_that_was_set_is_seen_after_two_spans() {
-    let mut skew = Skew::default();
-    skew.seen(NOW, NOW - 200);
+    let mut skew = ClockSkew::default();
+    skew.observe(NOW, NOW - 200);
     assert_eq!((skew.ahead(NOW), skew.is_wide(NOW, 300)), (Some(-200), true));
-    skew.seen(NOW + 60, NOW + 60);
-    assert_eq!(skew.ahead(NOW + 60), Some(0), "one that is right outweighs one that was late");
-    let mut fast = Skew::default();
-    fast.seen(NOW, NOW + 200);
-    fast.seen(NOW + 60, NOW + 60);
-    assert_eq!(fast.ahead(NOW + 60), Some(200), "the span before still counts");
-    fast.seen(NOW + 120, NOW + 120);
+    skew.observe(NOW + 60, NOW + 60);
+    assert_eq!(skew.ahead(NOW + 60), Some(0), "a correct timestamp outweighs a delayed one");
+    let mut fast = ClockSkew::default();
+    fast.observe(NOW, NOW + 200);
+    fast.observe(NOW + 60, NOW + 60);
+    assert_eq!(fast.ahead(NOW + 60), Some(200), "the previous window still counts");
+    fast.observe(NOW + 120, NOW + 120);
     assert_eq!(fast.ahead(NOW + 120), Some(0));
-    assert_eq!(fast.ahead(NOW + 400), None, "and nothing is told of long ago");
+    assert_eq!(fast.ahead(NOW + 400), None, "old windows give no estimate");
 }
 
 const US: i64 = 1_000_000;
 
 #[test]
 fn a_clock_that_is_set_back_makes_no_old_message_good_again() {
-    let mut wall = Wall::default();
+    let mut wall = WallClock::default();
     assert_eq!(wall.at(0, NOW * US), NOW);
-    // An hour back: time goes on, a little slower, and the hour is made up for within eight.
+    // The clock is set back an hour: time continues at seven eighths of its rate, and the hour is absorbed
+    // within eight.
     let reading = |s: u64| (NOW - 3600) * US + s as i64 * US;
     assert_eq!(wall.at(80_000_000, reading(80)), NOW + 70);
     assert_eq!(wall.behind(80_000_000, reading(80)), 3590);
@@ -48,7 +49,7 @@
     }
     assert_eq!(wall.at(29_000_000_000, reading(29_000)), NOW - 3600 + 29_000);
     assert_eq!(wall.behind(29_000_000_000, reading(29_000)), 0);
-    // Forth it goes at once.
+    // A clock that is set forward takes effect at once.
     assert_eq!(wall.at(29_000_000_000, reading(30_000)), NOW - 3600 + 30_000);
 }
 
@@ -62,8 +63,8 @@
     ring.claim(now, Some("m"), Some(&sent.to_string()), Some(&signature)).is_ok()
 }
 
-/// The whole life of a signature, in steps of 10 ms of a clock that is read in whole seconds: wherever in a second it
-/// was first taken, it is not acceptable any more once its id may be forgotten.
+/// The clock is read in whole seconds. Wherever within a second (in steps of 10 ms) a signature was first
+/// accepted, it must be invalid by the time its id may be forgotten.
 #[test]
 fn no_signature_outlives_its_memory() {
     let key = Key::generate(KeyKind::Shared).unwrap();
@@ -73,8 +74,8 @@
             let (sent, first) = (NOW + tolerance as i64, NOW * 1000 + start);
             assert!(good(&ring, first.div_euclid(1000), sent));
             let edge = first + 2000 * tolerance as i64;
-            assert!(good(&ring, edge.div_euclid(1000), sent), "twice the tolerance later it is still good");
-            let forgotten = first + Bounds::keep_for(tolerance) as i64 / 1000;
+            assert!(good(&ring, edge.div_euclid(1000), sent), "still valid after twice the tolerance");
+            let forgotten = first + ReplayLimits::retention_for(tolerance) as i64 / 1000;
             assert!(
                 !good(&ring, forgotten.div_euclid(1000), sent),
                 "{tolerance} s, {start} ms into a second"
@@ -86,8 +87,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::with_cases(300) })]
 
-    /// However the wall clock is set back and forth, and however often it is looked at, no message is acceptable after
-    /// its id's memory has ended.
+    /// However the system clock is set back and forth, and however often it is read, no message is valid
+    /// after the retention of its id has ended.
     #[test]
     fn nor_where_the_clock_is_set(
         tolerance in 1u64..20,
@@ -96,19 +97,19 @@
     ) {
         let key = Key::generate(KeyKind::Shared).unwrap();
         let ring = ring(&key, tolerance);
-        let (mut wall, mut mono, mut set) = (Wall::default(), 0u64, 0i64);
-        let mut taken = None;
+        let (mut wall, mut mono, mut set) = (WallClock::default(), 0u64, 0i64);
+        let mut accepted = None;
         let sent = NOW + ahead;
         let mut last = i64::MIN;
         for (pass, by) in steps {
             mono += pass;
             set += by;
             let now = wall.at(mono, NOW * US + mono as i64 + set);
-            prop_assert!(now >= last, "it went back");
+            prop_assert!(now >= last, "the clock went back");
             last = now;
             if good(&ring, now, sent) {
-                let first = *taken.get_or_insert(mono);
-                prop_assert!(mono < first + Bounds::keep_for(tolerance), "taken at {first}, good again at {mono}");
+                let first = *accepted.get_or_insert(mono);
+                prop_assert!(mono < first + ReplayLimits::retention_for(tolerance), "accepted at {first}, valid again at {mono}");
             }
         }
     }
--- a/crates/badgerwind-webhook/tests/signatures.rs
+++ b/crates/badgerwind-webhook/tests/signatures.rs
@@ -1,4 +1,5 @@
-//! Signatures against the specification's own library, a table of forgeries, and any bytes.
+//! Signatures: interoperability with the specification's reference library, a table of forgeries, and
+//! arbitrary input.
 
 use badgerwind_webhook::*;
 use proptest::prelude::*;
@@ -24,7 +25,7 @@
     ring.verify(now, Some(&s.id), Some(&timestamp), Some(&s.signature), body).map(|_| ())
 }
 
-/// The example of the specification's libraries.
+/// The example in the documentation of the specification's libraries.
 #[test]
 fn the_published_example_verifies() {
     let ring = ring(&[SECRET]);
