--- a/crates/badgerwind-protocol/src/list.rs
+++ b/crates/badgerwind-protocol/src/list.rs
@@ -1,43 +1,43 @@
-//! The list of runners: whole, or what changed since a version.
+//! The list of runners: either complete, or the changes since a version.
 
 use badgerwind::interface::{Availability, WorkerEntry};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Whether a runner takes work.
+/// The state of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It does.
+    /// The runner accepts work.
     Ready,
-    /// It finishes what it has.
+    /// The runner accepts no new work and finishes the calls that it has.
     Draining,
-    /// It is no longer there.
+    /// The runner was removed.
     Gone,
 }
 
-/// A runner.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Runner {
-    /// Its id, which survives a restart of its process.
+    /// The runner's id, which stays the same when its process restarts.
     pub id: u32,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// Its zone's place in the settings.
+    /// Index of its zone in the settings.
     #[serde(default)]
     pub zone: u32,
-    /// Its cell: runners that share the keys that they have seen.
+    /// Its cell: a group of runners that share a record of the idempotency keys they have seen.
     #[serde(default)]
     pub cell: u32,
-    /// Its kind's place in the settings.
+    /// Index of its kind in the settings.
     #[serde(default)]
     pub kind: u32,
-    /// A size to compare with other runners'.
+    /// Its capacity relative to other runners.
     #[serde(default = "one")]
     pub size: f64,
-    /// Whether it takes work.
+    /// Its state.
     pub state: State,
-    /// When its process started, in microseconds since the Unix epoch; absent: long ago.
+    /// When its process started, in microseconds since the Unix epoch; absent if it started long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started: Option<u64>,
 }
@@ -47,7 +47,8 @@
 }
 
 impl Runner {
-    /// What the module is told of it. The front end's clock counts from the Unix epoch too, so a start is a time.
+    /// The entry as passed to the decision module. The front end's clock also counts from the Unix epoch, so
+    /// the start time needs no conversion.
     pub fn entry(&self) -> WorkerEntry {
         WorkerEntry {
             worker: self.id,
@@ -65,26 +66,26 @@
     }
 }
 
-/// A list, as the service answers and as a front end keeps it.
+/// A list, as the service sends it and as a front end stores it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct List {
-    /// Its version; it only grows within one life of the service.
+    /// Its version, which only increases while the service's process runs.
     pub version: u64,
-    /// The whole list, or changes since the version asked for.
+    /// True for a complete list, false for the changes since the requested version.
     pub whole: bool,
-    /// Its runners.
+    /// The runners.
     pub runners: Vec<Runner>,
 }
 
-/// Runners that a list may name: a bound on what is read from outside.
-pub const MOST_RUNNERS: usize = 10_000;
+/// Largest number of runners in a list; a limit on external input.
+pub const MAX_RUNNERS: usize = 10_000;
 
 impl List {
-    /// Reads an answer; the error says what is wrong.
+    /// Parses and validates a list; the error says what is invalid.
     pub fn parse(bytes: &[u8]) -> Result<List, String> {
         let list: List = serde_json::from_slice(bytes).map_err(|e| format!("not a runner list: {e}"))?;
-        if list.runners.len() > MOST_RUNNERS {
-            return Err(format!("{} runners, {MOST_RUNNERS} at most", list.runners.len()));
+        if list.runners.len() > MAX_RUNNERS {
+            return Err(format!("the list has {} runners, more than {MAX_RUNNERS}", list.runners.len()));
         }
         if let Some(r) = list.runners.iter().find(|r| !r.size.is_finite() || r.size <= 0.0) {
             return Err(format!("runner {}: size must be above 0", r.id));
@@ -93,7 +94,8 @@
     }
 }
 
-/// The target that asks for what changed after a version, or for the whole list.
+/// The request target for the changes after a version, or for the complete list if `after` is `None`.
+/// `wait_ms` is how long the service may hold the request until there is a change.
 pub fn target(front: u32, after: Option<u64>, wait_ms: u64) -> String {
     match after {
         Some(version) => format!("/runners?front={front}&after={version}&wait={wait_ms}"),
--- a/crates/badgerwind-protocol/src/runner.rs
+++ b/crates/badgerwind-protocol/src/runner.rs
@@ -1,49 +1,50 @@
-//! Gateway to runner, over HTTP/1.1. The call is a signed webhook; loads follow the model repository extension of
-//! the Open Inference Protocol.
+//! The protocol between gateway and runner, over HTTP/1.1. A call is a signed webhook; load orders follow the
+//! model repository extension of the Open Inference Protocol.
 
 use badgerwind::interface::{CopyMark, Outcome};
 use serde::{Deserialize, Serialize};
 
-/// Names an attempt: `REQUEST/NUMBER`.
+/// Header: the attempt's id, `REQUEST/NUMBER`.
 pub const ATTEMPT: &str = "badgerwind-attempt";
-/// The number of the front end that sends.
+/// Header: the number of the sending front end.
 pub const FRONT: &str = "badgerwind-front";
-/// The class's name.
+/// Header: the name of the call's class.
 pub const CLASS: &str = "badgerwind-class";
-/// The tenant's name.
+/// Header: the name of the tenant.
 pub const TENANT: &str = "badgerwind-tenant";
-/// Memory of one copy, in MB.
+/// Header: the memory of one copy, in MB.
 pub const MEMORY: &str = "badgerwind-memory-mb";
-/// Calls that one copy runs at a time.
+/// Header: the number of calls that one copy runs at a time.
 pub const LANES: &str = "badgerwind-lanes";
-/// What is left of the sender's time, in milliseconds.
+/// Header: the time left until the sender's deadline, in milliseconds.
 pub const TIME_LEFT: &str = "badgerwind-time-left-ms";
-/// How the attempt ended; where it is missing, nothing is proven.
+/// Header: how the attempt ended. An answer without it is no proof that the call never ran.
 pub const OUTCOME: &str = "badgerwind-outcome";
-/// What is said of the copy.
+/// Header: the state of the copy that the call met, see [`mark`].
 pub const COPY: &str = "badgerwind-copy";
-/// Calls for the same function that the runner held when this one came.
+/// Header: the number of calls for the same function that the runner held when this one arrived.
 pub const CROWD: &str = "badgerwind-crowd";
 
-/// Which of two attempts of a call is the newer one: `TAKEN.FRONT.ATTEMPT`, see `badgerwind-attempts`.
+/// Header: `TAKEN.FRONT.ATTEMPT`, which orders the attempts of a call from older to newer, see
+/// `badgerwind-attempts`.
 pub const FENCE: &str = "badgerwind-fence";
-/// The load report: numbers separated by commas, in the order that the settings name.
+/// Header: the load report, numbers separated by commas in the order given in the settings.
 pub const REPORT: &str = "badgerwind-report";
-/// Values of a report: a bound on what is read from outside.
-const MOST_VALUES: usize = 8;
+/// Largest number of values in a load report; a limit on external input.
+const MAX_REPORT_VALUES: usize = 8;
 
-/// Reads a load report; one that holds anything but finite numbers is no report.
+/// Parses a load report; `None` if it contains anything but finite numbers, or too many of them.
 pub fn report(text: Option<&str>) -> Option<Vec<f64>> {
     let number = |v: &str| v.trim().parse::<f64>().ok().filter(|n| n.is_finite());
-    let values: Option<Vec<f64>> = text?.split(',').take(MOST_VALUES + 1).map(number).collect();
-    values.filter(|v| v.len() <= MOST_VALUES)
+    let values: Option<Vec<f64>> = text?.split(',').take(MAX_REPORT_VALUES + 1).map(number).collect();
+    values.filter(|v| v.len() <= MAX_REPORT_VALUES)
 }
 
 /// The path of a call.
 pub fn call_path(function: &str) -> String {
     format!("/calls/{function}")
 }
-/// The path by which an attempt is called off, with `DELETE`.
+/// The path that cancels an attempt, with `DELETE`.
 pub fn attempt_path(request: &str, attempt: u32) -> String {
     format!("/attempts/{request}/{attempt}")
 }
@@ -51,7 +52,7 @@
 pub fn load_path(function: &str) -> String {
     format!("/v2/repository/models/{function}/load")
 }
-/// The path of an unload (the same, `unload`).
+/// The path of an unload order (the same extension, `unload`).
 pub fn unload_path(function: &str) -> String {
     format!("/v2/repository/models/{function}/unload")
 }
@@ -65,10 +66,12 @@
     pub parameters: LoadParameters,
 }
 
-/// The extension lets parameters carry names of one's own; these are ours.
+/// The parameters of a load order. The extension permits implementation-specific parameters; these are this
+/// project's.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadParameters {
-    /// Copies that are to stand, whoever asked for them; 0 only asks.
+    /// Number of copies that must be loaded, whichever front end ordered them; 0 only queries the number of
+    /// loaded copies.
     pub copies: u32,
     /// Memory of one copy, in MB.
     pub memory_mb: f64,
@@ -79,15 +82,15 @@
 /// The answer to a load order, whatever its status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadAnswer {
-    /// Copies that stand loaded.
+    /// Number of loaded copies.
     pub copies: u32,
-    /// What went wrong, in words.
+    /// A description of the error, if there was one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
 }
 
-/// The word for an outcome that a runner can state.
-pub fn outcome_word(outcome: Outcome) -> Option<&'static str> {
+/// The header value of an outcome; `None` for outcomes that a runner cannot report.
+pub fn outcome_name(outcome: Outcome) -> Option<&'static str> {
     Some(match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
@@ -98,7 +101,7 @@
     })
 }
 
-/// The status that goes with it.
+/// The HTTP status of an outcome.
 pub fn outcome_status(outcome: Outcome) -> u16 {
     match outcome {
         Outcome::Ok => 200,
@@ -108,10 +111,10 @@
     }
 }
 
-/// What an answer's status and outcome header mean together. Only a runner's own word proves that a call never ran:
-/// a bare 404 or 503 may come from something in between and proves nothing.
-pub fn outcome(status: u16, word: Option<&str>) -> Outcome {
-    match (status, word) {
+/// The outcome that an answer's status and outcome header indicate together. Only the runner's own header
+/// proves that a call never ran: a 404 or 503 without it may come from an intermediary and proves nothing.
+pub fn outcome(status: u16, name: Option<&str>) -> Outcome {
+    match (status, name) {
         (200..=299, None | Some("ok")) => Outcome::Ok,
         (503, Some("full")) => Outcome::Full,
         (404, Some("miss")) => Outcome::Miss,
@@ -119,8 +122,8 @@
     }
 }
 
-/// The word for a copy mark.
-pub fn mark_word(mark: CopyMark) -> Option<&'static str> {
+/// The header value of a copy mark.
+pub fn mark_name(mark: CopyMark) -> Option<&'static str> {
     match mark {
         CopyMark::Untold => None,
         CopyMark::Warm => Some("warm"),
@@ -130,9 +133,9 @@
     }
 }
 
-/// The copy mark of a word; one not known tells nothing.
-pub fn mark(word: Option<&str>) -> CopyMark {
-    match word {
+/// The copy mark of a header value; unknown values mean `Untold`.
+pub fn mark(name: Option<&str>) -> CopyMark {
+    match name {
         Some("warm") => CopyMark::Warm,
         Some("began-load") => CopyMark::BeganLoad,
         Some("waited") => CopyMark::WaitedForLoad,
--- a/crates/badgerwind-protocol/tests/words.rs
+++ b/crates/badgerwind-protocol/tests/words.rs
@@ -1,4 +1,4 @@
-//! Words there and back, and what they prove.
+//! Header values and lists: round trips, and the rejection of invalid input.
 
 use badgerwind::interface::{CopyMark, Outcome};
 use badgerwind_protocol::list::List;
@@ -9,17 +9,17 @@
 #[test]
 fn outcomes_there_and_back() {
     for o in [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Miss] {
-        assert_eq!(outcome(outcome_status(o), outcome_word(o)), o);
+        assert_eq!(outcome(outcome_status(o), outcome_name(o)), o);
     }
     use CopyMark::*;
     for m in [Untold, Warm, BeganLoad, WaitedForLoad, LoadFailed] {
-        assert_eq!(mark(mark_word(m)), m);
+        assert_eq!(mark(mark_name(m)), m);
     }
 }
 
 #[test]
 fn only_a_runners_own_word_proves_that_a_call_never_ran() {
-    for (status, word) in [
+    for (status, name) in [
         (503, None),
         (404, None),
         (503, Some("miss")),
@@ -27,7 +27,7 @@
         (500, Some("full")),
         (200, Some("full")),
     ] {
-        assert_eq!(outcome(status, word), Outcome::Error, "{status} {word:?}");
+        assert_eq!(outcome(status, name), Outcome::Error, "{status} {name:?}");
     }
 }
 
--- a/crates/badgerwind-standins/src/runner.rs
+++ b/crates/badgerwind-standins/src/runner.rs
@@ -169,7 +169,7 @@
             Out::Answer { call, outcome, mark, crowd } => {
                 let Some(here) = inner.calls.remove(&call) else { return };
                 self.release(&here);
-                let word = runner::outcome_word(outcome).unwrap_or("error");
+                let word = runner::outcome_name(outcome).unwrap_or("error");
                 let (request, attempt) = (here.request.clone(), here.attempt);
                 self.options.recorder.add(What::Replied { runner, request, attempt, outcome: word.into() });
                 inner.by_name.remove(&(here.request, here.attempt));
@@ -429,9 +429,9 @@
                 let text = format!("{{\"runner\":{},\"work_us\":{}}}", self.options.id, work.work_us);
                 let mut response =
                     Response::new(runner::outcome_status(outcome), "application/json", text.into_bytes())
-                        .with(runner::OUTCOME, runner::outcome_word(outcome).unwrap_or("error"))
+                        .with(runner::OUTCOME, runner::outcome_name(outcome).unwrap_or("error"))
                         .with(runner::CROWD, crowd.to_string());
-                if let Some(word) = runner::mark_word(mark) {
+                if let Some(word) = runner::mark_name(mark) {
                     response = response.with(runner::COPY, word);
                 }
                 Some(response)
