--- a/crates/badgerwind-control/src/service.rs
+++ b/crates/badgerwind-control/src/service.rs
@@ -148,7 +148,7 @@
                             Ok(request) if request.type_url == kind.url() => {
                                 // A front end that has gone holds no question open.
                                 let gone = async {
-                                    conn.gone().await;
+                                    conn.closed().await;
                                     None
                                 };
                                 let answer =
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -568,7 +568,7 @@
                 };
                 // One that leaves no longer waits: the call may go on for nobody else.
                 let gone = async {
-                    conn.gone().await;
+                    conn.closed().await;
                     None
                 };
                 let answered = async { Some(answer.recv().or(late).await) };
@@ -589,7 +589,7 @@
                 // What must not run twice and has begun goes on when its sender leaves, so that the answer can be remembered.
                 let keeps = rules.settings.router.classes[class].effect != Effect::Repeatable;
                 let gone = async {
-                    conn.gone().await;
+                    conn.closed().await;
                     None
                 };
                 let answered = async { Some(answer.recv().await) };
--- a/crates/badgerwind-gateway/src/runners.rs
+++ b/crates/badgerwind-gateway/src/runners.rs
@@ -182,13 +182,14 @@
             }
         };
         // Until the connection is up nothing has begun, and nothing has to be stopped at the runner.
-        let way = match async { Race::Off(told().await) }.or(async { Race::Ended(pool.way().await) }).await {
-            Race::Ended(Ok(way)) => way,
-            Race::Ended(Err(e)) => return failed(&e),
-            Race::Off(Stop::Withhold) => return AttemptEnd::plain(Outcome::Moot),
-            Race::Off(Stop::Off(CallOff::Cancelled)) => return AttemptEnd::plain(Outcome::Cancelled),
-            Race::Off(Stop::Off(CallOff::TimedOut)) => return AttemptEnd::plain(Outcome::ConnectFailed),
-        };
+        let way =
+            match async { Race::Off(told().await) }.or(async { Race::Ended(pool.acquire().await) }).await {
+                Race::Ended(Ok(way)) => way,
+                Race::Ended(Err(e)) => return failed(&e),
+                Race::Off(Stop::Withhold) => return AttemptEnd::plain(Outcome::Moot),
+                Race::Off(Stop::Off(CallOff::Cancelled)) => return AttemptEnd::plain(Outcome::Cancelled),
+                Race::Off(Stop::Off(CallOff::TimedOut)) => return AttemptEnd::plain(Outcome::ConnectFailed),
+            };
         if !self.may_begin(worker, &pool) {
             return AttemptEnd::plain(Outcome::Moot);
         }
@@ -204,7 +205,7 @@
             }
             let mut body = Vec::new();
             loop {
-                match answer.piece(&mut body).await {
+                match answer.read_piece(&mut body).await {
                     Ok(true) => {}
                     Ok(false) => break,
                     Err(e) => return failed(&e),
@@ -257,7 +258,7 @@
         let _ = report.send(Input::StreamBegan { id: id.clone(), attempt, reply }).await;
         loop {
             let mut piece = Vec::new();
-            match answer.piece(&mut piece).await {
+            match answer.read_piece(&mut piece).await {
                 Ok(true) if pieces.send(piece).await.is_ok() => {}
                 Ok(true) => return AttemptEnd::plain(Outcome::Cancelled), // the sender has left
                 Ok(false) => {
@@ -291,11 +292,11 @@
         let Some(pool) = self.pool(worker) else { return (Outcome::ConnectFailed, 0) };
         let request = self.post(runner::load_path(function), self.parameters(function, copies));
         let ordered = async {
-            let way = pool.way().await?;
+            let way = pool.acquire().await?;
             if copies > 0 && !self.may_begin(worker, &pool) {
                 return Ok(None);
             }
-            way.send(&request).await?.whole().await.map(Some)
+            way.send(&request).await?.read_to_end().await.map(Some)
         };
         match ordered.await {
             Err(e) => (failed(&e).outcome, 0),
--- a/crates/badgerwind-http/src/body.rs
+++ b/crates/badgerwind-http/src/body.rs
@@ -1,124 +1,127 @@
-//! Bodies: counted, chunked, or ended by the close.
+//! Decoding of message bodies: by content length, chunked, or ended by the close of the connection.
 
 use crate::Framing;
 
-/// What is wrong with a body.
+/// Why a body is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// Beyond the limit.
+    /// The body exceeds the limit.
     #[error("the body is longer than {most} bytes")]
     TooLong {
         /// The limit.
         most: usize,
     },
-    /// A chunk's size line or end is not as RFC 9112 section 7.1 has it.
+    /// A chunk's size line or end violates RFC 9112 section 7.1.
     #[error("malformed chunk: {0}")]
     Chunk(&'static str),
 }
 
+/// What the decoder expects next.
 #[derive(Debug)]
-enum Part {
-    /// So many bytes are still to come.
+enum State {
+    /// The remaining bytes of a body with a content length.
     Counted(u64),
-    /// A chunk's size line comes next.
+    /// A chunk's size line.
     Size,
-    /// So many bytes of a chunk.
+    /// The remaining bytes of a chunk.
     Chunk(u64),
     /// The CR LF after a chunk.
     ChunkEnd,
-    /// Trailer lines, so many bytes of them seen.
+    /// Trailer lines, of which this many bytes were read.
     Trailer(usize),
     UntilClose,
     Done,
 }
 
-/// Takes a body out of what has been read, piece by piece.
+/// An incremental decoder of one body.
 #[derive(Debug)]
 pub struct Body {
-    part: Part,
-    most: usize,
-    taken: usize,
+    state: State,
+    max_bytes: usize,
+    decoded: usize,
 }
 
-/// The longest line of a chunk's size with its extensions.
-const MOST_SIZE_LINE: usize = 256;
-/// The most bytes of trailers, which are read and dropped (RFC 9110 section 6.5.1).
-const MOST_TRAILER: usize = 4096;
+/// Largest length in bytes of a chunk's size line with its extensions.
+const MAX_SIZE_LINE: usize = 256;
+/// Largest size in bytes of the trailers, which are read and discarded (RFC 9110 section 6.5.1).
+const MAX_TRAILER_BYTES: usize = 4096;
 
 impl Body {
-    /// A body that ends so and holds at most so many bytes. Fails at once where the stated length is too long.
-    pub fn new(framing: Framing, most: usize) -> Result<Self, BodyError> {
-        let part = match framing {
-            Framing::Length(n) if n > most as u64 => return Err(BodyError::TooLong { most }),
-            Framing::Length(0) => Part::Done,
-            Framing::Length(n) => Part::Counted(n),
-            Framing::Chunked => Part::Size,
-            Framing::Close => Part::UntilClose,
+    /// A decoder for a body with this framing and at most `max_bytes` bytes. Fails at once if the content
+    /// length exceeds the limit.
+    pub fn new(framing: Framing, max_bytes: usize) -> Result<Self, BodyError> {
+        let state = match framing {
+            Framing::Length(n) if n > max_bytes as u64 => return Err(BodyError::TooLong { most: max_bytes }),
+            Framing::Length(0) => State::Done,
+            Framing::Length(n) => State::Counted(n),
+            Framing::Chunked => State::Size,
+            Framing::Close => State::UntilClose,
         };
-        Ok(Body { part, most, taken: 0 })
+        Ok(Body { state, max_bytes, decoded: 0 })
     }
 
-    /// True once all of it has come.
+    /// True once the body is complete.
     pub fn is_done(&self) -> bool {
-        matches!(self.part, Part::Done)
+        matches!(self.state, State::Done)
     }
 
-    /// The connection was closed: true if that ends the body rightly.
-    pub fn closed(&mut self) -> bool {
-        if matches!(self.part, Part::UntilClose) {
-            self.part = Part::Done;
+    /// Reports that the connection was closed; returns true if the body is complete.
+    pub fn on_close(&mut self) -> bool {
+        if matches!(self.state, State::UntilClose) {
+            self.state = State::Done;
         }
         self.is_done()
     }
 
-    /// Takes what it can from the front of `input` and appends the body's bytes to `out`. Returns the bytes used.
-    pub fn take(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, BodyError> {
+    /// Decodes as much of `input` as possible and appends the body's bytes to `out`. Returns the number of
+    /// bytes consumed.
+    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, BodyError> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
-            match &mut self.part {
-                Part::Done => return Ok(used),
-                Part::Counted(left) | Part::Chunk(left) => {
+            match &mut self.state {
+                State::Done => return Ok(used),
+                State::Counted(left) | State::Chunk(left) => {
                     let n = (rest.len() as u64).min(*left) as usize;
                     out.extend_from_slice(&rest[..n]);
-                    (used, self.taken) = (used + n, self.taken + n);
+                    (used, self.decoded) = (used + n, self.decoded + n);
                     *left -= n as u64;
                     if *left > 0 {
                         return Ok(used);
                     }
-                    let chunk = matches!(self.part, Part::Chunk(_));
-                    self.part = if chunk { Part::ChunkEnd } else { Part::Done };
+                    let in_chunk = matches!(self.state, State::Chunk(_));
+                    self.state = if in_chunk { State::ChunkEnd } else { State::Done };
                 }
-                Part::UntilClose => {
-                    if self.taken + rest.len() > self.most {
-                        return Err(BodyError::TooLong { most: self.most });
+                State::UntilClose => {
+                    if self.decoded + rest.len() > self.max_bytes {
+                        return Err(BodyError::TooLong { most: self.max_bytes });
                     }
                     out.extend_from_slice(rest);
-                    self.taken += rest.len();
+                    self.decoded += rest.len();
                     return Ok(input.len());
                 }
-                Part::Size => {
-                    let Some((line, n)) = line(rest, MOST_SIZE_LINE)? else { return Ok(used) };
+                State::Size => {
+                    let Some((line, n)) = line(rest, MAX_SIZE_LINE)? else { return Ok(used) };
                     used += n;
                     let size = size(line)?;
-                    if size > (self.most - self.taken) as u64 {
-                        return Err(BodyError::TooLong { most: self.most });
+                    if size > (self.max_bytes - self.decoded) as u64 {
+                        return Err(BodyError::TooLong { most: self.max_bytes });
                     }
-                    self.part = if size == 0 { Part::Trailer(0) } else { Part::Chunk(size) };
+                    self.state = if size == 0 { State::Trailer(0) } else { State::Chunk(size) };
                 }
-                Part::ChunkEnd => match rest {
-                    [b'\r', b'\n', ..] => (used, self.part) = (used + 2, Part::Size),
+                State::ChunkEnd => match rest {
+                    [b'\r', b'\n', ..] => (used, self.state) = (used + 2, State::Size),
                     [] | [b'\r'] => return Ok(used),
                     _ => return Err(BodyError::Chunk("a chunk must end in CR LF")),
                 },
-                Part::Trailer(seen) => {
-                    let Some((line, n)) = line(rest, MOST_TRAILER)? else { return Ok(used) };
+                State::Trailer(seen) => {
+                    let Some((line, n)) = line(rest, MAX_TRAILER_BYTES)? else { return Ok(used) };
                     (used, *seen) = (used + n, *seen + n);
-                    if *seen > MOST_TRAILER {
+                    if *seen > MAX_TRAILER_BYTES {
                         return Err(BodyError::Chunk("too long a trailer"));
                     }
                     if line.is_empty() {
-                        self.part = Part::Done;
+                        self.state = State::Done;
                     }
                 }
             }
@@ -126,19 +129,19 @@
     }
 }
 
-/// The first line without its CR LF, and its length with it.
-fn line(rest: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, BodyError> {
+/// The first line without its CR LF, and its length including the CR LF; `None` if the line is incomplete.
+fn line(rest: &[u8], max_bytes: usize) -> Result<Option<(&[u8], usize)>, BodyError> {
     let Some(at) = rest.iter().position(|&b| b == b'\n') else {
-        return if rest.len() > most { Err(BodyError::Chunk("too long a line")) } else { Ok(None) };
+        return if rest.len() > max_bytes { Err(BodyError::Chunk("too long a line")) } else { Ok(None) };
     };
     match rest[..at].strip_suffix(b"\r") {
-        Some(line) if at <= most && !line.contains(&b'\r') => Ok(Some((line, at + 1))),
+        Some(line) if at <= max_bytes && !line.contains(&b'\r') => Ok(Some((line, at + 1))),
         Some(_) => Err(BodyError::Chunk("too long a line, or a bare CR")),
         None => Err(BodyError::Chunk("a line must end in CR LF")),
     }
 }
 
-/// The size in hexadecimal; extensions are passed over (RFC 9112 section 7.1.1).
+/// Parses a chunk's hexadecimal size; extensions are ignored (RFC 9112 section 7.1.1).
 fn size(line: &[u8]) -> Result<u64, BodyError> {
     let digits = line.split(|&b| b == b';').next().unwrap_or(b"");
     let digits = digits.trim_ascii_end();
--- a/crates/badgerwind-http/src/client.rs
+++ b/crates/badgerwind-http/src/client.rs
@@ -1,5 +1,5 @@
-//! Connections to one server: pooled, bounded in number and in time. Dropping an exchange closes its connection,
-//! which is how a call is called off on the wire.
+//! A pool of connections to one server, with limits on their number and on time. Dropping an exchange in
+//! progress closes its connection, which the server sees as the cancellation of the call.
 
 use crate::body::Body;
 use crate::head::{self, Framing, ResponseHead};
@@ -11,51 +11,51 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Bounds of a pool.
+/// Limits of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolBounds {
-    /// Connections at once, idle ones among them.
+    /// Largest number of connections, including idle ones.
     pub most: usize,
-    /// A connection not made by then has failed.
+    /// How long establishing a connection may take, including the TLS handshake.
     pub connect_time: Duration,
-    /// An idle connection closes after this.
+    /// How long an idle connection may be reused.
     pub idle_time: Duration,
-    /// Bytes of an answer's body.
+    /// Largest size of a response body in bytes.
     pub body_bytes: usize,
 }
 
-/// How an exchange can fail.
+/// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// No connection could be made: nothing was sent.
+    /// No connection was established, so nothing was sent.
     #[error("no connection: {0}")]
     Connect(String),
-    /// The connection broke, or closed without an answer: the server may have seen the request.
+    /// The connection broke, or was closed without a response: the server may have received the request.
     #[error("the connection broke: {0}")]
     Reset(String),
-    /// An answer came that cannot be read.
+    /// The response is malformed.
     #[error("an answer that cannot be read: {0}")]
     Malformed(String),
 }
 
-/// Bytes of an answer's head.
+/// Largest size of a response head in bytes.
 const HEAD_BYTES: usize = 64 * 1024;
 
-/// A request to send.
+/// A request.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     /// The method.
     pub method: &'static str,
-    /// The target.
+    /// The request target.
     pub target: String,
-    /// Header lines, beside host and length.
+    /// Header lines other than `host` and `content-length`.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Arc<[u8]>,
 }
 
 impl Exchange {
-    /// The request as it goes out to a server of this address.
+    /// The request as sent to a server with this address.
     pub fn encode(&self, host: SocketAddr) -> Vec<u8> {
         let mut head = format!("{} {} HTTP/1.1\r\nhost: {host}\r\n", self.method, self.target);
         for (name, value) in &self.headers {
@@ -67,51 +67,52 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     stream: Stream,
     since: Instant,
 }
 
 #[derive(Debug, Default)]
-struct Inside {
-    idle: Vec<Idle>,
-    /// Connections that exist, idle or in use.
+struct PoolState {
+    idle: Vec<IdleConnection>,
+    /// Number of open connections, idle or in use.
     open: usize,
 }
 
-/// Connections to one server.
+/// A pool of connections to one server.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
     bounds: Mutex<PoolBounds>,
-    /// How connections are made from now on; `None`: as they are.
+    /// TLS for new connections; `None` for plain TCP.
     tls: Mutex<Option<ClientTls>>,
-    inside: Mutex<Inside>,
+    state: Mutex<PoolState>,
 }
 
-/// A connection on which nothing has gone out yet. Dropped, nothing will.
-pub struct Way<'a> {
+/// A connection reserved for one request, on which nothing has been sent yet. If it is dropped, nothing is
+/// sent.
+pub struct ReservedConnection<'a> {
     pool: &'a Pool,
     stream: Stream,
-    place: Place<'a>,
+    slot: Slot<'a>,
 }
 
-/// A connection's place in the pool; given up when it is dropped.
-struct Place<'a>(&'a Pool);
+/// A connection's slot in the pool, released on drop.
+struct Slot<'a>(&'a Pool);
 
-impl Drop for Place<'_> {
+impl Drop for Slot<'_> {
     fn drop(&mut self) {
         self.0.lock().open -= 1;
     }
 }
 
 impl Pool {
-    /// A pool with no connection yet.
+    /// Creates a pool without connections.
     pub fn new(address: SocketAddr, bounds: PoolBounds) -> Self {
-        Pool { address, bounds: Mutex::new(bounds), tls: Mutex::default(), inside: Mutex::default() }
+        Pool { address, bounds: Mutex::new(bounds), tls: Mutex::default(), state: Mutex::default() }
     }
 
-    /// Connections are made under TLS, or not, from now on; idle ones of before are closed.
+    /// Sets whether new connections use TLS, and how; closes the idle connections.
     pub fn set_tls(&self, tls: Option<ClientTls>) {
         *self.tls.lock().unwrap_or_else(PoisonError::into_inner) = tls;
         self.close_idle();
@@ -122,95 +123,96 @@
         self.address
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Inside> {
-        self.inside.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, PoolState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn bounds(&self) -> PoolBounds {
         *self.bounds.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the bounds from now on.
+    /// Changes the limits from now on.
     pub fn set_bounds(&self, bounds: PoolBounds) {
         *self.bounds.lock().unwrap_or_else(PoisonError::into_inner) = bounds;
     }
 
-    /// Connections that exist, idle ones among them.
+    /// Number of open connections, including idle ones.
     pub fn open(&self) -> usize {
         self.lock().open
     }
 
-    /// Closes idle connections.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
-        let mut inside = self.lock();
-        inside.open -= inside.idle.len();
-        inside.idle.clear();
+        let mut state = self.lock();
+        state.open -= state.idle.len();
+        state.idle.clear();
     }
 
-    /// An idle connection that is still good, or a new one.
-    async fn connection(&self) -> Result<(Stream, Place<'_>), ExchangeError> {
+    /// An idle connection that is still usable, or a new one.
+    async fn connection(&self) -> Result<(Stream, Slot<'_>), ExchangeError> {
         loop {
             let idle = self.lock().idle.pop();
-            let Some(Idle { mut stream, since }) = idle else { break };
-            let place = Place(self);
+            let Some(IdleConnection { mut stream, since }) = idle else { break };
+            let slot = Slot(self);
             if since.elapsed() >= self.bounds().idle_time {
                 continue;
             }
-            // Readable while idle means closed, or an answer to nothing: not to be used again.
+            // An idle connection that is readable was closed, or received data without a request: do not
+            // reuse it.
             let mut byte = [0u8; 1];
             if future::poll_once(stream.read(&mut byte)).await.is_none() {
-                return Ok((stream, place));
+                return Ok((stream, slot));
             }
-            drop(place);
+            drop(slot);
         }
-        let place = {
-            let most = self.bounds().most;
-            let mut inside = self.lock();
-            if inside.open >= most {
-                let text = format!("all {} connections to it are in use", most);
+        let slot = {
+            let max_connections = self.bounds().most;
+            let mut state = self.lock();
+            if state.open >= max_connections {
+                let text = format!("all {max_connections} connections to it are in use");
                 return Err(ExchangeError::Connect(text));
             }
-            inside.open += 1;
-            Place(self)
+            state.open += 1;
+            Slot(self)
         };
-        let late = async {
+        let timeout = async {
             Timer::after(self.bounds().connect_time).await;
             Err(ExchangeError::Connect(std::io::Error::from(std::io::ErrorKind::TimedOut).to_string()))
         };
         let tls = self.tls.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let made = async {
+        let connecting = async {
             let stream = badgerwind_connect::connect(self.address).await;
             let stream: TcpStream = stream.map_err(|e| ExchangeError::Connect(e.to_string()))?.into();
-            let _ = stream.set_nodelay(true); // only a delay is lost where it is not to be had
+            let _ = stream.set_nodelay(true); // without it, small writes are only delayed
             match tls {
                 None => Ok(stream.into()),
                 Some(tls) => tls.connect(stream).await,
             }
         };
-        Ok((made.or(late).await?, place))
+        Ok((connecting.or(timeout).await?, slot))
     }
 
-    /// Sends a request and reads the answer whole.
+    /// Sends a request and reads the complete response.
     pub async fn exchange(&self, request: &Exchange) -> Result<(ResponseHead, Vec<u8>), ExchangeError> {
-        self.begin(request).await?.whole().await
+        self.begin(request).await?.read_to_end().await
     }
 
-    /// Sends a request and reads the answer's head.
+    /// Sends a request and reads the head of the response.
     pub async fn begin(&self, request: &Exchange) -> Result<Answer<'_>, ExchangeError> {
-        self.way().await?.send(request).await
+        self.acquire().await?.send(request).await
     }
 
-    /// A connection for one request, before anything of it goes out.
-    pub async fn way(&self) -> Result<Way<'_>, ExchangeError> {
-        let (stream, place) = self.connection().await?;
-        Ok(Way { pool: self, stream, place })
+    /// Reserves a connection for one request, without sending anything.
+    pub async fn acquire(&self) -> Result<ReservedConnection<'_>, ExchangeError> {
+        let (stream, slot) = self.connection().await?;
+        Ok(ReservedConnection { pool: self, stream, slot })
     }
 }
 
-impl<'a> Way<'a> {
-    /// Sends a request and reads the answer's head.
+impl<'a> ReservedConnection<'a> {
+    /// Sends a request and reads the head of the response.
     pub async fn send(self, request: &Exchange) -> Result<Answer<'a>, ExchangeError> {
-        let Way { pool, mut stream, place } = self;
+        let ReservedConnection { pool, mut stream, slot } = self;
         let broke = |e: std::io::Error| ExchangeError::Reset(e.to_string());
         stream.write_all(&request.encode(pool.address)).await.map_err(broke)?;
         stream.flush().await.map_err(broke)?;
@@ -226,11 +228,11 @@
                 end = head::HeadEnd::default();
                 buf.drain(..length);
                 if head.status < 200 {
-                    continue; // RFC 9110 section 15.2: read on to the final answer
+                    continue; // interim response: read on to the final one (RFC 9110 section 15.2)
                 }
                 let body = Body::new(head.framing, pool.bounds().body_bytes);
                 let body = body.map_err(|e| ExchangeError::Malformed(e.to_string()))?;
-                return Ok(Answer { head, body, buf, stream, place });
+                return Ok(Answer { head, body, buf, stream, slot });
             }
             if !fill(&mut stream, &mut buf).await? {
                 return Err(ExchangeError::Reset("closed before an answer".into()));
@@ -240,35 +242,35 @@
 }
 
 async fn fill(stream: &mut Stream, buf: &mut Vec<u8>) -> Result<bool, ExchangeError> {
-    let mut piece = vec![0u8; 4096]; // on the heap: a call under way holds one
-    let n = stream.read(&mut piece).await.map_err(|e| ExchangeError::Reset(e.to_string()))?;
-    buf.extend_from_slice(&piece[..n]);
+    let mut chunk = vec![0u8; 4096]; // on the heap, so that the future of every call in progress stays small
+    let n = stream.read(&mut chunk).await.map_err(|e| ExchangeError::Reset(e.to_string()))?;
+    buf.extend_from_slice(&chunk[..n]);
     Ok(n > 0)
 }
 
-/// An answer whose head has come.
+/// A response whose head has been read.
 pub struct Answer<'a> {
-    /// Its head.
+    /// The head.
     pub head: ResponseHead,
     body: Body,
     buf: Vec<u8>,
     stream: Stream,
-    place: Place<'a>,
+    slot: Slot<'a>,
 }
 
 impl Answer<'_> {
-    /// Reads the answer to its end.
-    pub async fn whole(mut self) -> Result<(ResponseHead, Vec<u8>), ExchangeError> {
+    /// Reads the rest of the response.
+    pub async fn read_to_end(mut self) -> Result<(ResponseHead, Vec<u8>), ExchangeError> {
         let mut body = Vec::new();
-        while self.piece(&mut body).await? {}
+        while self.read_piece(&mut body).await? {}
         Ok((self.finish(), body))
     }
 
-    /// Reads the next piece of the body into `out`; false once all of it has come.
-    pub async fn piece(&mut self, out: &mut Vec<u8>) -> Result<bool, ExchangeError> {
+    /// Appends the next piece of the body to `out`; false at the end of the body.
+    pub async fn read_piece(&mut self, out: &mut Vec<u8>) -> Result<bool, ExchangeError> {
         loop {
             let before = out.len();
-            let used = self.body.take(&self.buf, out);
+            let used = self.body.decode(&self.buf, out);
             let used = used.map_err(|e| ExchangeError::Malformed(e.to_string()))?;
             self.buf.drain(..used);
             if self.body.is_done() {
@@ -278,7 +280,7 @@
                 return Ok(true);
             }
             if !fill(&mut self.stream, &mut self.buf).await? {
-                return match self.body.closed() {
+                return match self.body.on_close() {
                     true => Ok(false),
                     false => Err(ExchangeError::Reset("closed in the middle of an answer".into())),
                 };
@@ -286,13 +288,13 @@
         }
     }
 
-    /// Gives the connection back where it can be used again.
+    /// Returns the connection to the pool if it can be reused; closes it otherwise.
     pub fn finish(self) -> ResponseHead {
-        let Answer { head, body, buf, stream, place } = self;
+        let Answer { head, body, buf, stream, slot } = self;
         if body.is_done() && buf.is_empty() && head.keeps_alive && head.framing != Framing::Close {
-            let idle = Idle { stream, since: Instant::now() };
-            place.0.lock().idle.push(idle);
-            std::mem::forget(place); // its place stays taken
+            let idle = IdleConnection { stream, since: Instant::now() };
+            slot.0.lock().idle.push(idle);
+            std::mem::forget(slot); // the idle connection keeps its slot
         }
         head
     }
--- a/crates/badgerwind-http/src/head.rs
+++ b/crates/badgerwind-http/src/head.rs
@@ -1,72 +1,72 @@
-//! Message heads: parsed by httparse, then held to one reading.
+//! Message heads: parsed by httparse, then checked for ambiguities.
 
-/// What is wrong with a head. Each says what would be right.
+/// Why a head is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// Beyond the limit on bytes.
+    /// The head exceeds the limit on bytes.
     #[error("the head is longer than {most} bytes")]
     TooLong {
         /// The limit.
         most: usize,
     },
-    /// Beyond the limit on header lines.
+    /// The head exceeds the limit on header lines.
     #[error("the head has more than {most} header lines")]
     TooMany {
         /// The limit.
         most: usize,
     },
-    /// Not HTTP/1.x at all.
+    /// The head is not well-formed HTTP/1.x.
     #[error("malformed head: {0}")]
     Malformed(&'static str),
     /// A transfer coding other than `chunked` alone.
     #[error("no transfer coding but chunked is understood")]
-    Coding,
+    TransferCoding,
 }
 
 impl HeadError {
-    /// The status that answers it (RFC 6585 section 5, RFC 9112 section 6.1).
+    /// The status of the response (RFC 6585 section 5, RFC 9112 section 6.1).
     pub fn status(&self) -> u16 {
         match self {
             HeadError::TooLong { .. } | HeadError::TooMany { .. } => 431,
             HeadError::Malformed(_) => 400,
-            HeadError::Coding => 501,
+            HeadError::TransferCoding => 501,
         }
     }
 }
 
-/// Header lines, names in lower case, in their order.
+/// Header lines in order of receipt, with names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The value of a header that stands once; `None` where it is missing or repeated.
+    /// The value of a header; `None` if it is missing or repeated.
     pub fn get(&self, name: &str) -> Option<&str> {
         let mut all = self.0.iter().filter(|(n, _)| n == name).map(|(_, v)| v.as_str());
         let first = all.next()?;
         all.next().is_none().then_some(first)
     }
-    /// Every value of a header.
+    /// All values of a header.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0.iter().filter(move |(n, _)| n == name).map(|(_, v)| v.as_str())
     }
-    /// All lines.
+    /// All header lines.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(n, v)| (n.as_str(), v.as_str()))
     }
-    /// Whether a comma-separated list header holds a word, whatever its case.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
-        self.all(name).flat_map(|v| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+    /// Whether a comma-separated list header contains a token, ignoring case.
+    pub fn list_contains(&self, name: &str, token: &str) -> bool {
+        self.all(name).flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 }
 
 /// How a message's body ends (RFC 9112 section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// After this many bytes.
     Length(u64),
-    /// By its last chunk.
+    /// With the last chunk.
     Chunked,
-    /// With the connection; answers only.
+    /// With the close of the connection; responses only.
     Close,
 }
 
@@ -90,17 +90,17 @@
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
-    /// Whether the connection may be used again (RFC 9112 section 9.3).
+    /// Whether the connection may be reused (RFC 9112 section 9.3).
     pub fn keeps_alive(&self) -> bool {
-        self.http11 && !self.headers.lists("connection", "close")
+        self.http11 && !self.headers.list_contains("connection", "close")
     }
-    /// Whether the client waits for a word before it sends the body (RFC 9110 section 10.1.1).
+    /// Whether the client waits for status 100 before it sends the body (RFC 9110 section 10.1.1).
     pub fn expects_continue(&self) -> bool {
         self.http11 && self.headers.get("expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"))
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
     /// The status.
@@ -109,32 +109,33 @@
     pub headers: Headers,
     /// How the body ends.
     pub framing: Framing,
-    /// Whether the connection may be used again.
+    /// Whether the connection may be reused.
     pub keeps_alive: bool,
 }
 
-/// Header lines that a head may have, at the most that any limit allows.
-pub const MOST_HEADERS: usize = 128;
+/// Largest number of header lines that any limit permits.
+pub const MAX_HEADERS: usize = 128;
 
-/// Looks for the end of a head as it comes, and that every line in it ends in CR LF: a bare CR or LF is a line end to
-/// some and none to others (RFC 9112 section 2.2). Each byte is looked at once, however small the pieces are in which
-/// a head comes: a sender of single bytes must not cost the square of what it sends.
+/// Finds the end of a head that arrives in pieces, and checks that every line ends in CR LF: some
+/// implementations accept a bare CR or LF as a line end and others do not (RFC 9112 section 2.2). Each byte
+/// is examined once, however small the pieces are, so that a head sent byte by byte does not take quadratic
+/// time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeadEnd {
-    /// Bytes looked at.
+    /// Number of bytes examined.
     seen: usize,
 }
 
 impl HeadEnd {
-    /// Looks at what is new in `bytes`, which holds what it held before and perhaps more. The head's length once it is
-    /// whole, `None` while it is not.
+    /// Examines the new bytes at the end of `bytes`, which must start with the bytes of the previous call.
+    /// Returns the head's length once the head is complete, `None` before that.
     pub fn find(&mut self, bytes: &[u8], most: usize) -> Result<Option<usize>, HeadError> {
         while self.seen < bytes.len().min(most) {
             let n = self.seen;
             let bare = match bytes[n] {
                 b'\n' => n == 0 || bytes[n - 1] != b'\r',
                 b'\r' => match bytes.get(n + 1) {
-                    // What follows it has not come yet.
+                    // The next byte has not arrived yet.
                     None => break,
                     Some(next) => *next != b'\n',
                 },
@@ -161,7 +162,7 @@
     HeadEnd::default().find(bytes, most)
 }
 
-fn refused(e: httparse::Error, most: usize) -> HeadError {
+fn head_error(e: httparse::Error, most: usize) -> HeadError {
     match e {
         httparse::Error::TooManyHeaders => HeadError::TooMany { most },
         httparse::Error::HeaderName => HeadError::Malformed("a header name"),
@@ -176,7 +177,7 @@
 fn headers(lines: &[httparse::Header<'_>]) -> Result<Headers, HeadError> {
     let mut all = Vec::with_capacity(lines.len());
     for line in lines {
-        // Visible ASCII, spaces and tabs: anything else is read differently here and there (RFC 9110 section 5.5).
+        // Visible ASCII, spaces and tabs only: implementations differ on other bytes (RFC 9110 section 5.5).
         let value = std::str::from_utf8(line.value).ok().filter(|v| v.is_ascii());
         let value = value.ok_or(HeadError::Malformed("a header value must be ASCII"))?;
         all.push((line.name.to_ascii_lowercase(), value.trim_matches([' ', '\t']).to_owned()));
@@ -184,8 +185,9 @@
     Ok(Headers(all))
 }
 
-/// The length or coding that a message states, held to one reading (RFC 9112 sections 6.1 to 6.3).
-fn stated(headers: &Headers, http11: bool) -> Result<Option<Framing>, HeadError> {
+/// The framing that the headers declare, if it is unambiguous (RFC 9112 sections 6.1 to 6.3); `None` without
+/// any.
+fn declared_framing(headers: &Headers, http11: bool) -> Result<Option<Framing>, HeadError> {
     let (mut codings, mut lengths) = (headers.all("transfer-encoding"), headers.all("content-length"));
     let (coding, length) = (codings.next(), lengths.next());
     if lengths.next().is_some() {
@@ -197,7 +199,7 @@
         (Some(c), None) if codings.next().is_none() && c.eq_ignore_ascii_case("chunked") => {
             Ok(Some(Framing::Chunked))
         }
-        (Some(_), None) => Err(HeadError::Coding),
+        (Some(_), None) => Err(HeadError::TransferCoding),
         (None, Some(l)) => {
             let digits = !l.is_empty() && l.bytes().all(|b| b.is_ascii_digit());
             let length = l.parse().ok().filter(|_| digits);
@@ -208,17 +210,18 @@
     }
 }
 
-/// Reads a request's head from the front of `bytes`: the head and its length, `None` where more must come.
+/// Parses a request's head at the start of `bytes`. Returns the head and its length, `None` if it is
+/// incomplete.
 pub fn request(
     bytes: &[u8],
-    most_bytes: usize,
-    most_lines: usize,
+    max_bytes: usize,
+    max_lines: usize,
 ) -> Result<Option<(RequestHead, usize)>, HeadError> {
-    let Some(length) = end(bytes, most_bytes)? else { return Ok(None) };
-    let mut space = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let most = most_lines.min(MOST_HEADERS);
+    let Some(length) = end(bytes, max_bytes)? else { return Ok(None) };
+    let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let most = max_lines.min(MAX_HEADERS);
     let mut parsed = httparse::Request::new(&mut space[..most]);
-    parsed.parse(&bytes[..length]).map_err(|e| refused(e, most))?;
+    parsed.parse(&bytes[..length]).map_err(|e| head_error(e, most))?;
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version) else {
         return Err(HeadError::Malformed("the first line"));
     };
@@ -227,7 +230,7 @@
     if http11 && headers.get("host").is_none() {
         return Err(HeadError::Malformed("one host header, and one only")); // RFC 9112 section 3.2
     }
-    // Origin form, or absolute form, which a server must take as well (RFC 9112 section 3.2.2).
+    // Origin form, or absolute form, which a server must also accept (RFC 9112 section 3.2.2).
     let target = match target.strip_prefix("http://") {
         Some(rest) => rest.find('/').map_or("/", |at| &rest[at..]),
         None => target,
@@ -235,29 +238,29 @@
     if !target.starts_with('/') && target != "*" {
         return Err(HeadError::Malformed("the target must start with a slash"));
     }
-    let framing = stated(&headers, http11)?.unwrap_or(Framing::Length(0));
+    let framing = declared_framing(&headers, http11)?.unwrap_or(Framing::Length(0));
     let (method, target) = (method.to_owned(), target.to_owned());
     Ok(Some((RequestHead { method, target, http11, headers, framing }, length)))
 }
 
-/// Reads an answer's head; `to_head` where the request was a HEAD.
+/// Parses a response's head; `to_head` tells that the request was a HEAD.
 pub fn response(
     bytes: &[u8],
-    most_bytes: usize,
+    max_bytes: usize,
     to_head: bool,
 ) -> Result<Option<(ResponseHead, usize)>, HeadError> {
-    let Some(length) = end(bytes, most_bytes)? else { return Ok(None) };
-    let mut space = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let Some(length) = end(bytes, max_bytes)? else { return Ok(None) };
+    let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut space);
-    parsed.parse(&bytes[..length]).map_err(|e| refused(e, MOST_HEADERS))?;
+    parsed.parse(&bytes[..length]).map_err(|e| head_error(e, MAX_HEADERS))?;
     let (Some(status), Some(version)) = (parsed.code, parsed.version) else {
         return Err(HeadError::Malformed("the first line"));
     };
     let headers = headers(parsed.headers)?;
     let http11 = version == 1;
-    let stated = stated(&headers, http11)?;
+    let declared = declared_framing(&headers, http11)?;
     let bodiless = to_head || status < 200 || status == 204 || status == 304;
-    let framing = if bodiless { Framing::Length(0) } else { stated.unwrap_or(Framing::Close) };
-    let keeps_alive = http11 && framing != Framing::Close && !headers.lists("connection", "close");
+    let framing = if bodiless { Framing::Length(0) } else { declared.unwrap_or(Framing::Close) };
+    let keeps_alive = http11 && framing != Framing::Close && !headers.list_contains("connection", "close");
     Ok(Some((ResponseHead { status, headers, framing, keeps_alive }, length)))
 }
--- a/crates/badgerwind-http/src/lib.rs
+++ b/crates/badgerwind-http/src/lib.rs
@@ -1,10 +1,11 @@
-//! HTTP/1.1 (RFC 9110, RFC 9112) for the gateway and its stand-ins, on smol. Heads are parsed by httparse; what may
-//! be read in two ways is refused, so that no two parties on a path can disagree about where a message ends.
+//! HTTP/1.1 (RFC 9110, RFC 9112) for the gateway and its stand-ins, on smol. Heads are parsed by httparse.
+//! Ambiguous messages are rejected, so that the parties along a path cannot disagree about where a message
+//! ends (request smuggling).
 //!
-//! - [`head`], [`body`]: bytes to heads and bodies; no I/O.
-//! - [`server`]: one connection of a client, requests answered in order.
-//! - [`client`]: connections to one server, pooled and bounded.
-//! - [`tls`]: TLS under either.
+//! - [`head`], [`body`]: parsing of heads and bodies; no I/O.
+//! - [`server`]: one connection of a client, whose requests are answered in order.
+//! - [`client`]: a bounded pool of connections to one server.
+//! - [`tls`]: TLS for both sides.
 
 pub mod body;
 pub mod client;
--- a/crates/badgerwind-http/src/server.rs
+++ b/crates/badgerwind-http/src/server.rs
@@ -1,5 +1,6 @@
-//! One connection of a client. Requests are read and answered one after another, so that pipelined ones are
-//! answered in order; what a client sends ahead waits in a bounded buffer and then in its own socket.
+//! The server side of one connection. Requests are read and answered one after another, so that pipelined
+//! requests are answered in order. Data that a client sends ahead stays in a bounded buffer, and beyond that
+//! in the socket.
 
 use crate::body::{Body, BodyError};
 use crate::head::{self, HeadError, RequestHead};
@@ -10,22 +11,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bounds on what a client may send and how long it may take.
+/// Limits on what a client may send and on how long it may take.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Bytes of a head.
+    /// Largest size of a head in bytes.
     pub head_bytes: usize,
-    /// Header lines of a head, 128 at most.
+    /// Largest number of header lines in a head; at most [`head::MAX_HEADERS`], 128.
     pub headers: usize,
-    /// From a head's first byte to its last.
+    /// How long a head may take, from its first byte to its last.
     pub head_time: Duration,
-    /// Bytes of a body.
+    /// Largest size of a body in bytes.
     pub body_bytes: usize,
-    /// From a head's end to the body's.
+    /// How long a body may take, from the end of the head to the end of the body.
     pub body_time: Duration,
-    /// From an answer to the next head's first byte.
+    /// How long a connection may be idle, from a response to the first byte of the next head.
     pub idle_time: Duration,
-    /// For writing an answer to a client that does not read.
+    /// How long writing a response may take, for clients that do not read.
     pub write_time: Duration,
 }
 
@@ -43,19 +44,19 @@
     }
 }
 
-/// Why a connection cannot go on.
+/// Why a connection has to be closed.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The head was refused.
+    /// The head was rejected.
     #[error(transparent)]
     Head(#[from] HeadError),
-    /// The body was refused.
+    /// The body was rejected.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// A part took too long.
+    /// A part of the exchange exceeded its time limit.
     #[error("the {0} took too long")]
     TooSlow(&'static str),
-    /// The client left in the middle.
+    /// The client closed the connection in the middle of a message.
     #[error("the client closed in the middle of a message")]
     Closed,
     /// The connection broke.
@@ -64,7 +65,8 @@
 }
 
 impl ServeError {
-    /// The answer that this deserves before the connection closes; `None` where nobody is left to read it.
+    /// The status to respond with before closing the connection; `None` if the client can no longer receive a
+    /// response.
     pub fn status(&self) -> Option<u16> {
         match self {
             ServeError::Head(e) => Some(e.status()),
@@ -76,19 +78,19 @@
     }
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// The status.
     pub status: u16,
-    /// Header lines, beside the length and the connection's.
+    /// Header lines other than those for framing and for the connection.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Arc<[u8]>,
 }
 
 impl Response {
-    /// An answer with a body of some type; no type, no header.
+    /// A response with a body; an empty content type adds no header.
     pub fn new(status: u16, content_type: &str, body: impl Into<Arc<[u8]>>) -> Self {
         let headers = match content_type {
             "" => Vec::new(),
@@ -96,24 +98,26 @@
         };
         Response { status, headers, body: body.into() }
     }
-    /// With one more header line.
+    /// Adds a header line.
     pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
-    /// The answer as it goes out; `keep`: the connection goes on after it.
-    pub fn encode(&self, keep: bool) -> Vec<u8> {
-        let head = head_bytes(self.status, &self.headers, Some(self.body.len()), keep);
+    /// The response as sent; `keep_alive` tells whether the connection stays open after it.
+    pub fn encode(&self, keep_alive: bool) -> Vec<u8> {
+        let head = head_bytes(self.status, &self.headers, Some(self.body.len()), keep_alive);
         [&head[..], &self.body].concat()
     }
 }
 
-/// Bytes read at once: while a message comes, and while none may.
-const PIECE: usize = 16 * 1024;
-const IDLE_PIECE: usize = 1024;
+/// Bytes per read while a message arrives.
+const READ_BYTES: usize = 16 * 1024;
+/// Bytes per read while no message is expected; small, since each idle connection holds such a buffer.
+const IDLE_READ_BYTES: usize = 1024;
 
-/// How long, and for how many bytes, a closing connection reads on.
+/// How long a closing connection continues to read.
 const LINGER: Duration = Duration::from_millis(500);
+/// How many bytes a closing connection reads at most.
 const LINGER_BYTES: usize = 256 * 1024;
 
 /// The reason phrase of a status (RFC 9110 section 15, RFC 6585).
@@ -143,7 +147,7 @@
     }
 }
 
-/// A connection.
+/// The server side of a connection.
 #[derive(Debug)]
 pub struct Conn<S> {
     stream: S,
@@ -156,35 +160,37 @@
     what: &'static str,
     work: impl Future<Output = Result<T, ServeError>>,
 ) -> Result<T, ServeError> {
-    let late = async {
+    let timeout = async {
         Timer::after(time).await;
         Err(ServeError::TooSlow(what))
     };
-    work.or(late).await
+    work.or(timeout).await
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Conn<S> {
-    /// A connection just accepted.
+    /// Wraps a connection that was just accepted.
     pub fn new(stream: S, limits: Arc<Limits>) -> Self {
         Conn { stream, buf: Vec::new(), limits }
     }
 
-    /// Reads more into the buffer; false at the end of the stream. What is read goes through a piece of its own, so
-    /// that a read given up halfway leaves the buffer as it was; a small one while nothing is expected, since each
-    /// idle connection holds one.
-    async fn fill(&mut self, most: usize) -> io::Result<bool> {
-        let mut piece = vec![0u8; most];
-        let n = self.stream.read(&mut piece).await?;
-        self.buf.extend_from_slice(&piece[..n]);
+    /// Reads up to `max_bytes` more bytes into the buffer; false at the end of the stream. The read goes
+    /// through a temporary buffer, so that a cancelled read leaves the connection's buffer unchanged. Callers
+    /// pass a small size while nothing is expected, since each idle connection holds one such buffer.
+    async fn fill(&mut self, max_bytes: usize) -> io::Result<bool> {
+        let mut chunk = vec![0u8; max_bytes];
+        let n = self.stream.read(&mut chunk).await?;
+        self.buf.extend_from_slice(&chunk[..n]);
         Ok(n > 0)
     }
 
-    /// Waits for the next request's head. `None`: the client has closed, or was idle for long, between requests.
+    /// Waits for the next request's head. `None` if the client closed the connection, or exceeded the idle
+    /// time, between requests.
     pub async fn head(&mut self) -> Result<Option<RequestHead>, ServeError> {
         let limits = self.limits.clone();
         if self.buf.is_empty() {
             let first =
-                within(limits.idle_time, "next request", async { Ok(self.fill(IDLE_PIECE).await?) }).await;
+                within(limits.idle_time, "next request", async { Ok(self.fill(IDLE_READ_BYTES).await?) })
+                    .await;
             match first {
                 Ok(true) => {}
                 Ok(false) | Err(ServeError::TooSlow(_)) => return Ok(None),
@@ -194,7 +200,7 @@
         within(limits.head_time, "head", async {
             let mut end = head::HeadEnd::default();
             loop {
-                // Empty lines before a request line are passed over (RFC 9112 section 2.2).
+                // Empty lines before a request line are ignored (RFC 9112 section 2.2).
                 while self.buf.starts_with(b"\r\n") {
                     self.buf.drain(..2);
                     end = head::HeadEnd::default();
@@ -206,7 +212,7 @@
                         return Ok(Some(head));
                     }
                 }
-                if !self.fill(PIECE).await? {
+                if !self.fill(READ_BYTES).await? {
                     return if self.buf.is_empty() { Ok(None) } else { Err(ServeError::Closed) };
                 }
             }
@@ -214,7 +220,8 @@
         .await
     }
 
-    /// Reads the body of the request whose head came last. The client is told to go on where it waits for that.
+    /// Reads the body of the request whose head was read last. Sends `100 Continue` first if the client waits
+    /// for it.
     pub async fn body(&mut self, head: &RequestHead) -> Result<Vec<u8>, ServeError> {
         let limits = self.limits.clone();
         let mut body = Body::new(head.framing, limits.body_bytes)?;
@@ -225,12 +232,12 @@
                 self.stream.flush().await?;
             }
             loop {
-                let used = body.take(&self.buf, &mut out)?;
+                let used = body.decode(&self.buf, &mut out)?;
                 self.buf.drain(..used);
                 if body.is_done() {
                     return Ok(());
                 }
-                if !self.fill(PIECE).await? {
+                if !self.fill(READ_BYTES).await? {
                     return Err(ServeError::Closed);
                 }
             }
@@ -239,42 +246,43 @@
         Ok(out)
     }
 
-    /// Ends when the client has closed or the connection broke. What a client sends ahead is read up to one head's
-    /// bound; beyond that it is left in the socket, and a close behind it shows only later.
-    pub async fn gone(&mut self) {
+    /// Returns when the client has closed the connection or it broke. Data that the client sends ahead is
+    /// read up to the limit on a head; anything beyond stays in the socket, and a close after it is not
+    /// noticed until that is read.
+    pub async fn closed(&mut self) {
         while self.buf.len() < self.limits.head_bytes {
-            if !matches!(self.fill(IDLE_PIECE).await, Ok(true)) {
+            if !matches!(self.fill(IDLE_READ_BYTES).await, Ok(true)) {
                 return;
             }
         }
         future::pending().await
     }
 
-    /// Writes an answer; `keep`: the connection goes on after it.
-    pub async fn respond(&mut self, response: &Response, keep: bool) -> Result<(), ServeError> {
-        self.write(&response.encode(keep)).await // one segment where it fits
+    /// Writes a response; `keep_alive` tells whether the connection stays open after it.
+    pub async fn respond(&mut self, response: &Response, keep_alive: bool) -> Result<(), ServeError> {
+        self.write(&response.encode(keep_alive)).await // a single write, so that small responses are one segment
     }
 
     async fn write(&mut self, bytes: &[u8]) -> Result<(), ServeError> {
         within(self.limits.write_time, "answer's writing", async {
             self.stream.write_all(bytes).await?;
-            Ok(self.stream.flush().await?) // TLS keeps bytes back until then
+            Ok(self.stream.flush().await?) // TLS may buffer bytes until the flush
         })
         .await
     }
 
-    /// Begins an answer whose length is not known: chunked.
+    /// Writes the head of a chunked response, whose length is not known.
     pub async fn respond_streaming(
         &mut self,
         status: u16,
         headers: &[(&'static str, String)],
-        keep: bool,
+        keep_alive: bool,
     ) -> Result<(), ServeError> {
-        let head = head_bytes(status, headers, None, keep);
+        let head = head_bytes(status, headers, None, keep_alive);
         self.write(&head).await
     }
 
-    /// Writes a piece of a streamed answer; an empty one ends it.
+    /// Writes a chunk of a streamed response; an empty one ends the response.
     pub async fn chunk(&mut self, piece: &[u8]) -> Result<(), ServeError> {
         let mut bytes = format!("{:x}\r\n", piece.len()).into_bytes();
         bytes.extend_from_slice(piece);
@@ -282,42 +290,47 @@
         self.write(&bytes).await
     }
 
-    /// Closes the writing side, then reads on for a moment: a close with bytes unread would reset the connection
-    /// and could take the last answer with it (RFC 9112 section 9.6).
+    /// Closes the writing side, then continues to read for a short time: closing with unread bytes would
+    /// reset the connection, and the client could lose the last response (RFC 9112 section 9.6).
     pub async fn close(mut self) {
         if self.stream.close().await.is_err() {
             return;
         }
         let linger = async {
-            let (mut piece, mut left) = ([0u8; 4096], LINGER_BYTES);
-            while let Ok(n @ 1..) = self.stream.read(&mut piece).await {
-                left = left.saturating_sub(n);
-                if left == 0 {
+            let (mut chunk, mut remaining) = ([0u8; 4096], LINGER_BYTES);
+            while let Ok(n @ 1..) = self.stream.read(&mut chunk).await {
+                remaining = remaining.saturating_sub(n);
+                if remaining == 0 {
                     break;
                 }
             }
         };
-        let late = async {
+        let timeout = async {
             Timer::after(LINGER).await;
         };
-        linger.or(late).await;
+        linger.or(timeout).await;
     }
 }
 
-fn head_bytes(status: u16, headers: &[(&'static str, String)], length: Option<usize>, keep: bool) -> Vec<u8> {
+fn head_bytes(
+    status: u16,
+    headers: &[(&'static str, String)],
+    length: Option<usize>,
+    keep_alive: bool,
+) -> Vec<u8> {
     let mut head = format!("HTTP/1.1 {status} {}\r\n", reason(status));
     for (name, value) in headers {
-        // A value never ends its own line: what came from outside must not write headers.
-        let clean = |c: char| if c.is_control() { ' ' } else { c };
+        // Control characters are replaced, so that external input in a value cannot add header lines.
+        let sanitize = |c: char| if c.is_control() { ' ' } else { c };
         head.extend([name, ": "]);
-        head.extend(value.chars().map(clean));
+        head.extend(value.chars().map(sanitize));
         head.push_str("\r\n");
     }
     match length {
         Some(n) => head.push_str(&format!("content-length: {n}\r\n")),
         None => head.push_str("transfer-encoding: chunked\r\n"),
     }
-    if !keep {
+    if !keep_alive {
         head.push_str("connection: close\r\n");
     }
     head.push_str("\r\n");
--- a/crates/badgerwind-http/src/tls.rs
+++ b/crates/badgerwind-http/src/tls.rs
@@ -1,7 +1,7 @@
-//! TLS 1.2 and 1.3 (RFC 5246, RFC 8446) by rustls, under connections of either side.
+//! TLS 1.2 and 1.3 (RFC 5246, RFC 8446) with rustls, for server and client connections.
 //!
-//! Certificates and keys come as PEM text (RFC 7468). What a side goes by is a value that can be exchanged while
-//! connections are open: they keep the one that they began with.
+//! Certificates and keys are PEM text (RFC 7468). The configuration of a side can be replaced while
+//! connections are open; open connections keep the configuration that they were established with.
 
 use crate::client::ExchangeError;
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
@@ -18,48 +18,48 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// What is wrong with certificates or keys. It holds none of a key's bytes.
+/// Why certificates or keys cannot be used. It never contains any of a key's bytes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TlsError {
-    /// Not PEM, or without what is looked for.
+    /// The text is not PEM, or does not contain the expected item.
     #[error("no {what} in PEM form: {why}")]
     Pem {
-        /// What was looked for.
+        /// The expected item.
         what: &'static str,
-        /// Why it was not found.
+        /// The reason.
         why: String,
     },
-    /// The parts do not fit together, or are not taken.
+    /// The certificates and keys do not match, or are not accepted.
     #[error("{0}")]
-    Unfit(String),
-    /// No name that a certificate could bear.
+    Invalid(String),
+    /// The server name cannot occur in a certificate.
     #[error("\"{0}\" is neither a host's name nor an IP address")]
     Name(String),
 }
 
-/// A certificate chain, the end's own first, and its private key, both in PEM text.
+/// A certificate chain, with the end-entity certificate first, and its private key, both as PEM text.
 #[derive(Clone, Copy)]
 pub struct Identity<'a> {
-    /// The chain.
+    /// The certificate chain.
     pub chain: &'a [u8],
-    /// The key.
+    /// The private key.
     pub key: &'a [u8],
 }
 
-type Parts = (Vec<CertificateDer<'static>>, PrivateKeyDer<'static>);
+type ChainAndKey = (Vec<CertificateDer<'static>>, PrivateKeyDer<'static>);
 
 fn certificates(pem: &[u8]) -> Result<Vec<CertificateDer<'static>>, TlsError> {
     let what = "certificate";
     let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
     let all = all.map_err(|e| TlsError::Pem { what, why: e.to_string() })?;
     match all.is_empty() {
-        true => Err(TlsError::Pem { what, why: "none stands there".into() }),
+        true => Err(TlsError::Pem { what, why: "none found".into() }),
         false => Ok(all),
     }
 }
 
 impl Identity<'_> {
-    fn parts(&self) -> Result<Parts, TlsError> {
+    fn parse(&self) -> Result<ChainAndKey, TlsError> {
         let key = PrivateKeyDer::from_pem_slice(self.key);
         let key = key.map_err(|e| TlsError::Pem { what: "private key", why: e.to_string() })?;
         Ok((certificates(self.chain)?, key))
@@ -71,51 +71,52 @@
     for certificate in certificates(authority)? {
         roots
             .add(certificate)
-            .map_err(|e| TlsError::Unfit(format!("not an authority's certificate: {e}")))?;
+            .map_err(|e| TlsError::Invalid(format!("not an authority's certificate: {e}")))?;
     }
     Ok(roots)
 }
 
-fn unfit(e: rustls::Error) -> TlsError {
-    TlsError::Unfit(e.to_string())
+fn invalid(e: rustls::Error) -> TlsError {
+    TlsError::Invalid(e.to_string())
 }
 
-/// How a server meets its clients.
+/// The TLS configuration of a server.
 #[derive(Clone, Debug)]
 pub struct ServerTls(Arc<ServerConfig>);
 
 impl ServerTls {
-    /// A server with an identity; where `clients` is given, clients must show a certificate of that authority.
-    pub fn new(identity: Identity<'_>, clients: Option<&[u8]>) -> Result<Self, TlsError> {
+    /// A configuration with the server's identity. With `client_authorities`, clients must present a
+    /// certificate signed by one of these authorities.
+    pub fn new(identity: Identity<'_>, client_authorities: Option<&[u8]>) -> Result<Self, TlsError> {
         let provider = Arc::new(crypto::ring::default_provider());
         let builder = ServerConfig::builder_with_provider(provider.clone());
-        let builder = builder.with_safe_default_protocol_versions().map_err(unfit)?;
-        let builder = match clients {
+        let builder = builder.with_safe_default_protocol_versions().map_err(invalid)?;
+        let builder = match client_authorities {
             None => builder.with_no_client_auth(),
             Some(pem) => {
                 let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots(pem)?), provider);
-                let verifier = verifier.build().map_err(|e| TlsError::Unfit(e.to_string()))?;
+                let verifier = verifier.build().map_err(|e| TlsError::Invalid(e.to_string()))?;
                 builder.with_client_cert_verifier(verifier)
             }
         };
-        let (chain, key) = identity.parts()?;
-        let mut config = builder.with_single_cert(chain, key).map_err(unfit)?;
+        let (chain, key) = identity.parse()?;
+        let mut config = builder.with_single_cert(chain, key).map_err(invalid)?;
         config.alpn_protocols = vec![b"http/1.1".to_vec()]; // RFC 7301
         Ok(ServerTls(Arc::new(config)))
     }
 
-    /// Shakes hands on a connection just accepted, within a time.
-    pub async fn accept(&self, stream: TcpStream, time: Duration) -> io::Result<Stream> {
-        let late = async {
-            Timer::after(time).await;
+    /// Performs the handshake on a connection that was just accepted, within the timeout.
+    pub async fn accept(&self, stream: TcpStream, timeout: Duration) -> io::Result<Stream> {
+        let timed_out = async {
+            Timer::after(timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        let shaken = async { TlsAcceptor::from(self.0.clone()).accept(stream).await };
-        Ok(Stream::Tls(Box::new(TlsStream::Server(shaken.or(late).await?))))
+        let handshake = async { TlsAcceptor::from(self.0.clone()).accept(stream).await };
+        Ok(Stream::Tls(Box::new(TlsStream::Server(handshake.or(timed_out).await?))))
     }
 }
 
-/// How a client meets servers.
+/// The TLS configuration of a client.
 #[derive(Clone, Debug)]
 pub struct ClientTls {
     config: Arc<ClientConfig>,
@@ -123,18 +124,18 @@
 }
 
 impl ClientTls {
-    /// A client that trusts the certificates of an authority that bear a name; it shows its own where one is given
-    /// and asked for.
+    /// A configuration that accepts certificates signed by an authority and valid for a server name. With
+    /// `identity`, the client presents its own certificate if the server requests one.
     pub fn new(authority: &[u8], name: &str, identity: Option<Identity<'_>>) -> Result<Self, TlsError> {
         let provider = Arc::new(crypto::ring::default_provider());
         let builder = ClientConfig::builder_with_provider(provider);
-        let builder = builder.with_safe_default_protocol_versions().map_err(unfit)?;
+        let builder = builder.with_safe_default_protocol_versions().map_err(invalid)?;
         let builder = builder.with_root_certificates(roots(authority)?);
         let mut config = match identity {
             None => builder.with_no_client_auth(),
             Some(identity) => {
-                let (chain, key) = identity.parts()?;
-                builder.with_client_auth_cert(chain, key).map_err(unfit)?
+                let (chain, key) = identity.parse()?;
+                builder.with_client_auth_cert(chain, key).map_err(invalid)?
             }
         };
         config.alpn_protocols = vec![b"http/1.1".to_vec()];
@@ -142,21 +143,21 @@
         Ok(ClientTls { config: Arc::new(config), name })
     }
 
-    /// Shakes hands on a connection just made. Nothing of a request was sent where this fails.
+    /// Performs the handshake on a new connection. If it fails, no part of a request was sent.
     pub(crate) async fn connect(&self, stream: TcpStream) -> Result<Stream, ExchangeError> {
         let connector = TlsConnector::from(self.config.clone());
-        let shaken = connector.connect(self.name.clone(), stream).await;
-        let shaken = shaken.map_err(|e| ExchangeError::Connect(format!("TLS: {e}")))?;
-        Ok(Stream::Tls(Box::new(TlsStream::Client(shaken))))
+        let stream = connector.connect(self.name.clone(), stream).await;
+        let stream = stream.map_err(|e| ExchangeError::Connect(format!("TLS: {e}")))?;
+        Ok(Stream::Tls(Box::new(TlsStream::Client(stream))))
     }
 }
 
-/// A connection, under TLS or not.
+/// A connection with or without TLS.
 #[derive(Debug)]
 pub enum Stream {
-    /// As it is.
+    /// Plain TCP.
     Plain(TcpStream),
-    /// Under TLS.
+    /// TLS over TCP.
     Tls(Box<TlsStream<TcpStream>>),
 }
 
--- a/crates/badgerwind-http/tests/authority/mod.rs
+++ b/crates/badgerwind-http/tests/authority/mod.rs
@@ -1,8 +1,8 @@
-//! Certificates for tests, made anew each time.
+//! Certificates for tests, generated on each run.
 
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
-/// An authority, and what it signs.
+/// A certificate authority that signs certificates for tests.
 pub struct Authority {
     pub pem: String,
     issuer: Issuer<'static, KeyPair>,
@@ -16,7 +16,7 @@
         let pem = params.self_signed(&key).unwrap().pem();
         Authority { pem, issuer: Issuer::new(params, key) }
     }
-    /// Chain and key of a name.
+    /// Generates a certificate chain and private key for a name, both as PEM text.
     pub fn sign(&self, name: &str) -> (String, String) {
         let key = KeyPair::generate().unwrap();
         let params = CertificateParams::new(vec![name.to_owned()]).unwrap();
--- a/crates/badgerwind-http/tests/corpus.rs
+++ b/crates/badgerwind-http/tests/corpus.rs
@@ -1,5 +1,5 @@
-//! A corpus of requests that are oversized, cut, pipelined, or shaped so that two parties on a path could disagree about
-//! where a message ends; whole, in pieces, and mutated.
+//! A corpus of requests that are oversized, truncated, pipelined, or ambiguous, so that two parties along a
+//! path could disagree about where a message ends. Each is parsed whole, in pieces, and mutated.
 
 use badgerwind_http::head::{request, HeadEnd};
 use badgerwind_http::*;
@@ -9,25 +9,26 @@
 const HEAD_BYTES: usize = 2048;
 const BODY_BYTES: usize = 4096;
 
-/// What a connection's bytes come to: each message's target and body, then how it ended.
+/// The result of parsing a connection's bytes: the target and body of each message, then how the connection
+/// ended.
 #[derive(Debug, PartialEq)]
-struct Read {
+struct Parsed {
     messages: Vec<(String, Vec<u8>)>,
     ended: Ended,
 }
 
 #[derive(Debug, PartialEq)]
 enum Ended {
-    /// Between messages.
+    /// The bytes ended between messages.
     Clean,
-    /// More was to come.
-    Cut,
-    /// Refused with a status.
-    Refused(u16),
+    /// The bytes ended within a message.
+    Truncated,
+    /// A message was rejected with this status.
+    Rejected(u16),
 }
 
-/// Reads a connection's bytes, coming in pieces of at most `step`.
-fn read(bytes: &[u8], step: usize) -> Read {
+/// Parses a connection's bytes, which arrive in pieces of at most `step` bytes.
+fn parse(bytes: &[u8], step: usize) -> Parsed {
     let (mut messages, mut buf, mut left) = (Vec::new(), Vec::new(), bytes);
     let more = |buf: &mut Vec<u8>, left: &mut &[u8]| {
         let n = step.min(left.len());
@@ -39,47 +40,48 @@
         let mut end = HeadEnd::default();
         let head = loop {
             match end.find(&buf, HEAD_BYTES).and_then(|_| request(&buf, HEAD_BYTES, 16)) {
-                Err(e) => return Read { messages, ended: Ended::Refused(e.status()) },
+                Err(e) => return Parsed { messages, ended: Ended::Rejected(e.status()) },
                 Ok(Some((head, length))) => {
                     buf.drain(..length);
                     break head;
                 }
                 Ok(None) if more(&mut buf, &mut left) => {}
                 Ok(None) => {
-                    let ended = if buf.is_empty() { Ended::Clean } else { Ended::Cut };
-                    return Read { messages, ended };
+                    let ended = if buf.is_empty() { Ended::Clean } else { Ended::Truncated };
+                    return Parsed { messages, ended };
                 }
             }
         };
         let mut body = match Body::new(head.framing, BODY_BYTES) {
             Ok(body) => body,
-            Err(_) => return Read { messages, ended: Ended::Refused(413) },
+            Err(_) => return Parsed { messages, ended: Ended::Rejected(413) },
         };
         let mut out = Vec::new();
         loop {
-            match body.take(&buf, &mut out) {
+            match body.decode(&buf, &mut out) {
                 Ok(used) => _ = buf.drain(..used),
-                Err(BodyError::TooLong { .. }) => return Read { messages, ended: Ended::Refused(413) },
-                Err(_) => return Read { messages, ended: Ended::Refused(400) },
+                Err(BodyError::TooLong { .. }) => return Parsed { messages, ended: Ended::Rejected(413) },
+                Err(_) => return Parsed { messages, ended: Ended::Rejected(400) },
             }
             if body.is_done() {
                 break;
             }
             if !more(&mut buf, &mut left) {
-                return Read { messages, ended: Ended::Cut };
+                return Parsed { messages, ended: Ended::Truncated };
             }
         }
         messages.push((head.target, out));
     }
 }
 
-/// Bytes of a connection, the targets of the messages that they hold, and how it ends.
+/// The name of each case, the bytes of a connection, the targets of the messages in them, and how the
+/// connection ends.
 fn corpus() -> Vec<(&'static str, Vec<u8>, Vec<&'static str>, Ended)> {
     let long = |n: usize| "x".repeat(n);
     let post =
         |lines: &str, rest: &str| format!("POST /a HTTP/1.1\r\nhost: a\r\n{lines}\r\n{rest}").into_bytes();
     let hidden = "GET /hidden HTTP/1.1\r\nhost: a\r\n\r\n";
-    let bad = || Ended::Refused(400);
+    let bad = || Ended::Rejected(400);
     vec![
         (
             "two in a row",
@@ -129,9 +131,9 @@
             "codings in two lines",
             post("transfer-encoding: chunked\r\ntransfer-encoding: identity\r\n", "0\r\n\r\n"),
             vec![],
-            Ended::Refused(501),
+            Ended::Rejected(501),
         ),
-        ("identity", post("transfer-encoding: identity\r\n", hidden), vec![], Ended::Refused(501)),
+        ("identity", post("transfer-encoding: identity\r\n", hidden), vec![], Ended::Rejected(501)),
         (
             "a coding with a mark before",
             post("transfer-encoding: \x0bchunked\r\n", "0\r\n\r\n"),
@@ -180,24 +182,24 @@
             "chunks without the last",
             post("transfer-encoding: chunked\r\n", "3\r\nabc\r\n"),
             vec![],
-            Ended::Cut,
+            Ended::Truncated,
         ),
-        ("half a head", b"POST /a HTTP/1.1\r\nhost: a\r\n".to_vec(), vec![], Ended::Cut),
-        ("half a body", post("content-length: 5\r\n", "abc"), vec![], Ended::Cut),
+        ("half a head", b"POST /a HTTP/1.1\r\nhost: a\r\n".to_vec(), vec![], Ended::Truncated),
+        ("half a body", post("content-length: 5\r\n", "abc"), vec![], Ended::Truncated),
         (
             "a head without end",
             format!("GET /{} HTTP/1.1\r\n", long(3000)).into_bytes(),
             vec![],
-            Ended::Refused(431),
+            Ended::Rejected(431),
         ),
-        ("a header without end", post(&format!("x: {}", long(3000)), ""), vec![], Ended::Refused(431)),
-        ("lines without number", post(&"x: y\r\n".repeat(40), ""), vec![], Ended::Refused(431)),
-        ("a body beyond the bound", post("content-length: 5000\r\n", ""), vec![], Ended::Refused(413)),
+        ("a header without end", post(&format!("x: {}", long(3000)), ""), vec![], Ended::Rejected(431)),
+        ("lines without number", post(&"x: y\r\n".repeat(40), ""), vec![], Ended::Rejected(431)),
+        ("a body beyond the bound", post("content-length: 5000\r\n", ""), vec![], Ended::Rejected(413)),
         (
             "chunks beyond the bound",
             post("transfer-encoding: chunked\r\n", &format!("fff\r\n{}\r\n2\r\nab\r\n0\r\n\r\n", long(4095))),
             vec![],
-            Ended::Refused(413),
+            Ended::Rejected(413),
         ),
         ("another protocol", b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03".to_vec(), vec![], bad()),
         ("HTTP/2's preface", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec(), vec![], bad()),
@@ -213,24 +215,25 @@
 #[test]
 fn each_is_read_in_one_way_however_it_is_cut() {
     for (what, bytes, targets, ended) in corpus() {
-        let whole = read(&bytes, usize::MAX);
+        let whole = parse(&bytes, usize::MAX);
         let seen: Vec<&str> = whole.messages.iter().map(|m| m.0.as_str()).collect();
         assert_eq!((seen, &whole.ended), (targets, &ended), "{what}");
         for step in [1, 2, 3, 7, 100] {
-            let cut = read(&bytes, step);
-            // Where bytes beyond a bound have come or not, the bound may be met before the fault is.
-            let bounds = |e: &Ended| matches!(e, Ended::Refused(431 | 413 | 400));
+            let split = parse(&bytes, step);
+            // Depending on how many bytes have arrived, either a limit or another defect may be detected
+            // first.
+            let either = |e: &Ended| matches!(e, Ended::Rejected(431 | 413 | 400));
             assert!(
-                cut == whole
-                    || (cut.messages == whole.messages && bounds(&cut.ended) && bounds(&whole.ended)),
-                "{what} by {step}: {cut:?}"
+                split == whole
+                    || (split.messages == whole.messages && either(&split.ended) && either(&whole.ended)),
+                "{what} by {step}: {split:?}"
             );
         }
     }
 }
 
-/// A head that comes byte by byte costs what it is long, not the square of it: at this length the square would take
-/// minutes.
+/// Finding the end of a head that arrives byte by byte takes linear time; quadratic time would be minutes at
+/// this length.
 #[test]
 fn a_head_in_single_bytes_costs_no_more_than_its_length() {
     let text = format!("GET / HTTP/1.1\r\nhost: a\r\n{}\r\n", "a: b\r\n".repeat(100_000));
@@ -243,9 +246,9 @@
     assert!(began.elapsed().as_secs() < 20);
 }
 
-/// What is done to a corpus entry.
+/// A mutation of a corpus entry.
 #[derive(Clone, Debug)]
-enum Change {
+enum Mutation {
     Set(usize, u8),
     Insert(usize, u8),
     Remove(usize, usize),
@@ -254,7 +257,7 @@
     Token(usize, usize),
 }
 
-/// Words that parsers trip over.
+/// Byte sequences that are significant to parsers.
 const TOKENS: [&[u8]; 12] = [
     b"\r\n",
     b"\n",
@@ -270,43 +273,43 @@
     b"host: a\r\n",
 ];
 
-fn change() -> impl Strategy<Value = Change> {
+fn mutation() -> impl Strategy<Value = Mutation> {
     let at = 0usize..4096;
     prop_oneof![
-        (at.clone(), any::<u8>()).prop_map(|(n, b)| Change::Set(n, b)),
-        (at.clone(), any::<u8>()).prop_map(|(n, b)| Change::Insert(n, b)),
-        (at.clone(), 1usize..40).prop_map(|(n, k)| Change::Remove(n, k)),
-        (at.clone(), 1usize..40).prop_map(|(n, k)| Change::Repeat(n, k)),
-        (at.clone(), 0usize..64, at.clone()).prop_map(|(n, w, m)| Change::Splice(n, w, m)),
-        (at, 0usize..TOKENS.len()).prop_map(|(n, t)| Change::Token(n, t)),
+        (at.clone(), any::<u8>()).prop_map(|(n, b)| Mutation::Set(n, b)),
+        (at.clone(), any::<u8>()).prop_map(|(n, b)| Mutation::Insert(n, b)),
+        (at.clone(), 1usize..40).prop_map(|(n, k)| Mutation::Remove(n, k)),
+        (at.clone(), 1usize..40).prop_map(|(n, k)| Mutation::Repeat(n, k)),
+        (at.clone(), 0usize..64, at.clone()).prop_map(|(n, w, m)| Mutation::Splice(n, w, m)),
+        (at, 0usize..TOKENS.len()).prop_map(|(n, t)| Mutation::Token(n, t)),
     ]
 }
 
-fn apply(mut bytes: Vec<u8>, change: &Change, all: &[Vec<u8>]) -> Vec<u8> {
+fn apply(mut bytes: Vec<u8>, mutation: &Mutation, all: &[Vec<u8>]) -> Vec<u8> {
     let place = |n: usize, len: usize| n % (len + 1);
-    match *change {
-        Change::Set(n, b) if !bytes.is_empty() => {
+    match *mutation {
+        Mutation::Set(n, b) if !bytes.is_empty() => {
             let n = n % bytes.len();
             bytes[n] = b;
         }
-        Change::Set(..) => {}
-        Change::Insert(n, b) => bytes.insert(place(n, bytes.len()), b),
-        Change::Remove(n, k) => {
+        Mutation::Set(..) => {}
+        Mutation::Insert(n, b) => bytes.insert(place(n, bytes.len()), b),
+        Mutation::Remove(n, k) => {
             let from = place(n, bytes.len());
             let to = (from + k).min(bytes.len());
             bytes.drain(from..to);
         }
-        Change::Repeat(n, k) => {
+        Mutation::Repeat(n, k) => {
             let from = place(n, bytes.len());
             let piece = bytes[from..(from + k).min(bytes.len())].to_vec();
             bytes.splice(from..from, piece);
         }
-        Change::Splice(n, which, m) => {
+        Mutation::Splice(n, which, m) => {
             let other = &all[which % all.len()];
             bytes.truncate(place(n, bytes.len()));
             bytes.extend_from_slice(&other[place(m, other.len())..]);
         }
-        Change::Token(n, t) => {
+        Mutation::Token(n, t) => {
             let at = place(n, bytes.len());
             bytes.splice(at..at, TOKENS[t].iter().copied());
         }
@@ -314,9 +317,10 @@
     bytes
 }
 
-/// A second reading of a whole head, by httparse alone and RFC 9112 section 6.3 in its plainest words: how many bytes
-/// of body follow, where that can be said at all. What ours accepts it must accept, with the same border.
-fn second(bytes: &[u8]) -> Option<(usize, Framing)> {
+/// An independent parser of a complete head, with httparse alone and the rules of RFC 9112 section 6.3: the
+/// head's length and its framing, if they are unambiguous. It must accept every head that the crate accepts,
+/// with the same boundary.
+fn reference(bytes: &[u8]) -> Option<(usize, Framing)> {
     let mut space = [httparse::EMPTY_HEADER; 64];
     let mut parsed = httparse::Request::new(&mut space);
     let Ok(httparse::Status::Complete(length)) = parsed.parse(bytes) else { return None };
@@ -337,20 +341,21 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(9), ..ProptestConfig::with_cases(4_000) })]
 
     #[test]
-    fn mutants_are_read_in_one_way_or_refused(which in 0usize..64, changes in prop::collection::vec(change(), 1..8), step in 1usize..60) {
+    fn mutants_are_read_in_one_way_or_refused(which in 0usize..64, changes in prop::collection::vec(mutation(), 1..8), step in 1usize..60) {
         let all: Vec<Vec<u8>> = corpus().into_iter().map(|c| c.1).collect();
         let start = all[which % all.len()].clone();
         let bytes = changes.iter().fold(start, |b, c| apply(b, c, &all));
-        // How it is cut changes no message, only, near a bound, which of its faults is met first.
-        let (whole, cut) = (read(&bytes, usize::MAX), read(&bytes, step));
-        prop_assert_eq!(&whole.messages, &cut.messages);
-        prop_assert_eq!(matches!(whole.ended, Ended::Clean), matches!(cut.ended, Ended::Clean));
-        // What is taken as a head has the border that another reading gives it.
+        // How the bytes are split changes no message; near a limit it may change which defect is detected
+        // first.
+        let (whole, split) = (parse(&bytes, usize::MAX), parse(&bytes, step));
+        prop_assert_eq!(&whole.messages, &split.messages);
+        prop_assert_eq!(matches!(whole.ended, Ended::Clean), matches!(split.ended, Ended::Clean));
+        // The reference parser finds the same boundary and framing of an accepted head.
         if let Ok(Some((head, length))) = request(&bytes, HEAD_BYTES, 16) {
-            prop_assert_eq!(second(&bytes), Some((length, head.framing)));
+            prop_assert_eq!(reference(&bytes), Some((length, head.framing)));
             prop_assert!(!head.headers.all("content-length").any(|_| head.framing == Framing::Chunked));
         }
-        // A head comes to the same in pieces as whole.
+        // The end of a head is the same whether it arrives in pieces or whole.
         let (mut end, mut found) = (HeadEnd::default(), Ok(None));
         for n in 1..=bytes.len() {
             found = end.find(&bytes[..n], HEAD_BYTES);
--- a/crates/badgerwind-http/tests/framing.rs
+++ b/crates/badgerwind-http/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies: one reading or none.
+//! Parsing of heads and bodies: ambiguous input is rejected.
 
 use badgerwind_http::head::{request, response};
 use badgerwind_http::*;
@@ -68,12 +68,12 @@
     assert_eq!(request(head, head.len() - 1, 2).unwrap_err(), HeadError::TooLong { most: head.len() - 1 });
     assert_eq!(request(head, head.len(), 1).unwrap_err(), HeadError::TooMany { most: 1 });
     assert_eq!(request(&head[..20], 21, 2).unwrap(), None);
-    assert_eq!(request(&head[..20], 20, 2).unwrap_err().status(), 431, "no end in sight");
+    assert_eq!(request(&head[..20], 20, 2).unwrap_err().status(), 431, "an incomplete head at the limit");
     assert_eq!(Body::new(Framing::Length(11), 10).unwrap_err(), BodyError::TooLong { most: 10 });
     let mut body = Body::new(Framing::Chunked, 10).unwrap();
-    assert_eq!(body.take(b"b\r\n", &mut Vec::new()), Err(BodyError::TooLong { most: 10 }));
+    assert_eq!(body.decode(b"b\r\n", &mut Vec::new()), Err(BodyError::TooLong { most: 10 }));
     let mut body = Body::new(Framing::Close, 10).unwrap();
-    assert!(body.take(b"0123456789a", &mut Vec::new()).is_err());
+    assert!(body.decode(b"0123456789a", &mut Vec::new()).is_err());
 }
 
 #[test]
@@ -97,7 +97,7 @@
     let (mut out, mut buf, mut used) = (Vec::new(), Vec::new(), 0);
     for piece in bytes.chunks(step.max(1)) {
         buf.extend_from_slice(piece);
-        let n = body.take(&buf, &mut out)?;
+        let n = body.decode(&buf, &mut out)?;
         buf.drain(..n);
         used += n;
     }
@@ -138,7 +138,7 @@
         let _ = chunked(&bytes, 7);
     }
 
-    /// However a message is cut, it is read as when it comes whole.
+    /// A chunked body decodes to the same bytes however the input is split.
     #[test]
     fn how_it_is_cut_does_not_matter(body in prop::collection::vec(any::<u8>(), 0..400), cuts in prop::collection::vec(1usize..60, 1..12), step in 1usize..50) {
         let (mut text, mut rest) = (Vec::new(), &body[..]);
--- a/crates/badgerwind-http/tests/sockets.rs
+++ b/crates/badgerwind-http/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Server and client on loopback sockets.
+//! Server and client connections over loopback sockets.
 
 use badgerwind_http::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Answers each request with its own method, target and body; `/slow` never.
+/// Answers each request with its method, target and body; never answers `/slow`.
 async fn echo(listener: TcpListener, limits: Limits) {
     let limits = Arc::new(limits);
     while let Ok((stream, _)) = listener.accept().await {
@@ -18,7 +18,7 @@
                 let refused = match conn.head().await {
                     Ok(Some(head)) => match conn.body(&head).await {
                         Ok(_) if head.target == "/slow" => {
-                            conn.gone().await;
+                            conn.closed().await;
                             return;
                         }
                         Ok(body) => {
@@ -53,7 +53,7 @@
     address
 }
 
-/// Sends bytes as they are, and reads until the server closes.
+/// Sends raw bytes, and reads until the server closes the connection.
 fn raw(address: SocketAddr, bytes: &[u8]) -> String {
     smol::block_on(async {
         let mut stream = TcpStream::connect(address).await.unwrap();
@@ -114,9 +114,9 @@
         let mut s = TcpStream::connect(address).await.unwrap();
         let head = b"POST / HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\nconnection: close\r\ncontent-length: 2\r\n\r\n";
         s.write_all(head).await.unwrap();
-        let mut word = [0u8; 25];
-        s.read_exact(&mut word).await.unwrap();
-        assert_eq!(&word, b"HTTP/1.1 100 Continue\r\n\r\n");
+        let mut interim = [0u8; 25];
+        s.read_exact(&mut interim).await.unwrap();
+        assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
         s.write_all(b"hi").await.unwrap();
         let mut rest = String::new();
         s.read_to_string(&mut rest).await.unwrap();
@@ -148,7 +148,7 @@
         assert!(futures_lite::future::poll_once(&mut two).await.is_none());
         assert!(matches!(pool.exchange(&get("/a")).await, Err(ExchangeError::Connect(_))));
         drop((one, two));
-        assert_eq!(pool.open(), 0, "an exchange given up gives its connection up");
+        assert_eq!(pool.open(), 0, "a dropped exchange closes its connection");
         assert!(pool.exchange(&get("/a")).await.is_ok());
         pool.close_idle();
         assert_eq!(pool.open(), 0);
--- a/crates/badgerwind-http/tests/tls.rs
+++ b/crates/badgerwind-http/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS under both sides: who is let in, who is not, and certificates that change while connections are open.
+//! TLS on both sides: accepted and rejected peers, and certificates that change while connections are open.
 
 mod authority;
 
@@ -16,15 +16,15 @@
     Identity { chain: chain.as_bytes(), key: key.as_bytes() }
 }
 
-/// Echoes bodies under whatever certificate holds when a connection comes.
+/// Echoes bodies; each connection uses the configuration that is current when it is accepted.
 fn server(tls: Arc<Mutex<ServerTls>>) -> SocketAddr {
     let listener = smol::block_on(TcpListener::bind("127.0.0.1:0")).unwrap();
     let address = listener.local_addr().unwrap();
     smol::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let now = tls.lock().unwrap().clone();
+            let current = tls.lock().unwrap().clone();
             smol::spawn(async move {
-                let Ok(stream) = now.accept(stream, Duration::from_secs(5)).await else { return };
+                let Ok(stream) = current.accept(stream, Duration::from_secs(5)).await else { return };
                 let mut conn = Conn::new(stream, Arc::new(Limits::default()));
                 while let Ok(Some(head)) = conn.head().await {
                     let body = conn.body(&head).await.unwrap();
@@ -60,7 +60,7 @@
     for size in [0, 1, 16_384, 16_385, 500_000] {
         let body = vec![b'x'; size];
         assert!(post(&pool, &body).unwrap() == body, "{size}");
-        assert_eq!(pool.open(), 1, "one connection for all");
+        assert_eq!(pool.open(), 1, "one connection is reused");
     }
 }
 
@@ -97,15 +97,15 @@
 #[test]
 fn a_certificate_changes_while_connections_are_open() {
     let (old, new) = (Authority::new(), Authority::new());
-    let holds = Arc::new(Mutex::new(ServerTls::new(identity(&old.sign("runner.test")), None).unwrap()));
-    let address = server(holds.clone());
+    let server_tls = Arc::new(Mutex::new(ServerTls::new(identity(&old.sign("runner.test")), None).unwrap()));
+    let address = server(server_tls.clone());
     let trusts = |a: &Authority| ClientTls::new(a.pem.as_bytes(), "runner.test", None).unwrap();
     let open = pool(address, Some(trusts(&old)));
     assert_eq!(post(&open, b"1").unwrap(), b"1");
-    *holds.lock().unwrap() = ServerTls::new(identity(&new.sign("runner.test")), None).unwrap();
-    assert_eq!(post(&open, b"2").unwrap(), b"2", "an open connection goes on");
+    *server_tls.lock().unwrap() = ServerTls::new(identity(&new.sign("runner.test")), None).unwrap();
+    assert_eq!(post(&open, b"2").unwrap(), b"2", "an open connection continues to work");
     open.close_idle();
-    assert!(post(&open, b"3").is_err(), "a new one meets the new certificate");
+    assert!(post(&open, b"3").is_err(), "a new connection gets the new certificate");
     open.set_tls(Some(trusts(&new)));
     assert_eq!(post(&open, b"4").unwrap(), b"4");
 }
@@ -119,10 +119,10 @@
         |chain: &str, key: &str| ServerTls::new(identity(&(chain.into(), key.into())), None).unwrap_err();
     assert!(matches!(fails("", &key), TlsError::Pem { what: "certificate", .. }));
     assert!(matches!(fails(&chain, "whsec_nothing"), TlsError::Pem { what: "private key", .. }));
-    let unfit = fails(&chain, &other);
-    assert!(matches!(unfit, TlsError::Unfit(_)), "{unfit:?}");
+    let invalid = fails(&chain, &other);
+    assert!(matches!(invalid, TlsError::Invalid(_)), "{invalid:?}");
     let inside = key.lines().nth(1).unwrap();
-    for e in [fails("", &key), fails(&chain, &key.replace("BEGIN", "begin")), unfit] {
+    for e in [fails("", &key), fails(&chain, &key.replace("BEGIN", "begin")), invalid] {
         assert!(!e.to_string().contains(inside) && !format!("{e:?}").contains(inside));
     }
     assert_eq!(
--- a/crates/badgerwind-standins/src/runner.rs
+++ b/crates/badgerwind-standins/src/runner.rs
@@ -253,7 +253,7 @@
                 },
                 ("DELETE", ["", "attempts", request, attempt]) => {
                     if self.lock().hangs {
-                        conn.gone().await;
+                        conn.closed().await;
                         return;
                     }
                     let stopped = attempt.parse().is_ok_and(|n| self.stop(request, n));
@@ -271,7 +271,7 @@
                 }
                 ("GET", _) if path == runner::READY_PATH => {
                     if self.lock().hangs {
-                        conn.gone().await;
+                        conn.closed().await;
                         return;
                     }
                     crate::empty(200)
@@ -411,7 +411,7 @@
         }
         let _ = self.nudge.try_send(());
         let gone = async {
-            conn.gone().await;
+            conn.closed().await;
             None
         };
         let reply = futures_lite::future::or(async { replied.recv().await.ok() }, gone).await;
@@ -469,7 +469,7 @@
         self.step(|model, out| model.order(now(), id, what.0, what.1, out));
         let _ = self.nudge.try_send(());
         let gone = async {
-            conn.gone().await;
+            conn.closed().await;
             None
         };
         let reply = futures_lite::future::or(async { replied.recv().await.ok() }, gone).await;
--- a/crates/badgerwind-standins/src/store.rs
+++ b/crates/badgerwind-standins/src/store.rs
@@ -150,7 +150,7 @@
                                 true
                             };
                             let gone = async {
-                                conn.gone().await;
+                                conn.closed().await;
                                 false
                             };
                             if !futures_lite::future::or(served, gone).await {
