--- a/crates/badgerwind-webhook/src/skew.rs
+++ b/crates/badgerwind-webhook/src/skew.rs
@@ -1,7 +1,7 @@
 //! Estimates the offset of senders' clocks from the timestamps of their signed messages, and provides the
 //! clock by which timestamps are checked. No I/O.
 //!
-//! A timestamp is the time of signing in whole seconds. Rounding and the delay on the network make the
+//! A timestamp is the time of signing in whole seconds. The delay of a message on the network makes the
 //! sender's clock look slower than it is, never faster, so the largest difference within a window is the best
 //! estimate.
 
