--- a/crates/badgerwind-http/tests/corpus.rs
+++ b/crates/badgerwind-http/tests/corpus.rs
@@ -84,7 +84,7 @@
     let bad = || Ended::Rejected(400);
     vec![
         (
-            "two in a row",
+            "two pipelined requests",
             post("content-length: 3\r\n", &format!("abc{hidden}")),
             vec!["/a", "/hidden"],
             Ended::Clean,
@@ -96,7 +96,7 @@
             Ended::Clean,
         ),
         (
-            "a chunk that looks like one",
+            "a chunk that looks like a request",
             post("transfer-encoding: chunked\r\n", &format!("{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len())),
             vec!["/a"],
             Ended::Clean,
@@ -116,12 +116,12 @@
         ("two lengths", post("content-length: 0\r\ncontent-length: 44\r\n", hidden), vec![], bad()),
         ("two lengths in a line", post("content-length: 0, 44\r\n", hidden), vec![], bad()),
         ("a length in hexadecimal", post("content-length: 0x0\r\n", hidden), vec![], bad()),
-        ("a length below nothing", post("content-length: -1\r\n", hidden), vec![], bad()),
+        ("a negative length", post("content-length: -1\r\n", hidden), vec![], bad()),
         ("a length with a sign", post("content-length: +0\r\n", hidden), vec![], bad()),
         ("a length with a space inside", post("content-length: 0 0\r\n", hidden), vec![], bad()),
-        ("a length in other digits", post("content-length: \u{0661}\r\n", hidden), vec![], bad()),
-        ("a name with a space behind", post("content-length : 0\r\n", hidden), vec![], bad()),
-        ("a name with a tab behind", post("transfer-encoding\t: chunked\r\n", hidden), vec![], bad()),
+        ("a length in non-ASCII digits", post("content-length: \u{0661}\r\n", hidden), vec![], bad()),
+        ("a name followed by a space", post("content-length : 0\r\n", hidden), vec![], bad()),
+        ("a name followed by a tab", post("transfer-encoding\t: chunked\r\n", hidden), vec![], bad()),
         ("a folded line", post("x: a\r\n content-length: 0\r\n", hidden), vec![], bad()),
         ("a line end of LF", b"POST /a HTTP/1.1\nhost: a\n\n".to_vec(), vec![], bad()),
         ("a line end of LF before the last", post("x: y\ncontent-length: 44\r\n", hidden), vec![], bad()),
@@ -135,7 +135,7 @@
         ),
         ("identity", post("transfer-encoding: identity\r\n", hidden), vec![], Ended::Rejected(501)),
         (
-            "a coding with a mark before",
+            "a coding preceded by a control character",
             post("transfer-encoding: \x0bchunked\r\n", "0\r\n\r\n"),
             vec![],
             bad(),
@@ -173,7 +173,7 @@
             bad(),
         ),
         (
-            "a chunk's size beyond all numbers",
+            "a chunk's size that overflows",
             post("transfer-encoding: chunked\r\n", "fffffffffffffffff\r\n"),
             vec![],
             bad(),
@@ -192,11 +192,11 @@
             vec![],
             Ended::Rejected(431),
         ),
-        ("a header without end", post(&format!("x: {}", long(3000)), ""), vec![], Ended::Rejected(431)),
-        ("lines without number", post(&"x: y\r\n".repeat(40), ""), vec![], Ended::Rejected(431)),
-        ("a body beyond the bound", post("content-length: 5000\r\n", ""), vec![], Ended::Rejected(413)),
+        ("a header line without end", post(&format!("x: {}", long(3000)), ""), vec![], Ended::Rejected(431)),
+        ("too many header lines", post(&"x: y\r\n".repeat(40), ""), vec![], Ended::Rejected(431)),
+        ("a body beyond the limit", post("content-length: 5000\r\n", ""), vec![], Ended::Rejected(413)),
         (
-            "chunks beyond the bound",
+            "chunks beyond the limit",
             post("transfer-encoding: chunked\r\n", &format!("fff\r\n{}\r\n2\r\nab\r\n0\r\n\r\n", long(4095))),
             vec![],
             Ended::Rejected(413),
@@ -204,7 +204,7 @@
         ("another protocol", b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03".to_vec(), vec![], bad()),
         ("HTTP/2's preface", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec(), vec![], bad()),
         (
-            "a proxy's line",
+            "a PROXY protocol line",
             b"PROXY TCP4 192.0.2.1 192.0.2.2 1 2\r\nGET /a HTTP/1.1\r\nhost: a\r\n\r\n".to_vec(),
             vec![],
             bad(),
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn each_is_read_in_one_way_however_it_is_cut() {
+fn each_case_parses_the_same_however_it_is_split() {
     for (what, bytes, targets, ended) in corpus() {
         let whole = parse(&bytes, usize::MAX);
         let seen: Vec<&str> = whole.messages.iter().map(|m| m.0.as_str()).collect();
@@ -341,7 +341,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(9), ..ProptestConfig::with_cases(4_000) })]
 
     #[test]
-    fn mutants_are_read_in_one_way_or_refused(which in 0usize..64, changes in prop::collection::vec(mutation(), 1..8), step in 1usize..60) {
+    fn mutated_requests_parse_unambiguously_or_are_rejected(which in 0usize..64, changes in prop::collection::vec(mutation(), 1..8), step in 1usize..60) {
         let all: Vec<Vec<u8>> = corpus().into_iter().map(|c| c.1).collect();
         let start = all[which % all.len()].clone();
         let bytes = changes.iter().fold(start, |b, c| apply(b, c, &all));
--- a/crates/badgerwind-http/tests/framing.rs
+++ b/crates/badgerwind-http/tests/framing.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn what_can_be_read_in_two_ways_is_refused() {
+fn ambiguous_heads_are_rejected() {
     for (lines, status) in [
         ("content-length: 5\r\ncontent-length: 5\r\n", 400),
         ("content-length: 5\r\ncontent-length: 6\r\n", 400),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn limits_bite_at_their_edge() {
+fn limits_are_exact() {
     let head = b"GET / HTTP/1.1\r\nhost: a\r\nx: y\r\n\r\n";
     assert!(request(head, head.len(), 2).unwrap().is_some());
     assert_eq!(request(head, head.len() - 1, 2).unwrap_err(), HeadError::TooLong { most: head.len() - 1 });
@@ -132,7 +132,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes: Vec<u8>, most in 1usize..200) {
+    fn arbitrary_bytes_do_not_panic(bytes: Vec<u8>, most in 1usize..200) {
         let _ = request(&bytes, most, 8);
         let _ = response(&bytes, most, false);
         let _ = chunked(&bytes, 7);
@@ -140,7 +140,7 @@
 
     /// A chunked body decodes to the same bytes however the input is split.
     #[test]
-    fn how_it_is_cut_does_not_matter(body in prop::collection::vec(any::<u8>(), 0..400), cuts in prop::collection::vec(1usize..60, 1..12), step in 1usize..50) {
+    fn chunked_bodies_decode_the_same_however_they_are_split(body in prop::collection::vec(any::<u8>(), 0..400), cuts in prop::collection::vec(1usize..60, 1..12), step in 1usize..50) {
         let (mut text, mut rest) = (Vec::new(), &body[..]);
         for cut in cuts {
             let (now, later) = rest.split_at(cut.min(rest.len()));
--- a/crates/badgerwind-http/tests/sockets.rs
+++ b/crates/badgerwind-http/tests/sockets.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_slow_head_and_a_slow_body_are_told_so_and_an_idle_client_is_not() {
+fn slow_heads_and_bodies_get_408_and_idle_clients_no_response() {
     let quick = Duration::from_millis(50);
     let address = server(Limits { head_time: quick, body_time: quick, idle_time: quick, ..limits() });
     assert!(raw(address, b"GET / HT").starts_with("HTTP/1.1 408 "));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_client_that_waits_for_a_word_gets_it() {
+fn a_client_that_expects_100_continue_gets_it() {
     let address = server(limits());
     smol::block_on(async {
         let mut s = TcpStream::connect(address).await.unwrap();
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn what_was_never_sent_is_told_from_what_may_have_run() {
+fn unsent_requests_are_distinguished_from_requests_that_may_have_run() {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/crates/badgerwind-http/tests/tls.rs
+++ b/crates/badgerwind-http/tests/tls.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn another_name_another_authority_and_no_tls_at_all_send_nothing() {
+fn a_wrong_name_a_wrong_authority_or_plain_tcp_sends_nothing() {
     let (authority, other) = (Authority::new(), Authority::new());
     let tls = ServerTls::new(identity(&authority.sign("runner.test")), None).unwrap();
     let address = server(Arc::new(Mutex::new(tls)));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_told_without_a_byte_of_the_key() {
+fn errors_contain_no_bytes_of_the_key() {
     let authority = Authority::new();
     let (chain, key) = authority.sign("a.test");
     let (_, other) = authority.sign("b.test");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_client_that_says_nothing_is_let_go_after_its_time() {
+fn a_silent_client_times_out_in_the_handshake() {
     let authority = Authority::new();
     let tls = ServerTls::new(identity(&authority.sign("runner.test")), None).unwrap();
     smol::block_on(async {
--- a/crates/badgerwind-protocol/tests/words.rs
+++ b/crates/badgerwind-protocol/tests/words.rs
@@ -7,7 +7,7 @@
 use proptest::test_runner::RngSeed;
 
 #[test]
-fn outcomes_there_and_back() {
+fn outcomes_and_marks_round_trip() {
     for o in [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Miss] {
         assert_eq!(outcome(outcome_status(o), outcome_name(o)), o);
     }
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn only_a_runners_own_word_proves_that_a_call_never_ran() {
+fn only_the_runners_own_header_proves_that_a_call_never_ran() {
     for (status, name) in [
         (503, None),
         (404, None),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn lists_that_cannot_be_are_refused() {
+fn invalid_lists_are_rejected() {
     let good =
         r#"{"version":3,"whole":true,"runners":[{"id":7,"address":"127.0.0.1:9","state":"draining"}]}"#;
     let list = List::parse(good.as_bytes()).unwrap();
@@ -60,7 +60,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_are_judged_without_a_panic(bytes: Vec<u8>) {
+    fn arbitrary_bytes_do_not_panic(bytes: Vec<u8>) {
         let _ = List::parse(&bytes);
     }
 }
--- a/crates/badgerwind-webhook/tests/clocks.rs
+++ b/crates/badgerwind-webhook/tests/clocks.rs
@@ -7,7 +7,7 @@
 const NOW: i64 = 1_796_000_040; // the start of a window
 
 #[test]
-fn a_message_on_its_way_makes_a_clock_look_slower_and_the_fastest_message_tells() {
+fn the_least_delayed_message_determines_the_clock_skew() {
     let mut skew = ClockSkew::default();
     assert_eq!(skew.ahead(NOW), None);
     for (at, timestamp) in [(NOW, NOW + 7), (NOW + 1, NOW + 2), (NOW + 2, NOW + 10), (NOW + 3, NOW - 30)] {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_clock_that_was_set_is_seen_after_two_spans() {
+fn an_adjusted_clock_is_detected_within_two_windows() {
     let mut skew = ClockSkew::default();
     skew.observe(NOW, NOW - 200);
     assert_eq!((skew.ahead(NOW), skew.is_wide(NOW, 300)), (Some(-200), true));
@@ -66,7 +66,7 @@
 /// The clock is read in whole seconds. Wherever within a second (in steps of 10 ms) a signature was first
 /// accepted, it must be invalid by the time its id may be forgotten.
 #[test]
-fn no_signature_outlives_its_memory() {
+fn no_signature_outlives_its_stored_id() {
     let key = Key::generate(KeyKind::Shared).unwrap();
     for tolerance in [1u64, 2, 300] {
         let ring = ring(&key, tolerance);
@@ -90,7 +90,7 @@
     /// However the system clock is set back and forth, and however often it is read, no message is valid
     /// after the retention of its id has ended.
     #[test]
-    fn nor_where_the_clock_is_set(
+    fn no_signature_outlives_its_id_when_the_clock_is_set(
         tolerance in 1u64..20,
         ahead in -20i64..20,
         steps in prop::collection::vec((prop_oneof![0u64..20_000, 0u64..3_000_000], prop_oneof![4 => Just(0i64), 1 => -30_000_000i64..30_000_000]), 1..150),
--- a/crates/badgerwind-webhook/tests/deliveries.rs
+++ b/crates/badgerwind-webhook/tests/deliveries.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_receiver_may_ask_for_longer_and_never_for_shorter() {
+fn a_receiver_may_extend_a_delay_but_not_shorten_it() {
     let busy = |asked| next(AttemptResult::Status(503, asked), 1, true, 0.0);
     assert_eq!(busy(None), NextStep::RetryAfter(5 * SECOND));
     assert_eq!(busy(Some(30 * SECOND)), NextStep::RetryAfter(30 * SECOND));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_posted_again_only_where_that_is_harmless() {
+fn messages_that_may_have_run_are_retried_only_if_that_is_harmless() {
     for got in [
         AttemptResult::NoAnswer,
         AttemptResult::Status(502, None),
--- a/crates/badgerwind-webhook/tests/replays.rs
+++ b/crates/badgerwind-webhook/tests/replays.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_refused_one_may_be_tried_anew() {
+fn a_call_that_never_ran_may_be_tried_again() {
     let (mut table, x) = (memory(), Digest::of(b"x"));
     assert_eq!(table.admit(0, &id(1), x, true, || 1), Admission::Run);
     assert!(table.end(1, &id(1), Ending::Forget).is_empty());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn when_full_it_turns_unsafe_calls_away_and_forgets_nothing_early() {
+fn a_full_table_rejects_unsafe_calls_and_evicts_nothing_early() {
     let (mut table, x) = (memory(), Digest::of(b"x"));
     for n in 0..3 {
         assert_eq!(table.admit(0, &id(n), x, true, || 1), Admission::Run);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn answers_of_many_bytes_fill_it_as_many_answers_do() {
+fn large_answers_fill_the_table() {
     let (mut table, x) = (memory(), Digest::of(b"x"));
     assert_eq!(table.admit(0, &id(1), x, true, || 1), Admission::Run);
     table.end(0, &id(1), Ending::Remember { answer: "long", size: 100 });
@@ -72,14 +72,14 @@
 }
 
 #[test]
-fn an_id_is_its_senders() {
+fn ids_are_scoped_by_sender() {
     assert_eq!(Id::of("a", "b"), Id::of("a", "b"));
     assert_ne!(Id::of("a", "b"), Id::of("ab", ""));
     assert_ne!(Id::of("a", "b"), Id::of("b", "a"));
 }
 
 #[test]
-fn after_a_silence_few_are_let_go_at_a_time_and_none_counts_that_has_aged_out() {
+fn expired_ids_are_removed_gradually_and_never_count() {
     let limits = ReplayLimits { max_ids: 1_000, retention: 1_000, max_waiters: 2, max_bytes: usize::MAX };
     let (mut table, x): (Replay<_, u32>, _) = (Replay::new(limits), Digest::of(b"x"));
     let id = |n: u32| Id::of("portal", &n.to_string());
@@ -106,7 +106,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn no_id_runs_twice_within_its_time(steps in prop::collection::vec((0u8..6, 0u8..4, 0u64..400), 1..200)) {
+    fn no_id_runs_twice_within_the_retention(steps in prop::collection::vec((0u8..6, 0u8..4, 0u64..400), 1..200)) {
         let (mut table, x, mut now) = (memory(), Digest::of(b"x"), 0);
         // By id: `None` while its call runs, then the time of its end.
         let mut model: BTreeMap<u8, Option<u64>> = BTreeMap::new();
--- a/crates/badgerwind-webhook/tests/signatures.rs
+++ b/crates/badgerwind-webhook/tests/signatures.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_is_changed_in_any_byte_is_refused() {
+fn a_change_in_any_byte_is_rejected() {
     let body = br#"{"form":"2026-household","persons":4}"#;
     for keys in [vec![SECRET], vec![OTHER, SECRET]] {
         let keys: Vec<Key> = keys.into_iter().map(|k| Key::parse(k).unwrap()).collect();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_tolerance_holds_to_its_exact_edge_both_ways() {
+fn the_tolerance_is_exact_in_both_directions() {
     let (ring, key) = (ring(&[SECRET]), [Key::parse(SECRET).unwrap()]);
     for (sent, want) in [
         (NOW - 300, Ok(())),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn headers_of_another_form_are_told_apart() {
+fn malformed_headers_get_distinct_errors() {
     let ring = ring(&[SECRET]);
     let good = sign(&[Key::parse(SECRET).unwrap()], "m", NOW, b"x");
     let (time, sig) = (NOW.to_string(), good.signature.as_str());
@@ -186,12 +186,12 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn any_headers_are_judged_without_a_panic(id in ".{0,40}", time in ".{0,24}", sig in ".{0,200}", body: Vec<u8>) {
+    fn arbitrary_headers_do_not_panic(id in ".{0,40}", time in ".{0,24}", sig in ".{0,200}", body: Vec<u8>) {
         prop_assert!(ring(&[SECRET]).verify(NOW, Some(&id), Some(&time), Some(&sig), &body).is_err());
     }
 
     #[test]
-    fn what_is_signed_verifies(id in "[a-zA-Z0-9_-]{1,40}", body: Vec<u8>, off in -300i64..=300) {
+    fn signed_messages_verify(id in "[a-zA-Z0-9_-]{1,40}", body: Vec<u8>, off in -300i64..=300) {
         let signed = sign(&[Key::parse(SECRET).unwrap()], &id, NOW + off, &body);
         prop_assert_eq!(check(&ring(&[OTHER, SECRET]), NOW, &signed, &body), Ok(()));
         prop_assert_eq!(check(&ring(&[OTHER]), NOW, &signed, &body), Err(VerifyError::Mismatch));
