--- a/crates/badgerwind-control/src/service.rs
+++ b/crates/badgerwind-control/src/service.rs
@@ -148,7 +148,7 @@
                             Ok(request) if request.type_url == kind.type_url() => {
                                 // A request ends when its front end disconnects.
                                 let disconnected = async {
-                                    conn.gone().await;
+                                    conn.closed().await;
                                     None
                                 };
                                 let answer = async {
--- a/crates/badgerwind-gateway/src/callbacks.rs
+++ b/crates/badgerwind-gateway/src/callbacks.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::unix_seconds;
 use badgerwind_http::{Exchange, ExchangeError, Pool, PoolBounds};
-use badgerwind_webhook::delivery::{next, Got, Next};
+use badgerwind_webhook::delivery::{next, AttemptResult, NextStep};
 use badgerwind_webhook::{sign, Key, ID, SIGNATURE, TIMESTAMP};
 use futures_lite::FutureExt;
 use smol::Timer;
@@ -47,20 +47,20 @@
             let result = self.post_once(&id, &body).await;
             // Posting an answer twice is harmless: its receiver can tell by the id.
             match next(result, attempts, false, fastrand::f64()) {
-                Next::Done => {
+                NextStep::Delivered => {
                     tracing::info!(callback = %self.name, webhook_id = %id, attempts, "callback delivered");
                     return;
                 }
-                Next::Dead(reason) => {
+                NextStep::GiveUp(reason) => {
                     tracing::warn!(callback = %self.name, webhook_id = %id, attempts, "callback given up: {reason}");
                     return;
                 }
-                Next::Again(pause) => _ = Timer::after(Duration::from_micros(pause)).await,
+                NextStep::RetryAfter(pause) => _ = Timer::after(Duration::from_micros(pause)).await,
             }
         }
     }
 
-    async fn post_once(&self, id: &str, body: &Arc<[u8]>) -> Got {
+    async fn post_once(&self, id: &str, body: &Arc<[u8]>) -> AttemptResult {
         let bounds = PoolBounds {
             most: 1,
             connect_time: ATTEMPT_TIMEOUT,
@@ -79,17 +79,17 @@
         let request = Exchange { method, target, headers, body: body.clone() };
         let late = async {
             Timer::after(ATTEMPT_TIMEOUT).await;
-            Got::NoAnswer
+            AttemptResult::NoAnswer
         };
         let posted = async {
             match pool.exchange(&request).await {
                 Ok((head, _)) => {
                     let retry_after: Option<u64> =
                         head.headers.get("retry-after").and_then(|v| v.parse().ok());
-                    Got::Status(head.status, retry_after.map(|s| s.saturating_mul(1_000_000)))
+                    AttemptResult::Status(head.status, retry_after.map(|s| s.saturating_mul(1_000_000)))
                 }
-                Err(ExchangeError::Connect(_)) => Got::Unreached,
-                Err(_) => Got::NoAnswer,
+                Err(ExchangeError::Connect(_)) => AttemptResult::Unreached,
+                Err(_) => AttemptResult::NoAnswer,
             }
         };
         posted.or(late).await
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -21,7 +21,8 @@
 use badgerwind_http::{Conn, Limits, RequestHead, Response, ServerTls, Stream};
 use badgerwind_settings::{Settings, Target};
 use badgerwind_webhook::{
-    Admission, Bounds, Claim, Digest, Ending, Id, Key, KeyRing, Replay, Skew, VerifyError, Wall,
+    Admission, Claim, ClockSkew, Digest, Ending, Id, Key, KeyRing, Replay, ReplayLimits, VerifyError,
+    WallClock,
 };
 use futures_lite::FutureExt;
 use responses::{forward_stream, problem_document, rejection, replayed, Rejection};
@@ -95,9 +96,9 @@
     /// Limits on failed signatures.
     pub guard: Mutex<Guard>,
     /// The clock against which timestamps of signatures are checked.
-    pub wall: Mutex<Wall>,
+    pub wall: Mutex<WallClock>,
     /// Clock skew of each sender, by the sender's index.
-    pub skews: Mutex<Vec<Skew>>,
+    pub skews: Mutex<Vec<ClockSkew>>,
     /// Permits for signature checks of large bodies, which run on separate threads.
     pub check_permits: smol::lock::Semaphore,
     pub inputs: Sender<Input>,
@@ -262,15 +263,15 @@
 }
 
 /// The limits of the replay cache.
-pub(crate) fn replay_bounds(settings: &Settings) -> Bounds {
+pub(crate) fn replay_bounds(settings: &Settings) -> ReplayLimits {
     let webhook = &settings.webhook;
-    let longest = webhook.senders.iter().map(|s| Bounds::keep_for(s.tolerance)).max().unwrap_or(0);
+    let longest = webhook.senders.iter().map(|s| ReplayLimits::retention_for(s.tolerance)).max().unwrap_or(0);
     let keep = webhook.answer_retention.max(longest);
-    Bounds {
-        count: webhook.max_remembered_ids,
-        keep,
-        waiters: webhook.max_waiters,
-        bytes: webhook.max_remembered_bytes,
+    ReplayLimits {
+        max_ids: webhook.max_remembered_ids,
+        retention: keep,
+        max_waiters: webhook.max_waiters,
+        max_bytes: webhook.max_remembered_bytes,
     }
 }
 
@@ -326,14 +327,14 @@
 
     /// Replaces the configuration; messages already being handled keep the previous one.
     pub(crate) fn set_config(&self, config: FrontConfig) {
-        self.replay_cache().set_bounds(replay_bounds(&config.settings));
+        self.replay_cache().set_limits(replay_bounds(&config.settings));
         let names = |s: &Settings| s.webhook.senders.iter().map(|s| s.name.clone()).collect::<Vec<_>>();
         let mut guard = self.guard();
         guard.set_limits(guard_limits(&config.settings));
         if names(&self.config().settings) != names(&config.settings) {
             guard.reset_senders();
             let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
-            *skews = vec![Skew::default(); config.settings.webhook.senders.len()];
+            *skews = vec![ClockSkew::default(); config.settings.webhook.senders.len()];
         }
         drop(guard);
         *self.config.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(config);
@@ -553,7 +554,7 @@
         drop(guard);
         let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Ok(_), Some(skew)) = (&checked, skews.get_mut(sender)) {
-            skew.seen(now, sent);
+            skew.observe(now, sent);
             self.metrics.set_clock_skew(&sender_settings.name, skew.ahead(now).unwrap_or(0));
         }
         drop(skews);
@@ -589,7 +590,7 @@
                 };
                 // A sender that disconnects no longer counts as waiting; the call ends if nobody else waits.
                 let disconnected = async {
-                    conn.gone().await;
+                    conn.closed().await;
                     None
                 };
                 let answered = async { Some(answer.recv().or(late).await) };
@@ -618,7 +619,7 @@
                 // be remembered.
                 let finish_started = config.settings.router.classes[class].effect != Effect::Repeatable;
                 let disconnected = async {
-                    conn.gone().await;
+                    conn.closed().await;
                     None
                 };
                 let answered = async { Some(answer.recv().await) };
--- a/crates/badgerwind-gateway/src/runners.rs
+++ b/crates/badgerwind-gateway/src/runners.rs
@@ -192,7 +192,7 @@
         };
         // Until the connection is established nothing has started, and nothing has to be stopped at the runner.
         let connection = match async { Race::Signal(next_signal().await) }
-            .or(async { Race::Completed(pool.way().await) })
+            .or(async { Race::Completed(pool.acquire().await) })
             .await
         {
             Race::Completed(Ok(connection)) => connection,
@@ -220,7 +220,7 @@
             }
             let mut body = Vec::new();
             loop {
-                match answer.piece(&mut body).await {
+                match answer.read_piece(&mut body).await {
                     Ok(true) => {}
                     Ok(false) => break,
                     Err(e) => return end_of_error(&e),
@@ -277,7 +277,7 @@
         let _ = report.send(Input::StreamBegan { id: id.clone(), attempt, reply }).await;
         loop {
             let mut chunk = Vec::new();
-            match answer.piece(&mut chunk).await {
+            match answer.read_piece(&mut chunk).await {
                 Ok(true) if chunks.send(chunk).await.is_ok() => {}
                 Ok(true) => return AttemptEnd::from_outcome(Outcome::Cancelled), // the sender has disconnected
                 Ok(false) => {
@@ -312,11 +312,11 @@
         let Some(pool) = self.pool(worker) else { return (Outcome::ConnectFailed, 0) };
         let request = self.post_request(runner::load_path(function), self.load_parameters(function, copies));
         let response = async {
-            let connection = pool.way().await?;
+            let connection = pool.acquire().await?;
             if copies > 0 && !self.may_start(worker, &pool) {
                 return Ok(None);
             }
-            connection.send(&request).await?.whole().await.map(Some)
+            connection.send(&request).await?.read_to_end().await.map(Some)
         };
         match response.await {
             Err(e) => (end_of_error(&e).outcome, 0),
