--- a/crates/badgerwind-check/src/budgets.rs
+++ b/crates/badgerwind-check/src/budgets.rs
@@ -1,5 +1,5 @@
-//! What members of a fleet owned and spent of a budget, judged from their records alone: no unit has two owners, and none
-//! is spent twice in its window. Nothing here knows the gateway.
+//! Checks the records of a fleet's members on a shared budget: no unit has two owners at a time, and none is
+//! spent twice within its window. The module does not depend on the gateway.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,137 +7,144 @@
 /// A line of a member's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// When, in microseconds of one clock of the machine.
+    /// Time in microseconds of one clock of the machine.
     pub at: u64,
-    /// Who.
+    /// The member that wrote the line.
     pub member: u16,
-    /// Its life: another at each start.
-    pub life: u64,
-    /// What.
+    /// The member's incarnation: a new one at each start.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The event.
     #[serde(flatten)]
-    pub what: What,
+    pub event: Event,
 }
 
-/// What a member did.
+/// An event at a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
-    /// From now on it owns these and no others, as ranges from the first up to and without the second.
+pub enum Event {
+    /// From this time the member owns exactly these units, as half-open ranges.
     Owns {
-        /// For good.
+        /// Units owned as long as the process runs.
         floor: Vec<(u16, u16)>,
-        /// Until then, unless another line says otherwise.
+        /// Units owned until `until`, unless a later line replaces them.
         granted: Vec<(u16, u16)>,
-        /// Microseconds of the same clock.
+        /// End of the grant, in microseconds of the same clock.
         until: u64,
     },
-    /// It spent a unit.
+    /// The member spent a unit.
     Spent {
-        /// Which.
+        /// The unit.
         unit: u16,
     },
 }
 
-/// The figures of a day.
+/// Result of [`judge`].
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Sums {
-    /// Most units owned at an instant, over the whole.
+pub struct BudgetReport {
+    /// Largest number of units owned at an instant, as a share of the budget.
     pub owned: f64,
-    /// Most units spent within a window, over the whole.
+    /// Largest number of units spent within a window, as a share of the budget.
     pub spent: f64,
-    /// Units spent in all.
+    /// Number of units spent in total.
     pub spends: usize,
-    /// Units of the whole that were owned, each tenth of a second from the first line on.
+    /// Units owned at each tenth of a second, from the first line on.
     pub over_time: Vec<usize>,
-    /// What was broken, in words.
-    pub broken: Vec<String>,
+    /// Descriptions of the violations.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
-/// A span in which a life owned a unit.
+/// A time span in which an incarnation of a member owned a unit.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Span {
     from: u64,
     to: u64,
     member: u16,
-    life: u64,
+    incarnation: u64,
 }
 
-fn all(ranges: &[(u16, u16)]) -> impl Iterator<Item = u16> + '_ {
+fn units(ranges: &[(u16, u16)]) -> impl Iterator<Item = u16> + '_ {
     ranges.iter().flat_map(|(a, b)| *a..*b)
 }
 
-/// Which life owned which unit from when to when, by unit.
+/// The spans of ownership by unit.
 fn spans_of(lines: &[Line]) -> BTreeMap<u16, Vec<Span>> {
-    let mut by_life: BTreeMap<(u16, u64), Vec<&Line>> = BTreeMap::new();
-    lines.iter().for_each(|l| by_life.entry((l.member, l.life)).or_default().push(l));
+    let mut by_incarnation: BTreeMap<(u16, u64), Vec<&Line>> = BTreeMap::new();
+    lines.iter().for_each(|l| by_incarnation.entry((l.member, l.incarnation)).or_default().push(l));
     let mut spans: BTreeMap<u16, Vec<Span>> = BTreeMap::new();
-    for ((member, life), own) in &mut by_life {
+    for ((member, incarnation), own) in &mut by_incarnation {
         own.sort_by_key(|l| l.at);
         let end = own.last().map_or(0, |l| l.at + 1);
         let owns: Vec<_> = own
             .iter()
-            .filter_map(|l| match &l.what {
-                What::Owns { floor, granted, until } => Some((l.at, floor, granted, *until)),
-                What::Spent { .. } => None,
+            .filter_map(|l| match &l.event {
+                Event::Owns { floor, granted, until } => Some((l.at, floor, granted, *until)),
+                Event::Spent { .. } => None,
             })
             .collect();
         for (n, (at, floor, granted, until)) in owns.iter().enumerate() {
             let next = owns.get(n + 1).map(|o| o.0);
             let mut add = |unit: u16, to: u64| {
                 let all = spans.entry(unit).or_default();
-                match all.last_mut().filter(|s| (s.member, s.life, s.to) == (*member, *life, *at)) {
+                match all
+                    .last_mut()
+                    .filter(|s| (s.member, s.incarnation, s.to) == (*member, *incarnation, *at))
+                {
                     Some(last) => last.to = last.to.max(to),
-                    None => all.push(Span { from: *at, to, member: *member, life: *life }),
+                    None => all.push(Span { from: *at, to, member: *member, incarnation: *incarnation }),
                 }
             };
-            // A floor is its own as long as the process is seen to live; what was granted also after its death.
-            all(floor).for_each(|u| add(u, next.unwrap_or(end)));
-            all(granted).filter(|_| until > at).for_each(|u| add(u, next.map_or(*until, |n| n.min(*until))));
+            // Floor units belong to the process until its last line; granted ones also outlast its end.
+            units(floor).for_each(|u| add(u, next.unwrap_or(end)));
+            units(granted)
+                .filter(|_| until > at)
+                .for_each(|u| add(u, next.map_or(*until, |n| n.min(*until))));
         }
     }
     spans
 }
 
-/// Units that each member owned, at looks that are so many microseconds apart, from the first line on.
+/// Number of units that each member owned, sampled every `step` microseconds from the first line on.
 pub fn owned_over_time(lines: &[Line], step: u64) -> BTreeMap<u16, Vec<usize>> {
     let first = lines.iter().map(|l| l.at).min().unwrap_or(0);
     let last = lines.iter().map(|l| l.at).max().unwrap_or(0);
-    let looks = (last.saturating_sub(first) / step.max(1)) as usize + 1;
+    let samples = (last.saturating_sub(first) / step.max(1)) as usize + 1;
     let mut out: BTreeMap<u16, Vec<usize>> = BTreeMap::new();
     for span in spans_of(lines).into_values().flatten() {
-        let owned = out.entry(span.member).or_insert_with(|| vec![0; looks]);
-        // A look falls within a span from its first instant up to and without its last.
-        let look = |at: u64| (at - first).div_ceil(step.max(1)) as usize;
-        let (from, to) = (look(span.from).min(looks), look(span.to).min(looks));
+        let owned = out.entry(span.member).or_insert_with(|| vec![0; samples]);
+        // A sample lies in a span that starts at or before it and ends after it.
+        let index = |at: u64| (at - first).div_ceil(step.max(1)) as usize;
+        let (from, to) = (index(span.from).min(samples), index(span.to).min(samples));
         owned[from..to.max(from)].iter_mut().for_each(|n| *n += 1);
     }
     out
 }
 
-/// Judges records of any order. `window` is how long a spent unit rests; `fair` how much of a window the clocks of two
-/// lines may differ, both in microseconds.
-pub fn judge(lines: &[Line], whole: u16, window: u64, fair: u64) -> Sums {
+/// Checks records, whose lines may be in any order, against a budget of `total` units. A spent unit may not
+/// be spent again for `window` microseconds; the clocks of two lines may differ by `tolerance` microseconds.
+pub fn judge(lines: &[Line], total: u16, window: u64, tolerance: u64) -> BudgetReport {
     let mut spans = spans_of(lines);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let mut edges: Vec<(u64, i64)> = Vec::new();
     for (unit, all) in &mut spans {
         all.sort();
-        // Each against all that still last, not only the one before: a short span may lie within a long one.
-        let mut last: Vec<Span> = Vec::new();
+        // Compares each span with all that have not ended, since a short span may lie within a long one.
+        let mut open: Vec<Span> = Vec::new();
         for b in all.iter() {
-            last.retain(|a| a.to > b.from);
-            for a in last.iter().filter(|a| a.member != b.member) {
-                let over = a.to.min(b.to) - b.from;
-                broken.push(format!(
-                    "unit {unit} had two owners, {} and {}, for {over} us",
+            open.retain(|a| a.to > b.from);
+            for a in open.iter().filter(|a| a.member != b.member) {
+                let overlap = a.to.min(b.to) - b.from;
+                violations.push(format!(
+                    "unit {unit} had two owners, {} and {}, for {overlap} us",
                     a.member, b.member
                 ));
             }
-            last.push(*b);
+            open.push(*b);
         }
         edges.extend(all.iter().flat_map(|s| [(s.from, 1), (s.to, -1)]));
-        if *unit >= whole {
-            broken.push(format!("unit {unit} is beyond the whole of {whole}"));
+        if *unit >= total {
+            violations.push(format!("unit {unit} is beyond the budget of {total}"));
         }
     }
     edges.sort();
@@ -154,26 +161,33 @@
     }
     let mut spends: Vec<(u64, u16, u16)> = lines
         .iter()
-        .filter_map(|l| match l.what {
-            What::Spent { unit } => Some((l.at, unit, l.member)),
-            What::Owns { .. } => None,
+        .filter_map(|l| match l.event {
+            Event::Spent { unit } => Some((l.at, unit, l.member)),
+            Event::Owns { .. } => None,
         })
         .collect();
     spends.sort();
     let mut last: BTreeMap<u16, (u64, u16)> = BTreeMap::new();
     let (mut from, mut most_spent) = (0, 0);
     for (n, &(at, unit, by)) in spends.iter().enumerate() {
-        if let Some((before, other)) = last.insert(unit, (at, by)).filter(|l| at + fair < l.0 + window) {
-            broken.push(format!("unit {unit} was spent by {other}, and by {by} {} us later", at - before));
+        if let Some((before, other)) = last.insert(unit, (at, by)).filter(|l| at + tolerance < l.0 + window) {
+            violations
+                .push(format!("unit {unit} was spent by {other}, and by {by} {} us later", at - before));
         }
-        while spends[from].0 + window <= at + fair {
+        while spends[from].0 + window <= at + tolerance {
             from += 1;
         }
         most_spent = most_spent.max(n + 1 - from);
     }
-    let share = |n: usize| n as f64 / f64::from(whole.max(1));
+    let share = |n: usize| n as f64 / f64::from(total.max(1));
     let spends = spends.len();
-    Sums { owned: share(most.max(0) as usize), spent: share(most_spent), spends, over_time, broken }
+    BudgetReport {
+        owned: share(most.max(0) as usize),
+        spent: share(most_spent),
+        spends,
+        over_time,
+        violations,
+    }
 }
 
 #[cfg(test)]
--- a/crates/badgerwind-check/src/lib.rs
+++ b/crates/badgerwind-check/src/lib.rs
@@ -1,8 +1,9 @@
-//! The five rules, judged from what peers of the gateway recorded: senders, runners and the list service. Nothing
-//! here knows the gateway; a record is all there is.
+//! Checks the five rules against what the gateway's peers recorded: senders, runners and the list service.
+//! The crate does not depend on the gateway and uses nothing but these records.
 //!
-//! Every record bears the time at which its writer saw the matter, in microseconds of one clock. Messages take time
-//! between two writers, so a rule that compares two of them allows [`Facts::transit`].
+//! Every record carries the time at which its writer observed the event, in microseconds of one shared clock.
+//! Messages take time between two writers, so a rule that compares records of two writers tolerates
+//! [`Facts::transit`].
 
 pub mod budgets;
 mod judge;
@@ -10,5 +11,7 @@
 pub mod register;
 pub mod worth;
 
-pub use judge::{judge, Broken, Near, Report, Rule, Service};
-pub use record::{read, Answer, ClassFacts, Effect, Facts, Group, Line, Loads, RunnerFacts, State, What};
+pub use judge::{judge, LimitUse, Report, Rule, Service, Violation};
+pub use record::{
+    read, Answer, ClassFacts, Effect, Event, Facts, Group, Line, LoadLimit, RunnerFacts, State,
+};
--- a/crates/badgerwind-check/src/record.rs
+++ b/crates/badgerwind-check/src/record.rs
@@ -1,138 +1,142 @@
-//! What peers write down, one JSON object a line, and what the judge is told of the fleet.
+//! The records of the gateway's peers, one JSON object per line, and the facts on the fleet that the checks
+//! need.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How a sender's try ended, as it saw it.
+/// How a sender's try ended, as the sender saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// A final answer: served.
+    /// Final answer: served.
     Served,
-    /// A final answer: refused, trying again is harmless.
+    /// Final answer: refused; a retry is harmless.
     Refused,
-    /// A final answer: failed, no promise.
+    /// Final answer: failed; the call may have run.
     Failed,
-    /// The front turned the message away as malformed or unauthorized: nothing was taken.
+    /// The front end rejected the message as malformed or unauthorized; no call was accepted.
     Rejected,
-    /// No connection could be made: nothing was taken.
+    /// No connection could be made; no call was accepted.
     Unreached,
     /// The connection broke before an answer.
     Broke,
-    /// The sender gave up waiting.
+    /// The sender stopped waiting.
     GaveUp,
 }
 
-/// What a list said of a runner.
+/// State of a runner in the runner list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It takes work.
+    /// Accepts calls.
     Ready,
-    /// Nothing new may go there.
+    /// Finishes what it has; accepts no new calls.
     Draining,
-    /// Nor there.
+    /// Removed from the list.
     Gone,
 }
 
-/// Something seen.
+/// An event that a peer of the gateway observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
-pub enum What {
-    /// A sender wrote a message. Its tries share the call's name.
+pub enum Event {
+    /// A sender sent a message. All tries of a call carry the same `call`.
     Sent {
-        /// The call: the idempotency key as runners see it.
+        /// The call's identifier: the idempotency key as runners see it.
         call: String,
-        /// The try, from 0.
+        /// Number of the try, from 0.
         attempt: u32,
-        /// To which front end.
+        /// The front end that it was sent to.
         front: u32,
-        /// Its class.
+        /// The call's class.
         class: String,
-        /// Its tenant.
+        /// The call's tenant.
         tenant: String,
-        /// When the sender gives up.
+        /// When the sender stops waiting, in microseconds.
         due: u64,
-        /// Its work, in microseconds of one core of speed 1, where the sender knows it.
+        /// Work of the call in microseconds of one core of speed 1; 0 if the sender does not know it.
         #[serde(default)]
         work: f64,
     },
-    /// A try ended.
-    Told {
-        /// The call.
+    /// A sender's try ended.
+    #[serde(rename = "told")]
+    TryEnded {
+        /// The call's identifier.
         call: String,
-        /// The try.
+        /// Number of the try.
         attempt: u32,
-        /// How.
+        /// How it ended.
         answer: Answer,
-        /// The answer is one that the front remembered.
+        /// The front end replayed a stored answer.
         replayed: bool,
     },
     /// An attempt reached a runner.
     Arrived {
         /// The runner.
         runner: u32,
-        /// The front's own name for the call.
+        /// The front end's own identifier of the call.
         request: String,
         /// The attempt's number.
         attempt: u32,
-        /// The call.
+        /// The call's identifier.
         call: String,
-        /// From which front end.
+        /// The front end that sent it.
         front: u32,
-        /// Its class.
+        /// The call's class.
         class: String,
     },
-    /// A runner of a fenced class let an attempt in.
-    Began {
+    /// A runner with a ledger admitted an attempt of a fenced class.
+    #[serde(rename = "began")]
+    Admitted {
         /// The runner.
         runner: u32,
-        /// The request.
+        /// The front end's own identifier of the call.
         request: String,
-        /// The attempt.
+        /// The attempt's number.
         attempt: u32,
     },
-    /// A runner carried out an attempt's work to its end: its effect stands.
+    /// A runner completed an attempt's work: its effect has happened.
     Finished {
         /// The runner.
         runner: u32,
-        /// The request.
+        /// The front end's own identifier of the call.
         request: String,
-        /// The attempt.
+        /// The attempt's number.
         attempt: u32,
     },
     /// A runner answered an attempt.
     Replied {
         /// The runner.
         runner: u32,
-        /// The request.
+        /// The front end's own identifier of the call.
         request: String,
-        /// The attempt.
+        /// The attempt's number.
         attempt: u32,
-        /// The word: `ok`, `error`, `full`, `miss`, `cancelled`.
+        /// The outcome: `ok`, `error`, `full`, `miss`, `cancelled`.
         outcome: String,
     },
-    /// An attempt was called off, or its connection closed, before an answer.
-    Left {
+    /// An attempt was cancelled, or its connection closed, before an answer.
+    #[serde(rename = "left")]
+    Aborted {
         /// The runner.
         runner: u32,
-        /// The request.
+        /// The front end's own identifier of the call.
         request: String,
-        /// The attempt.
+        /// The attempt's number.
         attempt: u32,
     },
     /// An order to load reached a runner.
     Ordered {
         /// The runner.
         runner: u32,
-        /// From which front end.
+        /// The front end that sent it.
         front: u32,
         /// The function.
         function: String,
-        /// Copies wanted; 0 only asked.
+        /// Copies to hold; 0 only queries how many are loaded.
         copies: u32,
     },
-    /// A runner's process started, cold and empty.
+    /// A runner's process started, cold and without copies.
     RunnerStarted {
         /// The runner.
         runner: u32,
@@ -142,13 +146,13 @@
         /// The runner.
         runner: u32,
     },
-    /// A front end was told of a runner's state.
+    /// The list service reported a runner's state to a front end.
     Listed {
         /// The front end.
         front: u32,
         /// The runner.
         runner: u32,
-        /// Its state.
+        /// The reported state.
         state: State,
     },
     /// A front end began to serve.
@@ -156,86 +160,86 @@
         /// The front end.
         front: u32,
     },
-    /// A front end was killed outright.
+    /// A front end was killed. Two of these without a start in between enclose one kill.
     FrontKilled {
         /// The front end.
         front: u32,
     },
 }
 
-/// A record.
+/// One line of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// When its writer saw it, in microseconds.
+    /// When its writer observed the event, in microseconds.
     pub at: u64,
-    /// What.
+    /// The event.
     #[serde(flatten)]
-    pub what: What,
+    pub event: Event,
 }
 
-/// Reads records; the error names the line.
+/// Parses records, one JSON object per line; the error names the line.
 pub fn read(text: &str) -> Result<Vec<Line>, String> {
-    let read =
+    let parse =
         |(n, line): (usize, &str)| serde_json::from_str(line).map_err(|e| format!("line {}: {e}", n + 1));
-    text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()).map(read).collect()
+    text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()).map(parse).collect()
 }
 
-/// Whether a call may run twice.
+/// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// As often as one likes.
+    /// Any number of times.
     Repeatable,
-    /// A group of runners drops repeats for a while.
+    /// Repeats are safe within a group of runners that drops them by key, for a limited time.
     ByKey,
-    /// Never.
+    /// At most once.
     Once,
 }
 
-/// Which runners drop repeats.
+/// The runners that drop repeats of a key together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Group {
-    /// All.
+    /// All runners.
     All,
-    /// Those of a zone.
+    /// The runners of a zone.
     Zone,
-    /// Those of a cell.
+    /// The runners of a cell.
     Cell,
 }
 
-/// A class, for the judge.
+/// Facts on a class of calls.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClassFacts {
-    /// Whether its calls may run twice.
+    /// Whether its calls may run more than once.
     pub effect: Effect,
-    /// For by-key.
+    /// For [`Effect::ByKey`]: the runners that drop repeats together.
     pub group: Group,
-    /// For by-key: for how long, in microseconds.
+    /// For [`Effect::ByKey`]: how long repeats are dropped, in microseconds.
     pub window: u64,
-    /// An answer within this time is in time.
+    /// Latency target, in microseconds.
     pub aim: u64,
     /// Mean work, in microseconds of one core of speed 1.
     pub work: f64,
-    /// Its runners keep a ledger: what counts is which attempts they let in, not which reached them.
+    /// Its runners use a ledger: the attempts that they admitted count, not those that reached them.
     #[serde(default)]
     pub fenced: bool,
-    /// Worth of an answer within the aim.
+    /// Value of an answer within the aim.
     #[serde(default)]
     pub worth: f64,
-    /// Share of it for a later one.
+    /// Share of that value for a later answer.
     #[serde(default)]
     pub late_worth: f64,
 }
 
-/// A runner, for the judge.
+/// Facts on a runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunnerFacts {
-    /// Cores times speed: work a microsecond when warm.
+    /// Cores times speed: work per microsecond when warm.
     pub capacity: f64,
-    /// Share of it at the start.
+    /// Share of the capacity at its start.
     pub cold_from: f64,
-    /// Time until it is warm.
+    /// Time until it is warm, in microseconds.
     pub cold_span: u64,
     /// Its zone.
     pub zone: u32,
@@ -245,32 +249,32 @@
 
 /// The limit on load orders.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Loads {
-    /// Its window; 0: no limit.
+pub struct LoadLimit {
+    /// Length of the window in microseconds; 0 for no limit.
     pub window: u64,
-    /// Orders allowed whatever the traffic.
+    /// Orders allowed per window regardless of traffic.
     pub free: f64,
-    /// Further ones for each call taken.
+    /// Further orders allowed per call received in the window.
     pub share: f64,
 }
 
-/// What the judge is told of the fleet.
+/// What the checks need to know about the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Facts {
-    /// Its classes.
+    /// Classes by name.
     pub classes: BTreeMap<String, ClassFacts>,
-    /// Its runners.
+    /// Runners by id.
     pub runners: BTreeMap<u32, RunnerFacts>,
-    /// Two attempts of a request may be out at once.
+    /// Two attempts of a request may run at the same time.
     pub may_duplicate: bool,
-    /// Time in which sends to a draining runner must end.
+    /// Time within which sends to a draining runner must end, in microseconds.
     pub drain_grace: u64,
-    /// A cold runner may be sent this many times its present capacity...
+    /// Multiple of its present capacity that a cold runner may be sent in a `fall_window`.
     pub fall_multiple: f64,
-    /// ...in any window of this length.
+    /// Length of the window for `fall_multiple`, in microseconds.
     pub fall_window: u64,
     /// The limit on load orders.
-    pub loads: Loads,
-    /// What a message may take between two writers.
+    pub loads: LoadLimit,
+    /// Longest time that a message may take between two writers, in microseconds.
     pub transit: u64,
 }
--- a/crates/badgerwind-check/src/register.rs
+++ b/crates/badgerwind-check/src/register.rs
@@ -1,5 +1,6 @@
-//! What members of the register did and were told, judged from their records alone: nobody acts in a life whose end was told
-//! anywhere, all were told the same in the same order, and each word once. Nothing here knows the register.
+//! Checks the records of the register's members: no member acts in an incarnation after its end was delivered
+//! to any member, all members receive the same events in the same order, and each announcement is delivered
+//! once. The module does not depend on the register.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,164 +8,180 @@
 /// A line of a member's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// When, in microseconds of one clock of the machine.
+    /// Time in microseconds of one clock of the machine.
     pub at: u64,
-    /// Who writes.
+    /// The member that wrote the line.
     pub member: u16,
-    /// Its process: another at each start.
+    /// The member's process: a new number at each start.
     pub run: u64,
-    /// What.
+    /// What the member did or received.
     #[serde(flatten)]
-    pub what: What,
+    pub observation: Observation,
 }
 
-/// What a member did or was told.
+/// What a member did or received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
-    /// It had an effect in this life, looked at at that moment.
+pub enum Observation {
+    /// The member had an effect in its incarnation at the line's time.
     Acted {
-        /// The life.
-        life: u64,
+        /// The incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
-    /// The log told it this, by an entry.
-    Told {
-        /// The entry.
+    /// The log delivered an event to the member.
+    #[serde(rename = "told")]
+    Received {
+        /// Index of the log entry.
         entry: u64,
-        /// What.
+        /// The event.
         #[serde(flatten)]
         event: Event,
     },
 }
 
-/// What an entry brought about.
+/// An event that a log entry caused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// A life began.
+    /// An incarnation began.
     Began {
-        /// Whose.
-        of: u16,
-        /// Which.
-        life: u64,
+        /// The member.
+        #[serde(rename = "of")]
+        member: u16,
+        /// The incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
-    /// A life ended.
-    Over {
-        /// Whose.
-        of: u16,
-        /// Which.
-        life: u64,
+    /// An incarnation ended.
+    #[serde(rename = "over")]
+    Ended {
+        /// The member.
+        #[serde(rename = "of")]
+        member: u16,
+        /// The incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
-    /// A word stands.
-    Said {
-        /// Whose.
-        of: u16,
-        /// In which life.
-        life: u64,
-        /// The how manieth of that life.
+    /// An announcement was accepted.
+    #[serde(rename = "said")]
+    Announced {
+        /// The member.
+        #[serde(rename = "of")]
+        member: u16,
+        /// Its incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
+        /// Serial number of the announcement within the incarnation, from 1.
         serial: u64,
     },
 }
 
-/// The figures of a day.
+/// Result of [`judge`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Found {
-    /// Lives that began.
-    pub lives: usize,
-    /// Lives that ended.
+pub struct RegisterReport {
+    /// Incarnations that began.
+    #[serde(rename = "lives")]
+    pub incarnations: usize,
+    /// Incarnations that ended.
     pub ends: usize,
-    /// Words that stand.
-    pub words: usize,
-    /// Effects.
+    /// Accepted announcements.
+    #[serde(rename = "words")]
+    pub announcements: usize,
+    /// Number of effects.
     pub acts: usize,
-    /// Effects in the last tenth of a lease before a told end, so that the promise was near its limit.
-    pub near: usize,
-    /// What was broken, in words.
-    pub broken: Vec<String>,
+    /// Effects shortly before the delivered end of their incarnation, which show that the limit was tested.
+    #[serde(rename = "near")]
+    pub near_end: usize,
+    /// Descriptions of the violations.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
-/// Judges records. Two processes' lines may be `fair` microseconds apart in time; an effect within `close` of its life's end was
-/// near it.
-pub fn judge(lines: &[Line], fair: u64, close: u64) -> Found {
-    let mut found = Found::default();
+/// Checks records. The clocks of two processes' lines may differ by `tolerance` microseconds. An effect
+/// within `near_end` microseconds before the end of its incarnation counts into [`RegisterReport::near_end`].
+pub fn judge(lines: &[Line], tolerance: u64, near_end: u64) -> RegisterReport {
+    let mut report = RegisterReport::default();
     let mut entries: BTreeMap<u64, (u16, Vec<&Event>)> = BTreeMap::new();
     let mut runs: BTreeMap<(u16, u64), Vec<(u64, &Event)>> = BTreeMap::new();
-    let mut over: BTreeMap<u64, (u64, u16)> = BTreeMap::new();
+    let mut ended: BTreeMap<u64, (u64, u16)> = BTreeMap::new();
     for line in lines {
-        if let What::Told { entry, event } = &line.what {
+        if let Observation::Received { entry, event } = &line.observation {
             runs.entry((line.member, line.run)).or_default().push((*entry, event));
-            if let Event::Over { life, .. } = event {
-                let first = over.entry(*life).or_insert((line.at, line.member));
+            if let Event::Ended { incarnation, .. } = event {
+                let first = ended.entry(*incarnation).or_insert((line.at, line.member));
                 *first = (*first).min((line.at, line.member));
             }
         }
     }
-    for ((member, _), told) in &runs {
-        if told.windows(2).any(|w| w[0].0 > w[1].0) {
-            found.broken.push(format!("member {member} was told entries out of order"));
+    for ((member, _), received) in &runs {
+        if received.windows(2).any(|w| w[0].0 > w[1].0) {
+            report.violations.push(format!("member {member} received entries out of order"));
         }
-        // What a process that was killed wrote of its last entry may be a part of it.
-        let last = told.last().map_or(0, |t| t.0);
+        // A killed process may have recorded only some events of its last entry.
+        let last = received.last().map_or(0, |t| t.0);
         let mut own: BTreeMap<u64, Vec<&Event>> = BTreeMap::new();
-        told.iter().for_each(|(entry, event)| own.entry(*entry).or_default().push(event));
+        received.iter().for_each(|(entry, event)| own.entry(*entry).or_default().push(event));
         for (entry, events) in own {
-            let (teller, all) = entries.entry(entry).or_insert_with(|| (*member, events.clone()));
+            let (first_member, all) = entries.entry(entry).or_insert_with(|| (*member, events.clone()));
             let short = events.len().min(all.len());
             if events[..short] != all[..short] || entry != last && events.len() < all.len() {
-                found
-                    .broken
-                    .push(format!("entry {entry}: members {teller} and {member} were told different things"));
+                report.violations.push(format!(
+                    "entry {entry}: members {first_member} and {member} received different events"
+                ));
             }
             if events.len() > all.len() {
                 *all = events;
             }
         }
     }
-    let mut lives: BTreeMap<u64, (u16, u64, bool)> = BTreeMap::new();
+    let mut incarnations: BTreeMap<u64, (u16, u64, bool)> = BTreeMap::new();
     for (entry, (_, events)) in &entries {
         for event in events {
             match **event {
-                Event::Began { of, life } => {
-                    found.lives += 1;
-                    let open = lives.iter().find(|(_, (m, _, over))| *m == of && !over);
+                Event::Began { member, incarnation } => {
+                    report.incarnations += 1;
+                    let open = incarnations.iter().find(|(_, (m, _, ended))| *m == member && !ended);
                     if let Some((before, _)) = open {
-                        found.broken.push(format!(
-                            "entry {entry}: life {life} of member {of} began beside its life {before}"
+                        report.violations.push(format!(
+                            "entry {entry}: incarnation {incarnation} of member {member} began while its incarnation {before} was live"
                         ));
                     }
-                    lives.insert(life, (of, 0, false));
+                    incarnations.insert(incarnation, (member, 0, false));
                 }
-                Event::Over { life, .. } => {
-                    found.ends += 1;
-                    if lives.get_mut(&life).is_none_or(|l| std::mem::replace(&mut l.2, true)) {
-                        found.broken.push(format!("entry {entry}: life {life} ended that did not go on"));
+                Event::Ended { incarnation, .. } => {
+                    report.ends += 1;
+                    if incarnations.get_mut(&incarnation).is_none_or(|l| std::mem::replace(&mut l.2, true)) {
+                        report.violations.push(format!(
+                            "entry {entry}: incarnation {incarnation} ended though it was not live"
+                        ));
                     }
                 }
-                Event::Said { life, serial, .. } => {
-                    found.words += 1;
-                    match lives.get_mut(&life) {
+                Event::Announced { incarnation, serial, .. } => {
+                    report.announcements += 1;
+                    match incarnations.get_mut(&incarnation) {
                         Some((_, last, false)) if serial == *last + 1 => *last = serial,
-                        other => found
-                            .broken
-                            .push(format!("entry {entry}: word {serial} of life {life} after {other:?}")),
+                        other => report
+                            .violations
+                            .push(format!("entry {entry}: announcement {serial} of incarnation {incarnation} after {other:?}")),
                     }
                 }
             }
         }
     }
     for line in lines {
-        let What::Acted { life } = line.what else { continue };
-        found.acts += 1;
-        let Some(&(end, teller)) = over.get(&life) else { continue };
-        if line.at > end + fair {
+        let Observation::Acted { incarnation } = line.observation else { continue };
+        report.acts += 1;
+        let Some(&(end, receiver)) = ended.get(&incarnation) else { continue };
+        if line.at > end + tolerance {
             let late = line.at - end;
             let who = line.member;
-            found.broken.push(format!(
-                "member {who} acted in life {life} {late} us after member {teller} was told its end"
+            report.violations.push(format!(
+                "member {who} acted in incarnation {incarnation} {late} us after member {receiver} received its end"
             ));
-        } else if line.at + close > end {
-            found.near += 1;
+        } else if line.at + near_end > end {
+            report.near_end += 1;
         }
     }
-    found
+    report
 }
--- a/crates/badgerwind-cli/benches/config.rs
+++ b/crates/badgerwind-cli/benches/config.rs
@@ -9,7 +9,7 @@
 #[path = "../tests/rig/truth.rs"]
 mod truth;
 
-use badgerwind_check::{Answer, What};
+use badgerwind_check::{Answer, Event};
 use badgerwind_cli::day::{play, Args};
 use badgerwind_config::client::{Client, Do, Input, Times};
 use badgerwind_config::wire::DiscoveryResponse;
@@ -166,15 +166,15 @@
         standins: Some(env!("CARGO_BIN_EXE_badgerwind").into()),
     };
     let outcome = play(&args, &folder).unwrap();
-    assert!(outcome.report.broken.is_empty() && outcome.wrong.is_empty(), "{outcome:?}");
+    assert!(outcome.report.violations.is_empty() && outcome.wrong.is_empty(), "{outcome:?}");
     let mut times = Histogram::new(3).unwrap();
     for name in ["record-senders-0.jsonl", "record-senders-1.jsonl"] {
         let lines = badgerwind_check::read(&std::fs::read_to_string(folder.join(name)).unwrap()).unwrap();
         let mut sent = BTreeMap::new();
         for l in lines {
-            match l.what {
-                What::Sent { call, attempt, .. } => _ = sent.insert((call, attempt), l.at),
-                What::Told { call, attempt, answer: Answer::Served, .. } => {
+            match l.event {
+                Event::Sent { call, attempt, .. } => _ = sent.insert((call, attempt), l.at),
+                Event::TryEnded { call, attempt, answer: Answer::Served, .. } => {
                     times.record(l.at - sent[&(call, attempt)]).unwrap();
                 }
                 _ => {}
--- a/crates/badgerwind-cli/src/budgets/day.rs
+++ b/crates/badgerwind-cli/src/budgets/day.rs
@@ -4,7 +4,7 @@
 use super::schedule::{Act, Schedule};
 use super::Trial;
 use crate::{write_whole, Stop};
-use badgerwind_check::budgets::{judge, Line, Sums};
+use badgerwind_check::budgets::{judge, BudgetReport, Line};
 use badgerwind_webhook::{Key, KeyKind};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Played {
     /// From the records.
-    pub sums: Sums,
+    pub sums: BudgetReport,
     /// Members that ended by themselves, or did not start.
     pub wrong: Vec<String>,
     /// Datagrams and bytes a second between all members.
@@ -267,19 +267,19 @@
         sums.spends, carried.0, carried.1
     );
     println!("most spent in a window: {:.2} of the whole", sums.spent);
-    wrong.iter().chain(sums.broken.iter().take(10)).for_each(|w| println!("{w}"));
+    wrong.iter().chain(sums.violations.iter().take(10)).for_each(|w| println!("{w}"));
     println!("no calls are played on these days, so that the five rules are not judged");
-    if sums.broken.is_empty() && wrong.is_empty() {
+    if sums.violations.is_empty() && wrong.is_empty() {
         println!("budgets: kept, at most {:.2} of the whole", sums.owned);
         return Ok(());
     }
     if day.shrink > 0 {
         let least = super::shrink(&schedule, day.shrink, |s| {
             let again = tempfile::tempdir().ok().and_then(|f| play(s, &program, f.path()).ok());
-            again.is_some_and(|p| !p.sums.broken.is_empty() || !p.wrong.is_empty())
+            again.is_some_and(|p| !p.sums.violations.is_empty() || !p.wrong.is_empty())
         });
         println!("the smallest that still breaks, by {} plays at the most:\n{}", day.shrink, text(&least)?);
     }
-    println!("budgets: broken, {} times", sums.broken.len() + wrong.len());
+    println!("budgets: broken, {} times", sums.violations.len() + wrong.len());
     Err(Stop::failed(String::new()))
 }
--- a/crates/badgerwind-cli/src/budgets/mod.rs
+++ b/crates/badgerwind-cli/src/budgets/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::Stop;
 use badgerwind_budgets::{Book, Limit, Member, Terms, Unit};
-use badgerwind_check::budgets::{Line, What};
+use badgerwind_check::budgets::{Event, Line};
 use badgerwind_gateway::fleet::{wall, FleetMember, MemberOptions};
 use badgerwind_webhook::Key;
 use serde::{Deserialize, Serialize};
@@ -130,7 +130,7 @@
     std::thread::spawn(move || speaks.run(&AtomicBool::new(false)));
     let life = wall();
     let number = args.number;
-    let line = |at, what| Line { at, member: number, life, what };
+    let line = |at, event| Line { at, member: number, incarnation: life, event };
     let mut told = None;
     let mut turn = 0u32;
     loop {
@@ -156,12 +156,12 @@
         let until = if granted.is_empty() { at } else { at + left };
         let news = (floor.clone(), granted.clone(), until / 20_000);
         if told.as_ref() != Some(&news) {
-            record.write(&line(at, What::Owns { floor, granted, until }))?;
+            record.write(&line(at, Event::Owns { floor, granted, until }))?;
             told = Some(news);
         }
         for _ in 0..4 {
             let Some((unit, now)) = member.spend(0) else { break };
-            record.write(&line(member.wall_at(now), What::Spent { unit }))?;
+            record.write(&line(member.wall_at(now), Event::Spent { unit }))?;
         }
         std::thread::sleep(Duration::from_millis(3));
     }
--- a/crates/badgerwind-cli/src/day/fleet.rs
+++ b/crates/badgerwind-cli/src/day/fleet.rs
@@ -4,7 +4,7 @@
 use super::world::World;
 use crate::standin::RunnerFile;
 use crate::Stop;
-use badgerwind_check::What;
+use badgerwind_check::Event;
 use badgerwind_protocol::list::{Runner, State};
 use badgerwind_standins::list::Lag;
 use badgerwind_standins::record::{now, Recorder};
@@ -267,7 +267,7 @@
         let program = self.programs.gateway.clone();
         self.spawn(&name, &program, &args)?;
         self.ready(&name, &ready, "webhook")?;
-        self.recorder.add(What::FrontStarted { front: number });
+        self.recorder.add(Event::FrontStarted { front: number });
         Ok(())
     }
 
@@ -349,10 +349,10 @@
         match act {
             Act::KillFront { front } => {
                 if let Some(process) = self.processes.remove(&format!("front-{front}")) {
-                    self.recorder.add(What::FrontKilled { front: *front });
+                    self.recorder.add(Event::FrontKilled { front: *front });
                     process.kill();
                     // On a busy machine some time passes between the word and the deed: it died in between.
-                    self.recorder.add(What::FrontKilled { front: *front });
+                    self.recorder.add(Event::FrontKilled { front: *front });
                 }
             }
             Act::StartFront { front } => {
@@ -363,7 +363,7 @@
             Act::KillRunner { runner, notice_ms } => {
                 if let Some(process) = self.processes.remove(&format!("runner-{runner}")) {
                     process.kill();
-                    self.recorder.add(What::RunnerKilled { runner: *runner });
+                    self.recorder.add(Event::RunnerKilled { runner: *runner });
                     let gone = self.listed(*runner, State::Gone, None);
                     self.notices.push((now() + notice_ms * 1000, gone));
                 }
--- a/crates/badgerwind-cli/src/day/mod.rs
+++ b/crates/badgerwind-cli/src/day/mod.rs
@@ -258,22 +258,22 @@
     if let (Some((_, to)), Some(back)) = (troubled, back) {
         println!("  back at {BACK} of before {back} s after the last trouble, which ended at {to} s");
     }
-    for (rule, near) in &report.near {
+    for (rule, near) in &report.limit_use {
         let told = match near.is_exercised() {
-            true => format!("{:.2} of its limit", near.closest),
-            false => format!("not exercised ({:.2} of its limit)", near.closest),
+            true => format!("{:.2} of its limit", near.max_share),
+            false => format!("not exercised ({:.2} of its limit)", near.max_share),
         };
         println!("{:<28} {:>7} events, {told}", rule.name(), near.events);
     }
     for text in &wrong {
         println!("WRONG: {text}");
     }
-    for b in report.broken.iter().take(20) {
+    for b in report.violations.iter().take(20) {
         println!("BROKEN {}: {}", b.rule.name(), b.text);
     }
     if let Some(path) = &args.report {
         let broken: Vec<_> = report
-            .broken
+            .violations
             .iter()
             .map(|b| json!({"rule": b.rule.name(), "at": b.at, "text": b.text}))
             .collect();
@@ -287,25 +287,25 @@
             })
             .collect();
         let text = json!({"seed": args.seed, "seconds": args.seconds, "script": script, "classes": classes,
-            "near": report.near.iter().map(|(r, n)| (r.name(), json!({"events": n.events, "closest": n.closest, "exercised": n.is_exercised()}))).map(|(n, v)| (n.to_owned(), v)).collect::<serde_json::Map<_, _>>(),
+            "near": report.limit_use.iter().map(|(r, n)| (r.name(), json!({"events": n.events, "closest": n.max_share, "exercised": n.is_exercised()}))).map(|(n, v)| (n.to_owned(), v)).collect::<serde_json::Map<_, _>>(),
             "severity": args.severity, "load": load, "starved_ms": starved.as_millis() as u64,
-            "worth": {"asked": account.all.asked, "earned": account.all.earned, "bound": account.bound,
+            "worth": {"asked": account.all.requested, "earned": account.all.earned, "bound": account.bound,
                 "wasted": account.wasted, "extra": account.extra, "recovered_s": back,
-                "seconds": account.seconds.iter().map(|s| [s.asked, s.earned]).collect::<Vec<_>>(),
+                "seconds": account.seconds.iter().map(|s| [s.requested, s.earned]).collect::<Vec<_>>(),
                 "tenants": account.tenants.iter().map(|(n, w)| (n.clone(), json!(w.share()))).collect::<serde_json::Map<_, _>>()}, "attempts": report.attempts, "orders": report.orders, "broken": broken, "wrong": wrong});
         crate::write_whole(path, &format!("{text:#}\n"))?;
     }
-    if report.broken.is_empty() && wrong.is_empty() {
+    if report.violations.is_empty() && wrong.is_empty() {
         println!("rules: kept");
         return Ok(());
     }
-    if starved > STARVED && wrong.is_empty() && report.broken.iter().all(|b| by_time(b.rule)) {
+    if starved > STARVED && wrong.is_empty() && report.violations.iter().all(|b| by_time(b.rule)) {
         println!(
             "rules: NOT JUDGED, the machine was out of CPU: a short sleep ended {} ms late",
             starved.as_millis()
         );
         return Err(Stop { text: String::new(), code: 75 });
     }
-    println!("rules: BROKEN {}", report.broken.len() + wrong.len());
+    println!("rules: BROKEN {}", report.violations.len() + wrong.len());
     Err(Stop { text: String::new(), code: 1 })
 }
--- a/crates/badgerwind-cli/src/day/world.rs
+++ b/crates/badgerwind-cli/src/day/world.rs
@@ -1,6 +1,6 @@
 //! A small fleet drawn from a seed: what it is made of, and the same told to each side: settings, specs, facts.
 
-use badgerwind_check::{ClassFacts, Effect, Facts, Group, Loads, RunnerFacts};
+use badgerwind_check::{ClassFacts, Effect, Facts, Group, LoadLimit, RunnerFacts};
 use badgerwind_standins::model::Spec;
 use badgerwind_standins::senders::{Class, Phase, Plan};
 use badgerwind_standins::store;
@@ -119,7 +119,7 @@
     /// How hard the day is.
     pub severity: Severity,
     /// The limit on load orders, where there is one.
-    pub loads: Loads,
+    pub loads: LoadLimit,
     /// Quotas, as multiples of each tenant's part of the rate.
     pub quotas: Vec<f64>,
     /// Senders' wait before they try again, in milliseconds.
@@ -135,7 +135,7 @@
 const COLD_SPAN_MS: u64 = 5_000;
 const FALL_MULTIPLE: f64 = 2.5;
 const FALL_WINDOW_MS: u64 = 1_500;
-const LOADS: Loads = Loads { window: 10_000_000, free: 8.0, share: 0.15 };
+const LOADS: LoadLimit = LoadLimit { window: 10_000_000, free: 8.0, share: 0.15 };
 /// What a message may take between two writers on a busy machine.
 const TRANSIT_US: u64 = 60_000;
 /// Share of its worth that a late answer earns.
@@ -245,7 +245,7 @@
             Severity::Brutal => (Some(rng.random_range(1.2..2.0)), Some(1.6)),
         };
         if w.severity >= Severity::Hard {
-            w.loads = Loads { free: 3.0, share: 0.05, ..LOADS };
+            w.loads = LoadLimit { free: 3.0, share: 0.05, ..LOADS };
             // One tenant is over its share all day.
             w.quotas = vec![1.5, 0.5];
             (w.wait_ms, w.marks, w.retries) = (20, false, 3);
@@ -420,7 +420,7 @@
             drain_grace: DRAIN_GRACE_MS * 1000,
             fall_multiple: FALL_MULTIPLE,
             fall_window: FALL_WINDOW_MS * 1000,
-            loads: if self.rationed { self.loads } else { Loads { window: 0, free: 0.0, share: 0.0 } },
+            loads: if self.rationed { self.loads } else { LoadLimit { window: 0, free: 0.0, share: 0.0 } },
             transit: TRANSIT_US,
         }
     }
--- a/crates/badgerwind-cli/src/trace/read.rs
+++ b/crates/badgerwind-cli/src/trace/read.rs
@@ -1,6 +1,6 @@
 //! Logs of front ends and records of runners to the events of one call. No I/O.
 
-use badgerwind_check::What;
+use badgerwind_check::Event as RecordedEvent;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::time::UNIX_EPOCH;
@@ -117,14 +117,14 @@
 }
 
 /// What a runner's record says of an attempt: request, attempt, runner, and what it did.
-fn recorded(what: What) -> Option<(String, u32, u32, String)> {
+fn recorded(what: RecordedEvent) -> Option<(String, u32, u32, String)> {
     let plain = |r, a, n, did: &str| Some((r, a, n, did.to_owned()));
     match what {
-        What::Arrived { runner, request, attempt, .. } => plain(request, attempt, runner, "arrived"),
-        What::Began { runner, request, attempt } => plain(request, attempt, runner, "began"),
-        What::Finished { runner, request, attempt } => plain(request, attempt, runner, "finished"),
-        What::Left { runner, request, attempt } => plain(request, attempt, runner, "left"),
-        What::Replied { runner, request, attempt, outcome } => {
+        RecordedEvent::Arrived { runner, request, attempt, .. } => plain(request, attempt, runner, "arrived"),
+        RecordedEvent::Admitted { runner, request, attempt } => plain(request, attempt, runner, "began"),
+        RecordedEvent::Finished { runner, request, attempt } => plain(request, attempt, runner, "finished"),
+        RecordedEvent::Aborted { runner, request, attempt } => plain(request, attempt, runner, "left"),
+        RecordedEvent::Replied { runner, request, attempt, outcome } => {
             Some((request, attempt, runner, format!("replied {outcome}")))
         }
         _ => None,
@@ -168,7 +168,7 @@
         for line in text.lines() {
             // A record's last line may be cut where its writer was killed.
             let Ok(line) = serde_json::from_str::<badgerwind_check::Line>(line) else { continue };
-            let Some((request, attempt, runner, did)) = recorded(line.what) else { continue };
+            let Some((request, attempt, runner, did)) = recorded(line.event) else { continue };
             if !requests.contains(request.as_str()) {
                 continue;
             }
--- a/crates/badgerwind-cli/tests/budgets.rs
+++ b/crates/badgerwind-cli/tests/budgets.rs
@@ -20,11 +20,11 @@
     }
 }
 
-fn kept(schedule: &Schedule) -> badgerwind_check::budgets::Sums {
+fn kept(schedule: &Schedule) -> badgerwind_check::budgets::BudgetReport {
     let folder = tempfile::tempdir().unwrap();
     let played = play(schedule, Path::new(env!("CARGO_BIN_EXE_badgerwind")), folder.path()).unwrap();
     assert!(played.wrong.is_empty(), "{:?}", played.wrong);
-    assert!(played.sums.broken.is_empty(), "{:?}", played.sums.broken);
+    assert!(played.sums.violations.is_empty(), "{:?}", played.sums.violations);
     assert!(played.sums.owned <= 1.0 && played.sums.spent <= 1.0);
     played.sums
 }
@@ -132,13 +132,13 @@
 /// Two members under one name in two networks' eyes own the same floors: the judge must see what the deciders cannot.
 #[test]
 fn a_day_that_is_broken_is_told_so() {
-    use badgerwind_check::budgets::{judge, Line, What};
+    use badgerwind_check::budgets::{judge, Event, Line};
     let line = |member, at| Line {
         at,
         member,
-        life: 1,
-        what: What::Owns { floor: vec![], granted: vec![(0, 3)], until: at + 1000 },
+        incarnation: 1,
+        event: Event::Owns { floor: vec![], granted: vec![(0, 3)], until: at + 1000 },
     };
     let sums = judge(&[line(1, 0), line(2, 500)], 3, 100, 0);
-    assert_eq!((sums.owned, sums.broken.len()), (2.0, 3));
+    assert_eq!((sums.owned, sums.violations.len()), (2.0, 3));
 }
--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -4,7 +4,7 @@
 #[path = "rig/truth.rs"]
 mod truth;
 
-use badgerwind_check::What;
+use badgerwind_check::Event;
 use badgerwind_config::client::Report;
 use badgerwind_config::waves::Rules;
 use badgerwind_config::wire::{DiscoveryRequest, DiscoveryResponse, Resource};
@@ -234,11 +234,13 @@
         for n in 4..24 {
             assert_eq!(rig.send(&format!("m{n}"), CHECK, 1).await.status, 200);
         }
-        let there = |w: &What| match w {
-            What::Arrived { runner, .. } | What::Ordered { runner, copies: 1.., .. } => *runner == drained.id,
+        let there = |w: &Event| match w {
+            Event::Arrived { runner, .. } | Event::Ordered { runner, copies: 1.., .. } => {
+                *runner == drained.id
+            }
             _ => false,
         };
-        assert!(!rig.lines()[before..].iter().any(|l| there(&l.what)));
+        assert!(!rig.lines()[before..].iter().any(|l| there(&l.event)));
     });
 }
 
--- a/crates/badgerwind-cli/tests/restarts.rs
+++ b/crates/badgerwind-cli/tests/restarts.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use badgerwind_check::What;
+use badgerwind_check::Event;
 use badgerwind_cli::send::{post, Message};
 use badgerwind_http::{Conn, Limits, Response};
 use badgerwind_protocol::list::{List, Runner, State};
@@ -72,8 +72,8 @@
         .await;
         assert_eq!(status, 200);
         let reached = |runner: u32| {
-            let arrived = |what: &What| matches!(what, What::Arrived { runner: r, .. } if *r == runner);
-            first.lines().iter().filter(|l| arrived(&l.what)).count()
+            let arrived = |what: &Event| matches!(what, Event::Arrived { runner: r, .. } if *r == runner);
+            first.lines().iter().filter(|l| arrived(&l.event)).count()
         };
         assert_eq!((reached(drained.id), first.arrived()), (0, 1));
     });
--- a/crates/badgerwind-cli/tests/rig/mod.rs
+++ b/crates/badgerwind-cli/tests/rig/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod process;
 
-use badgerwind_check::{Line, What};
+use badgerwind_check::{Event, Line};
 use badgerwind_cli::send::{post, Message};
 use badgerwind_config::parts::compose;
 use badgerwind_config::Report;
@@ -371,16 +371,16 @@
     /// What the stand-ins have seen of calls so far: `Arrived`, and whether each finished.
     pub fn lines(&self) -> Vec<Line> {
         let lines = self.recorder.take();
-        lines.iter().for_each(|l| self.recorder.add_at(l.at, l.what.clone()));
+        lines.iter().for_each(|l| self.recorder.add_at(l.at, l.event.clone()));
         lines
     }
 
     pub fn arrived(&self) -> usize {
-        self.lines().iter().filter(|l| matches!(l.what, What::Arrived { .. })).count()
+        self.lines().iter().filter(|l| matches!(l.event, Event::Arrived { .. })).count()
     }
 
     pub fn finished(&self) -> usize {
-        self.lines().iter().filter(|l| matches!(l.what, What::Finished { .. })).count()
+        self.lines().iter().filter(|l| matches!(l.event, Event::Finished { .. })).count()
     }
 
     pub async fn tell_list(&self, runner: &Runner) {
--- a/crates/badgerwind-cli/tests/rotation.rs
+++ b/crates/badgerwind-cli/tests/rotation.rs
@@ -73,7 +73,7 @@
         assert!(code == Some(2) && text.contains("no key that counts now"), "{code:?} {text}");
         let mut runs = std::collections::BTreeMap::new();
         for line in rig.lines() {
-            if let badgerwind_check::What::Arrived { call, .. } = line.what {
+            if let badgerwind_check::Event::Arrived { call, .. } = line.event {
                 *runs.entry(call).or_insert(0) += 1;
             }
         }
--- a/crates/badgerwind-cli/tests/shares.rs
+++ b/crates/badgerwind-cli/tests/shares.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use badgerwind_check::What;
+use badgerwind_check::Event;
 use badgerwind_cli::budgets::Net;
 use badgerwind_cli::fleet::{ask, Word};
 use rig::{Plan, Rig};
@@ -140,7 +140,7 @@
         let mut at: Vec<u64> = self.fronts[&0]
             .lines()
             .into_iter()
-            .filter(|l| matches!(l.what, What::Ordered { copies: 1.., .. }))
+            .filter(|l| matches!(l.event, Event::Ordered { copies: 1.., .. }))
             .map(|l| l.at)
             .collect();
         at.sort_unstable();
--- a/crates/badgerwind-cli/tests/stories.rs
+++ b/crates/badgerwind-cli/tests/stories.rs
@@ -177,8 +177,8 @@
             rig.arrived() == 1
         })
         .await;
-        let busy = rig.lines().iter().find_map(|l| match l.what {
-            badgerwind_check::What::Arrived { runner, .. } => Some(runner),
+        let busy = rig.lines().iter().find_map(|l| match l.event {
+            badgerwind_check::Event::Arrived { runner, .. } => Some(runner),
             _ => None,
         });
         let busy = rig.runners.iter().find(|r| Some(r.id) == busy).unwrap();
@@ -191,7 +191,7 @@
             assert_eq!(rig.send(&format!("m{n}"), CHECK, 1).await.status, 200);
         }
         assert_eq!(first.await.status, 200);
-        let there = |l: &&badgerwind_check::Line| matches!(&l.what, badgerwind_check::What::Arrived { runner, .. } if *runner == busy.id);
+        let there = |l: &&badgerwind_check::Line| matches!(&l.event, badgerwind_check::Event::Arrived { runner, .. } if *runner == busy.id);
         assert_eq!(rig.lines().iter().filter(there).count(), 1);
     });
 }
--- a/crates/badgerwind-cli/tests/zones.rs
+++ b/crates/badgerwind-cli/tests/zones.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use badgerwind_check::What;
+use badgerwind_check::Event;
 use badgerwind_cli::budgets::Net;
 use badgerwind_cli::fleet::{ask_whole, ZoneHere};
 use badgerwind_cli::send::{post, Message};
@@ -186,7 +186,7 @@
     fn arrived(&self, zone: usize) -> usize {
         let of = |id: u32| self.fronts[0].runners.iter().any(|r| r.id == id && r.zone as usize == zone);
         let lines = self.fronts[0].lines();
-        lines.iter().filter(|l| matches!(l.what, What::Arrived { runner, .. } if of(runner))).count()
+        lines.iter().filter(|l| matches!(l.event, Event::Arrived { runner, .. } if of(runner))).count()
     }
 
     async fn end(self) -> (usize, usize) {
--- a/crates/badgerwind-rig/src/day.rs
+++ b/crates/badgerwind-rig/src/day.rs
@@ -2,7 +2,7 @@
 
 use crate::member::{wall, Trial};
 use crate::RigError;
-use badgerwind_check::register::{judge, Found, Line};
+use badgerwind_check::register::{judge, Line, RegisterReport};
 use badgerwind_standins::relay::{Flow, Link, Relay};
 use badgerwind_webhook::{Key, KeyKind};
 use rand::rngs::StdRng;
@@ -291,7 +291,7 @@
     }
 
     /// What the records come to.
-    pub fn judge(&mut self, lease: u64) -> Result<Found, RigError> {
+    pub fn judge(&mut self, lease: u64) -> Result<RegisterReport, RigError> {
         self.look();
         Ok(judge(&self.lines()?, FAIR, lease / 10))
     }
@@ -299,8 +299,8 @@
 
 /// Whether members have acted since then.
 pub fn acting_since(lines: &[Line], since: u64) -> Vec<u16> {
-    use badgerwind_check::register::What;
-    let acts = lines.iter().filter(|l| l.at > since && matches!(l.what, What::Acted { .. }));
+    use badgerwind_check::register::Observation;
+    let acts = lines.iter().filter(|l| l.at > since && matches!(l.observation, Observation::Acted { .. }));
     let mut who: Vec<u16> = acts.map(|l| l.member).collect();
     who.sort_unstable();
     who.dedup();
@@ -373,16 +373,19 @@
     );
     println!(
         "{} effects, {} of them shortly before their life's end was told; {back} of {members} act at the end",
-        found.acts, found.near
+        found.acts, found.near_end
     );
-    fleet.wrong.iter().chain(found.broken.iter().take(10)).for_each(|w| println!("{w}"));
-    let broken = found.broken.len() + fleet.wrong.len();
+    fleet.wrong.iter().chain(found.violations.iter().take(10)).for_each(|w| println!("{w}"));
+    let broken = found.violations.len() + fleet.wrong.len();
     if broken > 0 {
         println!("register: BROKEN, {broken} times");
     } else if found.ends == 0 {
-        println!("register: not exercised, {} lives and none ended", found.lives);
+        println!("register: not exercised, {} lives and none ended", found.incarnations);
     } else {
-        println!("register: kept, {} lives, {} ends, {} words", found.lives, found.ends, found.words);
+        println!(
+            "register: kept, {} lives, {} ends, {} words",
+            found.incarnations, found.ends, found.announcements
+        );
     }
     Ok(broken == 0)
 }
--- a/crates/badgerwind-rig/src/member.rs
+++ b/crates/badgerwind-rig/src/member.rs
@@ -1,7 +1,7 @@
 //! One member as a process: acts as often as it may, says words, and writes down what it did and what it was told.
 
 use crate::RigError;
-use badgerwind_check::register::{Event as Told, Line, What};
+use badgerwind_check::register::{Event as Told, Line, Observation};
 use badgerwind_fleet::member::{Nothing, Options, RegisterMember, Watch};
 use badgerwind_register::{Event, Index, Member, Terms, Time};
 use badgerwind_webhook::Key;
@@ -98,11 +98,13 @@
 }
 
 impl Record {
-    fn write(&self, at: Time, what: What) {
+    fn write(&self, at: Time, what: Observation) {
         let fast = 1_000_000 + i128::from(self.fast);
         let start = *self.start.lock().unwrap_or_else(PoisonError::into_inner);
         let at = start + (i128::from(at) * 1_000_000 / fast.max(1)) as u64;
-        let Ok(mut text) = serde_json::to_vec(&Line { at, member: self.member, run: self.run, what }) else {
+        let Ok(mut text) =
+            serde_json::to_vec(&Line { at, member: self.member, run: self.run, observation: what })
+        else {
             return;
         };
         text.push(b'\n');
@@ -125,11 +127,11 @@
             return;
         }
         let event = match *event {
-            Event::Began(of, life) => Told::Began { of, life },
-            Event::Ended(of, life) => Told::Over { of, life },
-            Event::Announced(of, life, serial) => Told::Said { of, life, serial },
+            Event::Began(of, life) => Told::Began { member: of, incarnation: life },
+            Event::Ended(of, life) => Told::Ended { member: of, incarnation: life },
+            Event::Announced(of, life, serial) => Told::Announced { member: of, incarnation: life, serial },
         };
-        self.record.write(at, What::Told { entry, event });
+        self.record.write(at, Observation::Received { entry, event });
     }
 }
 
@@ -175,7 +177,7 @@
         }
         // The effect is this line; what it bears was looked at at that moment.
         if let (Some(life), at) = member.alive_at() {
-            record.write(at, What::Acted { life });
+            record.write(at, Observation::Acted { incarnation: life });
             if args.record_every > 0 && turn % args.record_every == 0 {
                 // Refused where the lease ran out in between, or too many wait: there is a next time.
                 let mut bytes = turn.to_be_bytes().to_vec();
--- a/crates/badgerwind-rig/tests/register.rs
+++ b/crates/badgerwind-rig/tests/register.rs
@@ -1,6 +1,6 @@
 //! Members of the register as processes: killed, stopped past their leases and continued, cut off; judged from their records.
 
-use badgerwind_check::register::{judge, Event, Line, What};
+use badgerwind_check::register::{judge, Event, Line, Observation};
 use badgerwind_rig::day::{acting_since, Fault, Fleet};
 use badgerwind_rig::member::{wall, Trial};
 use std::path::Path;
@@ -26,8 +26,10 @@
 fn ends(lines: &[Line], of: u16) -> usize {
     let mut lives: Vec<u64> = lines
         .iter()
-        .filter_map(|l| match l.what {
-            What::Told { event: Event::Over { of: m, life }, .. } if m == of => Some(life),
+        .filter_map(|l| match l.observation {
+            Observation::Received { event: Event::Ended { member: m, incarnation: life }, .. } if m == of => {
+                Some(life)
+            }
             _ => None,
         })
         .collect();
@@ -36,11 +38,11 @@
     lives.len()
 }
 
-fn kept(fleet: &mut Fleet) -> badgerwind_check::register::Found {
+fn kept(fleet: &mut Fleet) -> badgerwind_check::register::RegisterReport {
     let found = fleet.judge(LEASE).unwrap();
-    let first = &found.broken[..found.broken.len().min(5)];
+    let first = &found.violations[..found.violations.len().min(5)];
     assert!(first.is_empty() && fleet.wrong.is_empty(), "{first:?} {:?}", fleet.wrong);
-    assert!(found.acts > 100 && found.words > 10, "{found:?}");
+    assert!(found.acts > 100 && found.announcements > 10, "{found:?}");
     found
 }
 
@@ -86,7 +88,7 @@
     fleet.act(&Fault::Start(vec![0, 1, 4, 5])).unwrap();
     assert!(all_act(&mut fleet, 6), "{:?}", fleet.wrong);
     let found = kept(&mut fleet);
-    assert!(found.ends >= 4 && found.lives >= 10, "{found:?}");
+    assert!(found.ends >= 4 && found.incarnations >= 10, "{found:?}");
 }
 
 #[test]
@@ -119,38 +121,42 @@
     kept(&mut fleet);
 }
 
-fn line(at: u64, member: u16, what: What) -> Line {
-    Line { at, member, run: 1, what }
+fn line(at: u64, member: u16, what: Observation) -> Line {
+    Line { at, member, run: 1, observation: what }
 }
 
 /// A judge that can fail: each of these is broken by one line.
 #[test]
 fn the_judge_finds_each_thing_that_may_not_be() {
-    let told = |at, member, entry, event| line(at, member, What::Told { entry, event });
-    let began = |life| Event::Began { of: 3, life };
-    let over = |life| Event::Over { of: 3, life };
-    let said = |serial| Event::Said { of: 3, life: 1, serial };
+    let told = |at, member, entry, event| line(at, member, Observation::Received { entry, event });
+    let began = |life| Event::Began { member: 3, incarnation: life };
+    let over = |life| Event::Ended { member: 3, incarnation: life };
+    let said = |serial| Event::Announced { member: 3, incarnation: 1, serial };
     let good = vec![
         told(10, 1, 1, began(1)),
         told(11, 2, 1, began(1)),
-        line(20, 3, What::Acted { life: 1 }),
+        line(20, 3, Observation::Acted { incarnation: 1 }),
         told(30, 1, 2, said(1)),
         told(31, 2, 2, said(1)),
         told(40, 1, 3, over(1)),
         told(41, 2, 3, over(1)),
         told(50, 1, 4, began(2)),
     ];
-    let broken = |more: Line| judge(&[&good[..], &[more]].concat(), 5, 10).broken.len();
-    assert_eq!(judge(&good, 5, 10).broken, Vec::<String>::new());
-    assert_eq!(broken(line(46, 3, What::Acted { life: 1 })), 1, "acts after its end was told");
-    assert_eq!(broken(line(45, 3, What::Acted { life: 1 })), 0, "within what two writers may be apart");
+    let broken = |more: Line| judge(&[&good[..], &[more]].concat(), 5, 10).violations.len();
+    assert_eq!(judge(&good, 5, 10).violations, Vec::<String>::new());
+    assert_eq!(broken(line(46, 3, Observation::Acted { incarnation: 1 })), 1, "acts after its end was told");
+    assert_eq!(
+        broken(line(45, 3, Observation::Acted { incarnation: 1 })),
+        0,
+        "within what two writers may be apart"
+    );
     assert!(broken(told(60, 2, 4, began(3))) > 0, "told another thing by the same entry");
     assert!(broken(told(60, 1, 5, said(2))) > 0, "a word after the end");
     assert!(broken(told(60, 1, 5, began(3))) > 0, "a life beside another");
     assert!(broken(told(60, 1, 5, over(1))) > 0, "an end twice");
     assert!(broken(told(60, 1, 2, said(1))) > 0, "out of order");
     let twice = vec![told(10, 1, 1, began(1)), told(20, 1, 2, said(1)), told(30, 1, 3, said(1))];
-    assert_eq!(judge(&twice, 5, 10).broken.len(), 1, "a word twice");
+    assert_eq!(judge(&twice, 5, 10).violations.len(), 1, "a word twice");
     let gap = vec![told(10, 1, 1, began(1)), told(20, 1, 2, said(2))];
-    assert_eq!(judge(&gap, 5, 10).broken.len(), 1, "a word left out");
+    assert_eq!(judge(&gap, 5, 10).violations.len(), 1, "a word left out");
 }
--- a/crates/badgerwind-standins/src/list.rs
+++ b/crates/badgerwind-standins/src/list.rs
@@ -4,7 +4,7 @@
 //! now on becomes seen.
 
 use crate::record::{now, Recorder};
-use badgerwind_check::{State as Seen, What};
+use badgerwind_check::{Event, State as Seen};
 use badgerwind_http::{Conn, Response, Stream};
 use badgerwind_protocol::list::{List, Runner, State};
 use serde::{Deserialize, Serialize};
@@ -125,7 +125,7 @@
                         State::Draining => Seen::Draining,
                         State::Gone => Seen::Gone,
                     };
-                    self.recorder.add(What::Listed { front, runner: r.id, state });
+                    self.recorder.add(Event::Listed { front, runner: r.id, state });
                 }
                 return crate::json(200, &list);
             }
--- a/crates/badgerwind-standins/src/record.rs
+++ b/crates/badgerwind-standins/src/record.rs
@@ -1,6 +1,6 @@
 //! Where stand-ins write down what they see: one line at a time, so that a kill cuts none but the last.
 
-use badgerwind_check::{Line, What};
+use badgerwind_check::{Event, Line};
 use std::fs::File;
 use std::io::Write;
 use std::path::Path;
@@ -37,12 +37,12 @@
         Ok(Recorder(Arc::new(Mutex::new(To::File(file)))))
     }
     /// Writes down what was just seen.
-    pub fn add(&self, what: What) {
-        self.add_at(now(), what);
+    pub fn add(&self, event: Event) {
+        self.add_at(now(), event);
     }
     /// Writes down what was seen then.
-    pub fn add_at(&self, at: u64, what: What) {
-        let line = Line { at, what };
+    pub fn add_at(&self, at: u64, event: Event) {
+        let line = Line { at, event };
         match &mut *self.0.lock().unwrap_or_else(PoisonError::into_inner) {
             To::Nowhere => {}
             To::Memory(lines) => lines.push(line),
--- a/crates/badgerwind-standins/src/runner.rs
+++ b/crates/badgerwind-standins/src/runner.rs
@@ -9,7 +9,7 @@
 use crate::record::{now, Recorder};
 use badgerwind::interface::{CopyMark, Outcome};
 use badgerwind_attempts::Fence;
-use badgerwind_check::What;
+use badgerwind_check::Event;
 use badgerwind_http::{Conn, Exchange, Pool, RequestHead, Response, ServerTls, Stream};
 use badgerwind_protocol::runner::{self, LoadAnswer, LoadOrder};
 use badgerwind_webhook::{KeyRing, ID, SIGNATURE, TIMESTAMP};
@@ -112,7 +112,7 @@
 /// Serves for ever, or until the runner falls over: then the process ends, as a machine that is down.
 pub async fn serve(listener: TcpListener, options: Options) {
     if options.cold {
-        options.recorder.add(What::RunnerStarted { runner: options.id });
+        options.recorder.add(Event::RunnerStarted { runner: options.id });
     }
     let tls = options.tls.clone();
     let (nudge, nudged) = async_channel::bounded(1);
@@ -171,7 +171,7 @@
                 self.release(&here);
                 let word = runner::outcome_word(outcome).unwrap_or("error");
                 let (request, attempt) = (here.request.clone(), here.attempt);
-                self.options.recorder.add(What::Replied { runner, request, attempt, outcome: word.into() });
+                self.options.recorder.add(Event::Replied { runner, request, attempt, outcome: word.into() });
                 inner.by_name.remove(&(here.request, here.attempt));
                 let _ = here.reply.try_send(Reply::Answer { outcome, mark, crowd });
             }
@@ -181,7 +181,7 @@
                         *ran = true;
                     }
                     let (request, attempt) = (here.request.clone(), here.attempt);
-                    self.options.recorder.add(What::Finished { runner, request, attempt });
+                    self.options.recorder.add(Event::Finished { runner, request, attempt });
                     if let (Some(key), Some(mut keys)) = (&here.key, self.keys()) {
                         keys.ran(now(), key);
                     }
@@ -191,7 +191,7 @@
                 let Some(here) = inner.calls.remove(&call) else { return };
                 self.release(&here);
                 let (request, attempt) = (here.request.clone(), here.attempt);
-                self.options.recorder.add(What::Left { runner, request, attempt });
+                self.options.recorder.add(Event::Aborted { runner, request, attempt });
                 inner.by_name.remove(&(here.request, here.attempt));
                 let _ = here.reply.try_send(Reply::Break);
             }
@@ -321,7 +321,7 @@
         inner.by_name.remove(&(here.request.clone(), here.attempt));
         self.release(&here);
         let (runner, request, attempt) = (self.options.id, here.request, here.attempt);
-        self.options.recorder.add(What::Left { runner, request, attempt });
+        self.options.recorder.add(Event::Aborted { runner, request, attempt });
         let reply = Reply::Answer { outcome: Outcome::Cancelled, mark: CopyMark::Untold, crowd: 0 };
         let _ = here.reply.try_send(reply);
         let _ = self.nudge.try_send(());
@@ -363,7 +363,7 @@
             Some(mut keys) => keys.claim(now(), &key),
             None => Claim::Fresh,
         };
-        self.options.recorder.add(What::Arrived {
+        self.options.recorder.add(Event::Arrived {
             runner: self.options.id,
             request: request.to_owned(),
             attempt,
@@ -380,7 +380,7 @@
         let let_in = fenced.filter(|_| said == Said::Run).map(|(_, fence)| (key.clone(), fence, false));
         if let_in.is_some() {
             let (runner, request) = (self.options.id, request.to_owned());
-            self.options.recorder.add(What::Began { runner, request, attempt });
+            self.options.recorder.add(Event::Admitted { runner, request, attempt });
         }
         let (reply, replied) = async_channel::bounded(1);
         let id = {
@@ -451,7 +451,7 @@
             Err(e) => return Some(Response::new(400, "text/plain", e.to_string().into_bytes())),
         };
         let p = order.parameters;
-        self.options.recorder.add(What::Ordered {
+        self.options.recorder.add(Event::Ordered {
             runner: self.options.id,
             front: head.headers.get(runner::FRONT).and_then(|v| v.parse().ok()).unwrap_or(u32::MAX),
             function: function.to_owned(),
--- a/crates/badgerwind-standins/src/senders.rs
+++ b/crates/badgerwind-standins/src/senders.rs
@@ -2,7 +2,7 @@
 
 use crate::record::{now, Recorder};
 use crate::runner::Work;
-use badgerwind_check::{Answer, What};
+use badgerwind_check::{Answer, Event};
 use badgerwind_http::{Exchange, ExchangeError, Pool};
 use badgerwind_webhook::{sign, Key, ID, SIGNATURE, TIMESTAMP};
 use futures_lite::FutureExt;
@@ -206,7 +206,7 @@
         let due = sent + class.patience_ms * 1000;
         self.recorder.add_at(
             sent,
-            What::Sent {
+            Event::Sent {
                 call: name.clone(),
                 attempt,
                 front: front as u32,
@@ -240,7 +240,7 @@
                 }
             }
         };
-        self.recorder.add(What::Told { call: name, attempt, answer, replayed });
+        self.recorder.add(Event::TryEnded { call: name, attempt, answer, replayed });
         (answer, advice)
     }
 }
