--- a/crates/badgerwind-cli/src/day/world.rs
+++ b/crates/badgerwind-cli/src/day/world.rs
@@ -189,7 +189,11 @@
                 class("save-draft", "draft-", true, 3.0, 0.27, &mut rng),
                 class("lodge-return", "lodge-", false, 2.0, 0.23, &mut rng),
             ],
-            store: store::Spec { fetch: rng.random_range(80_000..200_000), wide: 6.0, most: 24 },
+            store: store::Spec {
+                fetch: rng.random_range(80_000..200_000),
+                full_rate_fetches: 6.0,
+                max_fetches: 24,
+            },
             tenants: vec![("brolga-shire", 0.67), ("tallow-creek", 0.33)],
             marks: rng.random::<bool>(),
             fenced: false,
@@ -254,7 +258,7 @@
             }
         }
         if w.severity == Severity::Brutal {
-            w.store = store::Spec { most: 4, wide: 2.0, ..w.store };
+            w.store = store::Spec { max_fetches: 4, full_rate_fetches: 2.0, ..w.store };
         }
         if let Some(crowding) = crowding {
             let one = w.classes.iter().map(|c| f64::from(c.count) * c.memory_mb).sum::<f64>();
@@ -444,7 +448,7 @@
                     count: c.count,
                     share: c.share,
                     mean_us: c.mean_us,
-                    patience_ms: c.deadline_ms,
+                    timeout_ms: c.deadline_ms,
                     repeatable: c.repeatable || self.fenced || self.reckless,
                 })
                 .collect(),
--- a/crates/badgerwind-cli/src/standin.rs
+++ b/crates/badgerwind-cli/src/standin.rs
@@ -115,7 +115,7 @@
                 };
                 let recorder = recorder(common.record.as_deref())?;
                 let RunnerFile { id, spec, store, fenced, .. } = file;
-                let fenced = store.filter(|_| !fenced.is_empty()).map(|at| Fenced::there(fenced, at));
+                let fenced = store.filter(|_| !fenced.is_empty()).map(|at| Fenced::remote(fenced, at));
                 let options =
                     runner::Options { id, spec, cold, store, keys, group: None, fenced, recorder, tls: None };
                 runner::serve(listen(&common).await?, options).await;
--- a/crates/badgerwind-cli/tests/departures.rs
+++ b/crates/badgerwind-cli/tests/departures.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use badgerwind_standins::platform::door::{knocking, Door};
+use badgerwind_standins::platform::full_backlog::{connecting, FullBacklog};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use rig::*;
 use smol::net::{TcpListener, TcpStream};
@@ -123,7 +123,7 @@
 #[test]
 fn an_attempt_whose_connection_is_not_up_never_begins_once_its_sender_has_left() {
     smol::block_on(async {
-        let door = Door::shut().unwrap();
+        let door = FullBacklog::start().unwrap();
         let edits = vec![
             (
                 "key-file=\"runners.key\"",
@@ -137,18 +137,18 @@
         let mut gone = Box::pin(rig.send("m1", CHECK, 1));
         rig.until("it is on its way", async || {
             assert!(futures_lite::future::poll_once(&mut gone).await.is_none());
-            door.knocking() > 0
+            door.connecting() > 0
         })
         .await;
         drop(gone);
         until_nobody_is_connected(&rig).await;
         let ((runner, may), address) = (runner(), door.address);
         may.send(()).await.unwrap();
-        let listener = TcpListener::try_from(door.open().unwrap()).unwrap();
+        let listener = TcpListener::try_from(door.drain().unwrap()).unwrap();
         let _serving = smol::spawn(runner.clone().serve(listener));
         assert_eq!(rig.send("m2", CHECK, 1).await.status, 200);
         // A knock is repeated after a second: whoever still knocks is let in then.
-        rig.until("nobody knocks", async || knocking(address) == 0).await;
+        rig.until("nobody knocks", async || connecting(address) == 0).await;
         assert_eq!(rig.send("m3", CHECK, 1).await.status, 200);
         let attempts = runner.attempts.lock().unwrap().clone();
         let calls: std::collections::BTreeSet<_> =
--- a/crates/badgerwind-cli/tests/last_look.rs
+++ b/crates/badgerwind-cli/tests/last_look.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use badgerwind_protocol::list::{Runner, State};
-use badgerwind_standins::platform::door::Door;
+use badgerwind_standins::platform::full_backlog::FullBacklog;
 use badgerwind_standins::reserved::unused_address;
 use futures_lite::future::{or, pending};
 use rig::*;
@@ -35,7 +35,7 @@
     ];
     for (what, change) in changes {
         smol::block_on(async {
-            let door = Door::shut().unwrap();
+            let door = FullBacklog::start().unwrap();
             let edits = vec![
                 ("aim=\"500ms\" deadline=\"2s\"", "aim=\"20s\" deadline=\"60s\"".into()),
                 (
@@ -51,7 +51,7 @@
                 pending().await
             };
             let first_bytes = async {
-                rig.until("something waits for a connection", async || door.knocking() > 0).await;
+                rig.until("something waits for a connection", async || door.connecting() > 0).await;
                 let listed = change(rig.runners[0].clone());
                 rig.tell_list(&listed).await;
                 rig.until("it has been told", async || {
@@ -60,7 +60,7 @@
                     list.is_ok_and(|l| !l.runners.contains(&rig.runners[0]))
                 })
                 .await;
-                let listener = door.open().unwrap();
+                let listener = door.drain().unwrap();
                 smol::unblock(move || received(&listener)).await
             };
             assert_eq!(or(call, first_bytes).await, "", "the runner {what}");
--- a/crates/badgerwind-cli/tests/platform/crossings.rs
+++ b/crates/badgerwind-cli/tests/platform/crossings.rs
@@ -3,11 +3,13 @@
 
 use crate::rig::*;
 use badgerwind_platform::fcgi;
-use badgerwind_standins::platform::board::{record, Board};
-use badgerwind_standins::platform::door::Door;
-use badgerwind_standins::platform::executor::{hit, say, well, Do, Executor, Seen};
-use badgerwind_standins::platform::web::{Ask, Web};
-use badgerwind_standins::platform::{configuration, member, until};
+use badgerwind_standins::platform::discovery::{record, DiscoveryServer};
+use badgerwind_standins::platform::executor::{
+    answer_line, hit_line, succeed, Executor, ReceivedLine, ScriptStep,
+};
+use badgerwind_standins::platform::full_backlog::FullBacklog;
+use badgerwind_standins::platform::web::{WebConnection, WebRequest};
+use badgerwind_standins::platform::{configuration, list_member, wait_until};
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -19,21 +21,21 @@
 /// Longer than any test waits.
 const LONG_MS: u64 = 120_000;
 
-fn long(n: u64) -> Ask {
-    Ask { wait_ms: LONG_MS, ..Ask::new(n) }
+fn long(n: u64) -> WebRequest {
+    WebRequest { wait_ms: LONG_MS, ..WebRequest::new(n) }
 }
 
-fn book(n: u64) -> Ask {
-    Ask { class: "book".into(), ..long(n) }
+fn book(n: u64) -> WebRequest {
+    WebRequest { class: "book".into(), ..long(n) }
 }
 
 /// Does something else with calls only.
-fn calls(with: impl Fn(&Seen) -> Vec<Do> + Send + Sync + 'static) -> Script {
-    Box::new(move |s| if s.word == "FN" { with(s) } else { well(s) })
+fn calls(with: impl Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync + 'static) -> Script {
+    Box::new(move |s| if s.kind == "FN" { with(s) } else { succeed(s) })
 }
 
-fn tries(executor: &Executor, ask: &Ask) -> usize {
-    executor.words("FN").iter().filter(|s| s.req == ask.id).count()
+fn tries(executor: &Executor, ask: &WebRequest) -> usize {
+    executor.received_of_kind("FN").iter().filter(|s| s.req == ask.id).count()
 }
 
 /// Whatever was written to the front end before has been read once this is answered.
@@ -46,10 +48,10 @@
     let rig = Rig::start(vec![calls(|_| vec![])]);
     let mut web = rig.web();
     // One that must not run twice is never called off for its executor's silence.
-    web.ask(1, &book(1)).unwrap();
-    assert!(until(|| tries(&rig.executors[0], &book(1)) == 1));
+    web.send(1, &book(1)).unwrap();
+    assert!(wait_until(|| tries(&rig.executors[0], &book(1)) == 1));
     drop(web);
-    assert!(until(|| !rig.executors[0].words("KILL").is_empty()), "nobody waits for it");
+    assert!(wait_until(|| !rig.executors[0].received_of_kind("KILL").is_empty()), "nobody waits for it");
 }
 
 #[test]
@@ -58,15 +60,15 @@
     let told = shed.clone();
     let rig = Rig::start(vec![calls(move |s| match s.line["data"].as_str() {
         Some("bGVhdmVz") => {
-            assert!(until(|| told.load(Ordering::Relaxed)));
-            vec![Do::Write(say("SHED", s))]
+            assert!(wait_until(|| told.load(Ordering::Relaxed)));
+            vec![ScriptStep::Write(answer_line("SHED", s))]
         }
-        _ => vec![Do::Write(hit(s))],
+        _ => vec![ScriptStep::Write(hit_line(s))],
     })]);
     let mut web = rig.web();
-    let left = Ask { body: b"leaves".to_vec(), ..long(1) };
-    web.ask(1, &left).unwrap();
-    assert!(until(|| tries(&rig.executors[0], &left) == 1));
+    let left = WebRequest { body: b"leaves".to_vec(), ..long(1) };
+    web.send(1, &left).unwrap();
+    assert!(wait_until(|| tries(&rig.executors[0], &left) == 1));
     drop(web);
     barrier(&rig);
     shed.store(true, Ordering::Relaxed);
@@ -89,17 +91,17 @@
     {
         let rig = Rig::start(vec![calls(|_| vec![])]);
         let mut web = rig.web();
-        web.ask(1, &book(1)).unwrap();
-        assert!(until(|| tries(&rig.executors[0], &book(1)) == 1));
+        web.send(1, &book(1)).unwrap();
+        assert!(wait_until(|| tries(&rig.executors[0], &book(1)) == 1));
         web.write(&junk).unwrap();
         barrier(&rig);
-        assert!(rig.executors[0].words("KILL").is_empty(), "it is owed its answer until then");
+        assert!(rig.executors[0].received_of_kind("KILL").is_empty(), "it is owed its answer until then");
         if abort {
             web.abort(1).unwrap();
         } else {
             drop(web);
         }
-        assert!(until(|| !rig.executors[0].words("KILL").is_empty()));
+        assert!(wait_until(|| !rig.executors[0].received_of_kind("KILL").is_empty()));
     }
 }
 
@@ -108,8 +110,8 @@
 fn what_waits_for_a_connection_to_come_up_stays_back_when_its_client_leaves() {
     // By a withdrawal, where nothing may be called off; by a close, where it may.
     for (may_cancel, abort) in [(false, true), (true, false), (false, false)] {
-        let door = Door::shut().unwrap();
-        let listed = [member(id(0), door.address, "in_service")];
+        let door = FullBacklog::start().unwrap();
+        let listed = [list_member(id(0), door.address, "in_service")];
         let rig = Rig::with(vec![], |config| {
             config["known"]["notices"][0]["pool"]["members"] = json!(listed);
             config["settings"]["allowed"]["mayCancel"] = json!(may_cancel);
@@ -119,8 +121,8 @@
             patient(config);
         });
         let mut leaves = rig.web();
-        leaves.ask(1, &long(1)).unwrap();
-        assert!(until(|| door.knocking() > 0));
+        leaves.send(1, &long(1)).unwrap();
+        assert!(wait_until(|| door.connecting() > 0));
         if abort {
             leaves.abort(1).unwrap();
         } else {
@@ -129,9 +131,9 @@
         barrier(&rig);
         // Connected only now: one that says nothing for two seconds is closed.
         let mut stays = rig.web();
-        stays.ask(1, &long(2)).unwrap();
+        stays.send(1, &long(2)).unwrap();
         barrier(&rig);
-        let executor = Executor::on(door.open().unwrap(), usize::MAX, well).unwrap();
+        let executor = Executor::on(door.drain().unwrap(), usize::MAX, succeed).unwrap();
         assert_eq!(stays.answer().unwrap().status, 200);
         assert_eq!(tries(&executor, &long(1)), 0, "cancel {may_cancel}, abort {abort}");
         assert_eq!(tries(&executor, &long(2)), 1);
@@ -144,10 +146,13 @@
 impl Busy {
     fn with(rig: &Rig) -> Busy {
         let over = Arc::<AtomicBool>::default();
-        let ask = |mut web: Web| {
+        let ask = |mut web: WebConnection| {
             let over = over.clone();
             std::thread::spawn(move || {
-                while !over.load(Ordering::Relaxed) && web.healthy(1).is_ok() && web.answer().is_ok() {}
+                while !over.load(Ordering::Relaxed)
+                    && web.send_health_check(1).is_ok()
+                    && web.answer().is_ok()
+                {}
             })
         };
         let threads = (0..6).map(|_| ask(rig.web())).collect();
@@ -169,7 +174,7 @@
     const CROSSINGS: usize = 30;
     const MOST_PLAYS: u64 = 10 * CROSSINGS as u64;
     let round = Duration::from_millis(100);
-    let rig = Rig::with(vec![Box::new(well)], |config| {
+    let rig = Rig::with(vec![Box::new(succeed)], |config| {
         // Calls are handed over once in so long: the next one waits for its turn while the executor closes.
         config["settings"]["round"] = json!(round.as_micros() as u64);
     });
@@ -178,16 +183,16 @@
     let mut crossings = 0;
     for play in 0..MOST_PLAYS {
         let (before, crosses) = (book(2 * play), book(2 * play + 1));
-        web.ask(1, &before).unwrap();
+        web.send(1, &before).unwrap();
         assert_eq!(web.answer().unwrap().status, 200);
         let began = Instant::now();
-        web.ask(2, &crosses).unwrap();
-        web.healthy(3).unwrap();
+        web.send(2, &crosses).unwrap();
+        web.send_health_check(3).unwrap();
         assert_eq!(web.answer().unwrap().number, 3, "the call has been read");
         rig.freeze();
         // Frozen later than that, it may have sent the call already.
         let waits = began.elapsed() < round / 2;
-        let opened = rig.executors[0].doors.opened.load(Ordering::Relaxed);
+        let opened = rig.executors[0].connections.accepted.load(Ordering::Relaxed);
         (0..opened).for_each(|connection| _ = rig.executors[0].close(connection));
         std::thread::sleep((round + Duration::from_millis(10)).saturating_sub(began.elapsed()));
         rig.thaw();
@@ -216,25 +221,25 @@
         let asked = long(1);
         let script = calls(move |s| {
             if s.req != long(1).id {
-                return vec![Do::Write(hit(s))];
+                return vec![ScriptStep::Write(hit_line(s))];
             }
             if first.set(s.connection).is_ok() {
-                return vec![Do::Write(say(word, s))];
+                return vec![ScriptStep::Write(answer_line(word, s))];
             }
             // The second answer comes as the first did, while the next attempt is out.
-            let second = Do::WriteOn(*first.get().unwrap(), say(word, s));
+            let second = ScriptStep::WriteOn(*first.get().unwrap(), answer_line(word, s));
             let (told, ends) = (told_twice.clone(), may_end.clone());
-            let held = Do::Until(Arc::new(move || {
+            let held = ScriptStep::WaitUntil(Arc::new(move || {
                 told.store(true, Ordering::Relaxed);
                 ends.load(Ordering::Relaxed)
             }));
-            vec![second, held, Do::Write(hit(s))]
+            vec![second, held, ScriptStep::Write(hit_line(s))]
         });
         // An attempt that is called off for silence would be followed by a third, rightly.
         let rig = Rig::with(vec![script], |config| config["settings"]["allowed"]["mayCancel"] = json!(false));
         let mut web = rig.web();
-        web.ask(1, &asked).unwrap();
-        assert!(until(|| told.load(Ordering::Relaxed)), "{word}");
+        web.send(1, &asked).unwrap();
+        assert!(wait_until(|| told.load(Ordering::Relaxed)), "{word}");
         barrier(&rig);
         // What comes after it is served, so that a third attempt would have come by then.
         for n in 2..6 {
@@ -252,23 +257,23 @@
 fn nothing_new_goes_to_the_address_that_an_executor_has_left() {
     let rig = Rig::start(vec![calls(|s| match s.line["data"].as_str() {
         Some("c3RheXM=") => vec![],
-        _ => vec![Do::Write(hit(s))],
+        _ => vec![ScriptStep::Write(hit_line(s))],
     })]);
     let mut web = rig.web();
     assert_eq!(rig.call(&long(1)).status, 200);
-    web.ask(1, &Ask { body: b"stays".to_vec(), ..long(2) }).unwrap();
-    assert!(until(|| tries(&rig.executors[0], &long(2)) == 1));
-    let new = Executor::start(well).unwrap();
-    rig.board.tell(&[record(id(0), new.address, READY)]);
+    web.send(1, &WebRequest { body: b"stays".to_vec(), ..long(2) }).unwrap();
+    assert!(wait_until(|| tries(&rig.executors[0], &long(2)) == 1));
+    let new = Executor::start(succeed).unwrap();
+    rig.board.send_changes(&[record(id(0), new.address, READY)]);
     let mut n = 100;
-    assert!(until(|| {
+    assert!(wait_until(|| {
         n += 1;
         assert_eq!(rig.call(&long(n)).status, 200);
-        !new.words("FN").is_empty()
+        !new.received_of_kind("FN").is_empty()
     }));
-    let before = rig.executors[0].words("FN").len();
+    let before = rig.executors[0].received_of_kind("FN").len();
     (0..20).for_each(|k| assert_eq!(rig.call(&long(1000 + k)).status, 200));
-    assert_eq!(rig.executors[0].words("FN").len(), before);
+    assert_eq!(rig.executors[0].received_of_kind("FN").len(), before);
 }
 
 /// A board that has lost events tells all from its start, also that executors were ready which drain since.
@@ -276,77 +281,81 @@
 fn a_list_told_again_from_its_start_brings_back_nobody_who_drains() {
     let rig = Rig::well();
     let address = rig.executors[0].address;
-    assert_eq!(rig.call(&Ask::new(1)).status, 200);
-    rig.board.began_with(&[record(id(0), address, READY)]);
-    rig.board.tell(&[record(id(0), address, DRAINING)]);
+    assert_eq!(rig.call(&WebRequest::new(1)).status, 200);
+    rig.board.set_initial_list(&[record(id(0), address, READY)]);
+    rig.board.send_changes(&[record(id(0), address, DRAINING)]);
     let mut n = 10;
-    assert!(until(|| {
+    assert!(wait_until(|| {
         n += 1;
-        rig.call(&Ask { wait_ms: 200, ..Ask::new(n) }).status != 200
+        rig.call(&WebRequest { wait_ms: 200, ..WebRequest::new(n) }).status != 200
     }));
-    let before = rig.executors[0].words("FN").len();
+    let before = rig.executors[0].received_of_kind("FN").len();
     // Told again, it stops after the first event: that the executor was ready.
-    rig.board.hold_after(1);
-    rig.board.lose(3);
-    rig.board.tell(&[record(77, address, DRAINING)]);
-    assert!(until(|| rig.board.asked().contains(&0)), "a gap is noticed: {:?}", rig.board.asked());
+    rig.board.set_last_sent(1);
+    rig.board.skip_events(3);
+    rig.board.send_changes(&[record(77, address, DRAINING)]);
+    assert!(
+        wait_until(|| rig.board.requested().contains(&0)),
+        "a gap is noticed: {:?}",
+        rig.board.requested()
+    );
     // Event 1 is written in the same turn as the number is read, and an empty frame a second later.
     let since = Instant::now();
     let mut n = 500;
     while since.elapsed() < Duration::from_millis(1_500) {
         n += 1;
-        rig.call(&Ask { wait_ms: 100, ..Ask::new(n) });
+        rig.call(&WebRequest { wait_ms: 100, ..WebRequest::new(n) });
     }
-    assert_eq!(rig.executors[0].words("FN").len(), before);
+    assert_eq!(rig.executors[0].received_of_kind("FN").len(), before);
     // Once it has caught up, it is followed as before.
-    let new = Executor::start(well).unwrap();
-    rig.board.tell(&[record(78, new.address, READY)]);
-    rig.board.hold_after(u64::MAX);
-    assert!(until(|| {
+    let new = Executor::start(succeed).unwrap();
+    rig.board.send_changes(&[record(78, new.address, READY)]);
+    rig.board.set_last_sent(u64::MAX);
+    assert!(wait_until(|| {
         n += 1;
-        rig.call(&Ask { wait_ms: 300, ..Ask::new(n) }).status == 200
+        rig.call(&WebRequest { wait_ms: 300, ..WebRequest::new(n) }).status == 200
     }));
-    assert_eq!(rig.executors[0].words("FN").len(), before);
+    assert_eq!(rig.executors[0].received_of_kind("FN").len(), before);
 }
 
 /// A whole list with fewer executors tells that the others are gone, as well as words of their own would.
 #[test]
 fn who_is_not_in_a_whole_list_told_again_takes_nothing_new() {
-    let rig = Rig::start(vec![Box::new(well), Box::new(well)]);
-    let key = |n: u64| Ask { key: format!("{n:016x}"), ..Ask::new(n) };
+    let rig = Rig::start(vec![Box::new(succeed), Box::new(succeed)]);
+    let key = |n: u64| WebRequest { key: format!("{n:016x}"), ..WebRequest::new(n) };
     (1..20).for_each(|n| assert_eq!(rig.call(&key(n)).status, 200));
-    assert!(rig.executors.iter().all(|e| !e.words("FN").is_empty()));
-    rig.board.tell_whole(&[record(id(1), rig.executors[1].address, READY)]);
-    let new = Executor::start(well).unwrap();
-    rig.board.tell(&[record(77, new.address, READY)]);
+    assert!(rig.executors.iter().all(|e| !e.received_of_kind("FN").is_empty()));
+    rig.board.send_full_list(&[record(id(1), rig.executors[1].address, READY)]);
+    let new = Executor::start(succeed).unwrap();
+    rig.board.send_changes(&[record(77, new.address, READY)]);
     let mut n = 100;
     // What came after it has been heard of, so that it has.
-    assert!(until(|| {
+    assert!(wait_until(|| {
         n += 1;
         assert_eq!(rig.call(&key(n)).status, 200);
-        !new.words("FN").is_empty()
+        !new.received_of_kind("FN").is_empty()
     }));
-    let before = rig.executors[0].words("FN").len();
+    let before = rig.executors[0].received_of_kind("FN").len();
     (1000..1040).for_each(|n| assert_eq!(rig.call(&key(n)).status, 200));
-    assert_eq!(rig.executors[0].words("FN").len(), before);
+    assert_eq!(rig.executors[0].received_of_kind("FN").len(), before);
 }
 
 /// A connection that has been idle may go to make room, or after a time. A request whose last byte is here is taken, read or not.
 #[test]
 fn a_request_that_was_not_read_yet_keeps_its_connection() {
     // To make room: one more connection than the front end holds comes while it has no core.
-    let rig = Rig::with(vec![Box::new(well)], |config| config["limits"]["sockets"] = json!(64));
+    let rig = Rig::with(vec![Box::new(succeed)], |config| config["limits"]["sockets"] = json!(64));
     let held = 18;
-    let mut webs: Vec<Web> = Vec::new();
+    let mut webs: Vec<WebConnection> = Vec::new();
     for _ in 0..held {
         let mut web = rig.web();
-        web.healthy(1).unwrap();
+        web.send_health_check(1).unwrap();
         web.answer().unwrap();
         webs.push(web);
     }
     rig.freeze();
-    let newcomers: Vec<Web> = (0..3).map(|_| rig.web()).collect();
-    webs[0].ask(1, &long(1)).unwrap();
+    let newcomers: Vec<WebConnection> = (0..3).map(|_| rig.web()).collect();
+    webs[0].send(1, &long(1)).unwrap();
     rig.thaw();
     assert_eq!(webs[0].answer().map(|a| a.status).ok(), Some(200), "to make room");
     drop(newcomers);
@@ -355,10 +364,10 @@
     let rig = Rig::well();
     let _busy = Busy::with(&rig);
     for round in 0..3u64 {
-        let mut webs: Vec<Web> = (0..4).map(|_| rig.web()).collect();
+        let mut webs: Vec<WebConnection> = (0..4).map(|_| rig.web()).collect();
         barrier(&rig);
         rig.freeze();
-        webs.iter_mut().zip(1..).for_each(|(web, n)| web.ask(1, &long(10 * round + n)).unwrap());
+        webs.iter_mut().zip(1..).for_each(|(web, n)| web.send(1, &long(10 * round + n)).unwrap());
         std::thread::sleep(Duration::from_millis(2_300));
         rig.thaw();
         for web in &mut webs {
@@ -371,37 +380,37 @@
 /// a board that moves is followed.
 #[test]
 fn a_machine_short_of_descriptors_serves_those_who_ask_and_follows_its_board() {
-    let board = Board::start(2).unwrap();
-    let executors: Vec<_> = (0..3).map(|_| Executor::start(well).unwrap()).collect();
+    let board = DiscoveryServer::start(2).unwrap();
+    let executors: Vec<_> = (0..3).map(|_| Executor::start(succeed).unwrap()).collect();
     let listed: Vec<_> =
-        executors.iter().enumerate().map(|(n, e)| member(id(n), e.address, "in_service")).collect();
+        executors.iter().enumerate().map(|(n, e)| list_member(id(n), e.address, "in_service")).collect();
     let config = configuration("127.0.0.1:0".parse().unwrap(), board.address, &listed);
     let front = Front::start_with_descriptors(40, config.clone());
-    assert!(until(|| !board.asked().is_empty()));
+    assert!(wait_until(|| !board.requested().is_empty()));
     let over = Arc::<AtomicBool>::default();
     let mut holders = Vec::new();
     for _ in 0..60 {
         let mut web = front.web();
-        web.healthy(1).unwrap();
+        web.send_health_check(1).unwrap();
         assert_eq!(web.answer().map(|a| a.status).ok(), Some(200), "holder {}", holders.len());
         // Each says something now and then, so that it is never closed for its silence alone.
         let over = over.clone();
         holders.push(std::thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) && web.healthy(1).is_ok() && web.answer().is_ok() {
+            while !over.load(Ordering::Relaxed) && web.send_health_check(1).is_ok() && web.answer().is_ok() {
                 std::thread::sleep(Duration::from_millis(200));
             }
         }));
     }
     for n in 0..30 {
         let key = format!("{n:016x}");
-        assert_eq!(front.call(&Ask { key, ..Ask::new(n) }).status, 200, "call {n}");
+        assert_eq!(front.call(&WebRequest { key, ..WebRequest::new(n) }).status, 200, "call {n}");
     }
-    let other = Board::start(2).unwrap();
+    let other = DiscoveryServer::start(2).unwrap();
     let mut moved = config;
     moved["board"] = json!(other.address);
     front.replace(&moved.to_string());
     front.signal("-HUP");
-    assert!(until(|| !other.asked().is_empty()));
+    assert!(wait_until(|| !other.requested().is_empty()));
     assert!(front.descriptors() <= 40);
     over.store(true, Ordering::Relaxed);
     holders.into_iter().for_each(|t| t.join().unwrap());
@@ -411,22 +420,22 @@
 #[test]
 fn a_configuration_is_read_again_though_every_descriptor_is_in_use() {
     const MOST: usize = 40;
-    let board = Board::start(2).unwrap();
+    let board = DiscoveryServer::start(2).unwrap();
     let config = configuration("127.0.0.1:0".parse().unwrap(), board.address, &[]);
     let front = Front::start_with_descriptors(MOST, config.clone());
-    assert!(until(|| !board.asked().is_empty()));
+    assert!(wait_until(|| !board.requested().is_empty()));
     let mut holders = Vec::new();
     // Those beyond its limit were handed to it at its start.
     while front.descriptors_below(MOST) < MOST {
         let mut web = front.web();
-        web.healthy(1).unwrap();
+        web.send_health_check(1).unwrap();
         assert!(web.answer().is_ok());
         holders.push(web);
     }
-    let other = Board::start(2).unwrap();
+    let other = DiscoveryServer::start(2).unwrap();
     let mut moved = config;
     moved["board"] = json!(other.address);
     front.replace(&moved.to_string());
     front.signal("-HUP");
-    assert!(until(|| !other.asked().is_empty()), "{:?}", front.lines());
+    assert!(wait_until(|| !other.requested().is_empty()), "{:?}", front.lines());
 }
--- a/crates/badgerwind-cli/tests/platform/endings.rs
+++ b/crates/badgerwind-cli/tests/platform/endings.rs
@@ -1,10 +1,10 @@
 //! The end of a front end, and another configuration: what comes in the last instant, and what is not ours.
 
 use crate::rig::*;
-use badgerwind_standins::platform::board::Board;
-use badgerwind_standins::platform::executor::{hit, well, Do, Seen};
-use badgerwind_standins::platform::until;
-use badgerwind_standins::platform::web::Ask;
+use badgerwind_standins::platform::discovery::DiscoveryServer;
+use badgerwind_standins::platform::executor::{hit_line, succeed, ReceivedLine, ScriptStep};
+use badgerwind_standins::platform::wait_until;
+use badgerwind_standins::platform::web::WebRequest;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 /// Calls wait until the test says so.
 fn gated(open: &Arc<AtomicBool>) -> Script {
     let open = open.clone();
-    Box::new(move |s: &Seen| match s.word.as_str() {
+    Box::new(move |s: &ReceivedLine| match s.kind.as_str() {
         "FN" => {
-            assert!(until(|| open.load(Ordering::Relaxed)));
-            vec![Do::Write(hit(s))]
+            assert!(wait_until(|| open.load(Ordering::Relaxed)));
+            vec![ScriptStep::Write(hit_line(s))]
         }
-        _ => well(s),
+        _ => succeed(s),
     })
 }
 
@@ -41,13 +41,13 @@
 fn what_came_in_time_is_answered_though_the_front_end_had_no_core_then() {
     let mut rig = Rig::well();
     let mut open = rig.web();
-    open.healthy(1).unwrap();
+    open.send_health_check(1).unwrap();
     open.answer().unwrap();
     let since = stopping(&rig);
     rig.freeze();
-    open.ask(1, &Ask::new(1)).unwrap();
+    open.send(1, &WebRequest::new(1)).unwrap();
     let mut queued: Vec<_> = (0..4).map(|_| rig.web()).collect();
-    queued.iter_mut().zip(2..).for_each(|(web, n)| web.ask(1, &Ask::new(n)).unwrap());
+    queued.iter_mut().zip(2..).for_each(|(web, n)| web.send(1, &WebRequest::new(n)).unwrap());
     // On a machine so busy that these came too late, nothing is owed.
     let owed = since.elapsed() < COME;
     std::thread::sleep((ACCEPTS + Duration::from_millis(50)).saturating_sub(since.elapsed()));
@@ -66,7 +66,7 @@
     let since = stopping(&rig);
     std::thread::sleep(Duration::from_millis(500).saturating_sub(since.elapsed()));
     let mut web = rig.web();
-    web.ask(1, &Ask::new(1)).unwrap();
+    web.send(1, &WebRequest::new(1)).unwrap();
     let sent = Instant::now();
     // Its time is up 3 s after it was sent; longer than 3.375 s after SIGTERM.
     std::thread::sleep(Duration::from_millis(3_430).saturating_sub(since.elapsed()));
@@ -82,15 +82,15 @@
 /// is told so while there is time.
 #[test]
 fn whoever_has_more_time_than_the_front_end_is_answered_before_its_end() {
-    let rig = Rig::with(vec![Box::new(|s| if s.word == "FN" { vec![] } else { well(s) })], |config| {
+    let rig = Rig::with(vec![Box::new(|s| if s.kind == "FN" { vec![] } else { succeed(s) })], |config| {
         config["settings"]["classes"][0]["hardLimit"] = json!(9_000_000);
         config["settings"]["classes"][1]["hardLimit"] = json!(9_000_000);
     });
     let mut rig = rig;
     let (mut look, mut book) = (rig.web(), rig.web());
-    look.ask(1, &Ask { wait_ms: 9_000, ..Ask::new(1) }).unwrap();
-    book.ask(1, &Ask { wait_ms: 9_000, class: "book".into(), ..Ask::new(2) }).unwrap();
-    assert!(until(|| rig.executors[0].words("FN").len() >= 2));
+    look.send(1, &WebRequest { wait_ms: 9_000, ..WebRequest::new(1) }).unwrap();
+    book.send(1, &WebRequest { wait_ms: 9_000, class: "book".into(), ..WebRequest::new(2) }).unwrap();
+    assert!(wait_until(|| rig.executors[0].received_of_kind("FN").len() >= 2));
     let since = stopping(&rig);
     let answers = [look.answer(), book.answer()].map(|a| a.map(|a| a.status).ok());
     assert_eq!(answers, [Some(503), Some(502)], "the one may run again, the other may have run");
@@ -105,9 +105,9 @@
     let open = Arc::new(AtomicBool::new(false));
     let mut rig = Rig::start(vec![gated(&open)]);
     let mut web = rig.web();
-    let call = Ask { wait_ms: 60_000, ..Ask::new(1) };
-    web.ask(1, &call).unwrap();
-    assert!(until(|| rig.executors[0].words("FN").len() == 1));
+    let call = WebRequest { wait_ms: 60_000, ..WebRequest::new(1) };
+    web.send(1, &call).unwrap();
+    assert!(wait_until(|| rig.executors[0].received_of_kind("FN").len() == 1));
     stopping(&rig);
     for (name, line) in [("-TERM", "Term"), ("-HUP", "Hup"), ("-INT", "Int")] {
         rig.signal(name);
@@ -122,12 +122,12 @@
 /// A client that leaves while the front end stops is waited for no longer.
 #[test]
 fn a_call_withdrawn_during_a_stop_holds_up_nothing() {
-    let mut rig = Rig::start(vec![Box::new(|s| if s.word == "FN" { vec![] } else { well(s) })]);
+    let mut rig = Rig::start(vec![Box::new(|s| if s.kind == "FN" { vec![] } else { succeed(s) })]);
     let (mut aborts, mut closes) = (rig.web(), rig.web());
-    let call = |n| Ask { wait_ms: 60_000, ..Ask::new(n) };
-    aborts.ask(1, &call(1)).unwrap();
-    closes.ask(1, &call(2)).unwrap();
-    assert!(until(|| rig.executors[0].words("FN").len() == 2));
+    let call = |n| WebRequest { wait_ms: 60_000, ..WebRequest::new(n) };
+    aborts.send(1, &call(1)).unwrap();
+    closes.send(1, &call(2)).unwrap();
+    assert!(wait_until(|| rig.executors[0].received_of_kind("FN").len() == 2));
     let since = stopping(&rig);
     aborts.abort(1).unwrap();
     drop(closes);
@@ -140,13 +140,13 @@
 fn clients_that_flood_hold_up_no_end() {
     let mut rig = Rig::start(vec![Box::new(|s| match s.line["data"].as_str() {
         Some("Zmxvb2Q=") => vec![],
-        _ => well(s),
+        _ => succeed(s),
     })]);
     let over = Arc::<AtomicBool>::default();
     let mut floods = Vec::new();
     for n in 0..3 {
         let mut web = rig.web();
-        web.ask(1, &Ask { body: b"flood".to_vec(), wait_ms: 60_000, ..Ask::new(n) }).unwrap();
+        web.send(1, &WebRequest { body: b"flood".to_vec(), wait_ms: 60_000, ..WebRequest::new(n) }).unwrap();
         let over = over.clone();
         floods.push(std::thread::spawn(move || {
             let junk = vec![0u8; 64 * 1024];
@@ -154,7 +154,7 @@
         }));
     }
     stopping(&rig);
-    assert_eq!(rig.call(&Ask::new(9)).status, 200);
+    assert_eq!(rig.call(&WebRequest::new(9)).status, 200);
     assert_eq!(rig.ended(), Some(0));
     over.store(true, Ordering::Relaxed);
     floods.into_iter().for_each(|t| t.join().unwrap());
@@ -165,17 +165,17 @@
 fn answers_taken_slowly_during_a_stop_come_whole() {
     let big = vec![b'x'; 180_000];
     let data = big.clone();
-    let mut rig = Rig::start(vec![Box::new(move |s| match s.word.as_str() {
+    let mut rig = Rig::start(vec![Box::new(move |s| match s.kind.as_str() {
         "FN" => {
             let mut own = s.clone();
             own.line["data"] = json!(base64(&data));
-            vec![Do::Write(hit(&own))]
+            vec![ScriptStep::Write(hit_line(&own))]
         }
-        _ => well(s),
+        _ => succeed(s),
     })]);
     let mut web = rig.web();
-    (1..=5).for_each(|n| web.ask(n, &Ask::new(n.into())).unwrap());
-    assert!(until(|| rig.executors[0].words("FN").len() == 5));
+    (1..=5).for_each(|n| web.send(n, &WebRequest::new(n.into())).unwrap());
+    assert!(wait_until(|| rig.executors[0].received_of_kind("FN").len() == 5));
     stopping(&rig);
     // It reads nothing until the front end would have ended otherwise.
     std::thread::sleep(Duration::from_millis(1_200));
@@ -198,7 +198,7 @@
 #[test]
 fn a_configuration_of_another_front_end_is_refused_as_a_whole() {
     let rig = Rig::well();
-    let others = Board::start(2).unwrap();
+    let others = DiscoveryServer::start(2).unwrap();
     let refuse = |change: &dyn Fn(&mut serde_json::Value), words: &[&str]| {
         let mut config = rig.config.clone();
         config["board"] = json!(others.address);
@@ -214,7 +214,7 @@
     refuse(&|c| c["settings"]["orgs"][0]["name"] = json!("umbrella"), &["tenants", "umbrella"]);
     refuse(&|c| c["settings"]["failureDomains"] = json!(["east", "west"]), &["zones", "west"]);
     refuse(&|c| c["settings"]["kinds"] = json!(["std", "small"]), &["kinds", "small"]);
-    assert_eq!(others.asked(), [0u64; 0], "its board is not ours");
+    assert_eq!(others.requested(), [0u64; 0], "its board is not ours");
     // Ours, with more changed than the board's address: that alone is taken over, and the rest is named.
     let mut config = rig.config.clone();
     config["board"] = json!(others.address);
@@ -223,6 +223,6 @@
     rig.replace(&config.to_string());
     rig.signal("-HUP");
     assert!(rig.logs(&["config.json", "limits, settings", "next start"]), "{:?}", rig.lines());
-    assert!(until(|| !others.asked().is_empty()));
-    assert_eq!(rig.call(&Ask::new(1)).status, 200);
+    assert!(wait_until(|| !others.requested().is_empty()));
+    assert_eq!(rig.call(&WebRequest::new(1)).status, 200);
 }
--- a/crates/badgerwind-cli/tests/platform/executors.rs
+++ b/crates/badgerwind-cli/tests/platform/executors.rs
@@ -1,36 +1,36 @@
 //! What executors do, and what that means for a call.
 
 use crate::rig::*;
-use badgerwind_standins::platform::executor::{hit, say, well, Do, Seen};
-use badgerwind_standins::platform::until;
-use badgerwind_standins::platform::web::Ask;
+use badgerwind_standins::platform::executor::{answer_line, hit_line, succeed, ReceivedLine, ScriptStep};
+use badgerwind_standins::platform::wait_until;
+use badgerwind_standins::platform::web::WebRequest;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-fn book(n: u64) -> Ask {
-    Ask { class: "book".into(), ..Ask::new(n) }
+fn book(n: u64) -> WebRequest {
+    WebRequest { class: "book".into(), ..WebRequest::new(n) }
 }
 
 /// Does something else with calls only.
-fn calls(with: impl Fn(&Seen) -> Vec<Do> + Send + Sync + 'static) -> Script {
-    Box::new(move |s| if s.word == "FN" { with(s) } else { well(s) })
+fn calls(with: impl Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync + 'static) -> Script {
+    Box::new(move |s| if s.kind == "FN" { with(s) } else { succeed(s) })
 }
 
 #[test]
 fn a_call_goes_through_unchanged_and_comes_back_as_it_was_given() {
     let rig = Rig::well();
     assert_eq!(rig.health(), 200);
-    let ask = Ask { body: (0..=255).cycle().take(16 * 1024).collect(), ..Ask::new(7) };
+    let ask = WebRequest { body: (0..=255).cycle().take(16 * 1024).collect(), ..WebRequest::new(7) };
     let answer = rig.call(&ask);
-    assert_eq!((answer.status, answer.ended, &answer.body), (200, 0, &ask.body));
-    let seen = rig.executors[0].words("FN");
+    assert_eq!((answer.status, answer.protocol_status, &answer.body), (200, 0, &ask.body));
+    let seen = rig.executors[0].received_of_kind("FN");
     let (line, meta) = (&seen[0].line, &seen[0].line["meta"]);
     assert_eq!((line["req"].as_str(), meta["kind"].as_str()), (Some(&*ask.id), Some("look")));
     assert_eq!(meta["obj"].as_str(), Some(&*ask.key));
     let ms = meta["ms"].as_u64().unwrap();
     assert!(ms > 2000 && ms <= 3000, "{ms}");
-    let empty = Ask { body: vec![], ..Ask::new(8) };
+    let empty = WebRequest { body: vec![], ..WebRequest::new(8) };
     assert_eq!((rig.call(&empty).status, rig.call(&empty).body.len()), (200, 0));
 }
 
@@ -39,18 +39,18 @@
 fn a_call_that_was_given_up_is_answered_at_once() {
     let first = AtomicUsize::new(0);
     let rig = Rig::start(vec![calls(move |s| match first.fetch_add(1, Ordering::Relaxed) {
-        0 => vec![Do::Write(hit(s))],
-        _ => vec![Do::Write(say("FAULT", s))],
+        0 => vec![ScriptStep::Write(hit_line(s))],
+        _ => vec![ScriptStep::Write(answer_line("FAULT", s))],
     })]);
-    assert_eq!(rig.call(&Ask::new(0)).status, 200);
+    assert_eq!(rig.call(&WebRequest::new(0)).status, 200);
     let began = Instant::now();
     let wait_ms = 20_000;
-    assert_eq!(rig.call(&Ask { wait_ms, ..book(1) }).status, 502);
+    assert_eq!(rig.call(&WebRequest { wait_ms, ..book(1) }).status, 502);
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
-    assert_eq!(rig.executors[0].words("FN").len(), 2, "it is never tried again");
+    assert_eq!(rig.executors[0].received_of_kind("FN").len(), 2, "it is never tried again");
     // One that may be repeated uses up its attempts, and is refused then.
-    let refused = rig.call(&Ask { wait_ms, ..Ask::new(2) });
-    assert_eq!((refused.status, rig.executors[0].words("FN").len()), (503, 6));
+    let refused = rig.call(&WebRequest { wait_ms, ..WebRequest::new(2) });
+    assert_eq!((refused.status, rig.executors[0].received_of_kind("FN").len()), (503, 6));
     assert!(began.elapsed() < Duration::from_secs(15), "{:?}", began.elapsed());
 }
 
@@ -58,19 +58,19 @@
 fn what_never_ran_is_tried_again_even_where_it_must_not_run_twice() {
     let tried = AtomicUsize::new(0);
     let rig = Rig::start(vec![calls(move |s| match tried.fetch_add(1, Ordering::Relaxed) {
-        0 => vec![Do::Write(say("SHED", s))],
-        1 => vec![Do::Write(say("NONE", s))],
-        _ => vec![Do::Write(hit(s))],
+        0 => vec![ScriptStep::Write(answer_line("SHED", s))],
+        1 => vec![ScriptStep::Write(answer_line("NONE", s))],
+        _ => vec![ScriptStep::Write(hit_line(s))],
     })]);
     assert_eq!(rig.call(&book(1)).status, 200);
-    assert_eq!(rig.executors[0].words("FN").len(), 3);
+    assert_eq!(rig.executors[0].received_of_kind("FN").len(), 3);
 }
 
 #[test]
 fn a_connection_reset_under_a_call_leaves_open_whether_it_ran() {
-    let rig = Rig::start(vec![calls(|_| vec![Do::Close])]);
+    let rig = Rig::start(vec![calls(|_| vec![ScriptStep::Close])]);
     assert_eq!(rig.call(&book(1)).status, 502);
-    assert_eq!(rig.executors[0].words("FN").len(), 1);
+    assert_eq!(rig.executors[0].received_of_kind("FN").len(), 1);
 }
 
 #[test]
@@ -78,12 +78,14 @@
     for junk in [&b"noise\n"[..], b"{\"type\":\"HIT\",\"req\":\"", b"\xff\xfe\n", b"{\"type\":\"HIT\"}\n"] {
         let slow = b"5lowa5lowa";
         let rig = Rig::start(vec![calls(move |s| match s.line["data"].as_str() {
-            Some("c2xvdw==") => vec![Do::Wait(Duration::from_millis(400)), Do::Write(hit(s))],
-            _ => vec![Do::Write(junk.to_vec()), Do::Write(slow.to_vec()), Do::Close],
+            Some("c2xvdw==") => {
+                vec![ScriptStep::Wait(Duration::from_millis(400)), ScriptStep::Write(hit_line(s))]
+            }
+            _ => vec![ScriptStep::Write(junk.to_vec()), ScriptStep::Write(slow.to_vec()), ScriptStep::Close],
         })]);
         let mut other = rig.web();
-        other.ask(1, &Ask { body: b"slow".to_vec(), ..book(1) }).unwrap();
-        assert!(until(|| rig.executors[0].words("FN").len() == 1));
+        other.send(1, &WebRequest { body: b"slow".to_vec(), ..book(1) }).unwrap();
+        assert!(wait_until(|| rig.executors[0].received_of_kind("FN").len() == 1));
         assert_eq!(rig.call(&book(2)).status, 502);
         let answer = other.answer().unwrap();
         assert_eq!((answer.status, &answer.body[..]), (200, &b"slow"[..]));
@@ -92,7 +94,7 @@
 
 #[test]
 fn an_answer_without_end_is_given_up_and_takes_no_memory() {
-    let rig = Rig::start(vec![calls(|_| vec![Do::Write(vec![b'x'; 1_000_000]); 60])]);
+    let rig = Rig::start(vec![calls(|_| vec![ScriptStep::Write(vec![b'x'; 1_000_000]); 60])]);
     let before = rig.memory();
     assert_eq!(rig.call(&book(1)).status, 502);
     assert!(rig.memory() < before + 4096, "{} {before}", rig.memory());
@@ -103,30 +105,30 @@
     let rig = Rig::start(vec![calls(|s| {
         let mut other = s.clone();
         other.req = "0123456789abcdef".into();
-        vec![Do::Write([hit(&other), hit(s), hit(s)].concat())]
+        vec![ScriptStep::Write([hit_line(&other), hit_line(s), hit_line(s)].concat())]
     })]);
     for n in 0..5 {
         let answer = rig.call(&book(n));
         assert_eq!((answer.status, answer.body), (200, format!("body {n}").into_bytes()));
     }
     let connections: std::collections::BTreeSet<_> =
-        rig.executors[0].words("FN").iter().map(|s| s.connection).collect();
+        rig.executors[0].received_of_kind("FN").iter().map(|s| s.connection).collect();
     assert_eq!(connections.len(), 5, "a connection that says too much takes nothing new");
 }
 
 #[test]
 fn a_client_that_withdraws_has_its_attempt_killed_and_its_number_free() {
     let rig = Rig::start(vec![calls(|s| match s.line["data"].as_str() {
-        Some("c2xvdw==") => vec![Do::Wait(Duration::from_secs(2)), Do::Write(hit(s))],
-        _ => vec![Do::Write(hit(s))],
+        Some("c2xvdw==") => vec![ScriptStep::Wait(Duration::from_secs(2)), ScriptStep::Write(hit_line(s))],
+        _ => vec![ScriptStep::Write(hit_line(s))],
     })]);
     let mut web = rig.web();
-    let slow = Ask { body: b"slow".to_vec(), ..Ask::new(1) };
-    web.ask(1, &slow).unwrap();
-    assert!(until(|| rig.executors[0].words("FN").len() == 1));
+    let slow = WebRequest { body: b"slow".to_vec(), ..WebRequest::new(1) };
+    web.send(1, &slow).unwrap();
+    assert!(wait_until(|| rig.executors[0].received_of_kind("FN").len() == 1));
     web.abort(1).unwrap();
-    assert!(until(|| rig.executors[0].words("KILL").iter().any(|s| s.req == slow.id)));
-    web.ask(1, &Ask::new(2)).unwrap();
+    assert!(wait_until(|| rig.executors[0].received_of_kind("KILL").iter().any(|s| s.req == slow.id)));
+    web.send(1, &WebRequest::new(2)).unwrap();
     let answer = web.answer().unwrap();
     assert_eq!((answer.number, answer.status, &answer.body[..]), (1, 200, &b"body 2"[..]));
 }
@@ -138,7 +140,7 @@
     assert_eq!(rig.call(&book(1)).status, 200);
     std::thread::sleep(Duration::from_millis(700)); // longer than silence under a call would be borne
     assert_eq!(rig.call(&book(2)).status, 200);
-    let seen = rig.executors[0].words("FN");
+    let seen = rig.executors[0].received_of_kind("FN");
     assert_eq!(seen[0].connection, seen[1].connection);
 }
 
@@ -147,15 +149,15 @@
 fn one_that_left_a_call_without_a_word_is_asked_over_a_new_connection() {
     let rig = Rig::start(vec![calls(|s| match s.line["data"].as_str() {
         Some("bG9zdA==") => vec![],
-        _ => vec![Do::Write(hit(s))],
+        _ => vec![ScriptStep::Write(hit_line(s))],
     })]);
     assert_eq!(rig.call(&book(1)).status, 200);
     let mut web = rig.web();
-    web.ask(1, &Ask { body: b"lost".to_vec(), ..book(2) }).unwrap();
-    assert!(until(|| rig.executors[0].words("FN").len() == 2));
+    web.send(1, &WebRequest { body: b"lost".to_vec(), ..book(2) }).unwrap();
+    assert!(wait_until(|| rig.executors[0].received_of_kind("FN").len() == 2));
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(rig.call(&book(3)).status, 200);
-    let seen = rig.executors[0].words("FN");
+    let seen = rig.executors[0].received_of_kind("FN");
     assert_eq!((seen[0].connection, seen[1].connection), (0, 0));
     assert_ne!(seen[2].connection, 0, "silence on the old one would have proved nothing");
 }
@@ -163,24 +165,24 @@
 /// An executor whose table is full lets a connection come up, turns its first call away and closes it.
 #[test]
 fn a_full_table_turns_new_connections_away_and_not_the_calls() {
-    let script: Script = Box::new(|s: &Seen| match (s.connection, s.word.as_str()) {
-        (0, "FN") => vec![Do::Wait(Duration::from_millis(300)), Do::Write(hit(s))],
-        (0, _) => well(s),
-        _ => vec![Do::Write(say("SHED", s)), Do::Close],
+    let script: Script = Box::new(|s: &ReceivedLine| match (s.connection, s.kind.as_str()) {
+        (0, "FN") => vec![ScriptStep::Wait(Duration::from_millis(300)), ScriptStep::Write(hit_line(s))],
+        (0, _) => succeed(s),
+        _ => vec![ScriptStep::Write(answer_line("SHED", s)), ScriptStep::Close],
     });
     // Calls that are called off for silence on a starved machine would use up their attempts.
     let rig = Rig::with(vec![script], |config| config["settings"]["allowed"]["mayCancel"] = false.into());
-    let ask = |n: u64| Ask { wait_ms: 20_000, ..Ask::new(n) };
+    let ask = |n: u64| WebRequest { wait_ms: 20_000, ..WebRequest::new(n) };
     let mut web = rig.web();
-    web.ask(1, &ask(1)).unwrap();
-    assert!(until(|| rig.executors[0].words("FN").len() == 1));
+    web.send(1, &ask(1)).unwrap();
+    assert!(wait_until(|| rig.executors[0].received_of_kind("FN").len() == 1));
     // Ten more while it works: one of them finds the door shut, and goes over the standing connection with the others.
     for n in 2..12 {
-        web.ask(n, &ask(u64::from(n))).unwrap();
+        web.send(n, &ask(u64::from(n))).unwrap();
     }
     let answers: Vec<_> = (0..11).map(|_| web.answer().unwrap().status).collect();
     assert_eq!(answers.iter().filter(|s| **s == 200).count(), 11, "{answers:?}");
-    let turned_away = rig.executors[0].words("FN").iter().filter(|s| s.connection > 0).count();
+    let turned_away = rig.executors[0].received_of_kind("FN").iter().filter(|s| s.connection > 0).count();
     assert!((1..=10).contains(&turned_away), "{turned_away}");
 }
 
@@ -189,43 +191,46 @@
 #[test]
 fn calls_share_connections_while_these_hold_and_keep_apart_once_they_break() {
     let rig = Rig::start(vec![calls(|s| match s.line["data"].as_str() {
-        Some("YnJlYWs=") => vec![Do::Close],
-        _ => vec![Do::Wait(Duration::from_millis(100)), Do::Write(hit(s))],
+        Some("YnJlYWs=") => vec![ScriptStep::Close],
+        _ => vec![ScriptStep::Wait(Duration::from_millis(100)), ScriptStep::Write(hit_line(s))],
     })]);
     let mut web = rig.web();
     let mut round = |from: u64| {
-        (0..4).for_each(|n| web.ask(n as u16 + 1, &Ask::new(from + n)).unwrap());
+        (0..4).for_each(|n| web.send(n as u16 + 1, &WebRequest::new(from + n)).unwrap());
         (0..4).for_each(|_| assert_eq!(web.answer().unwrap().status, 200));
-        let seen = rig.executors[0].words("FN");
+        let seen = rig.executors[0].received_of_kind("FN");
         seen[seen.len() - 4..].iter().map(|s| s.connection).collect::<std::collections::BTreeSet<_>>().len()
     };
-    assert_eq!(rig.call(&Ask::new(1)).status, 200);
+    assert_eq!(rig.call(&WebRequest::new(1)).status, 200);
     assert_eq!(round(10), 1);
     for n in 0..3 {
-        rig.call(&Ask { body: b"break".to_vec(), ..book(20 + n) });
+        rig.call(&WebRequest { body: b"break".to_vec(), ..book(20 + n) });
     }
     assert_eq!(round(30), 4);
-    let opened = rig.executors[0].doors.opened.load(Ordering::Relaxed);
+    let opened = rig.executors[0].connections.accepted.load(Ordering::Relaxed);
     assert!(opened <= 12, "{opened} connections for 12 calls, three of which broke theirs");
 }
 
 /// A call that may not run twice would be lost by another's trouble: it has its connection for itself.
 #[test]
 fn what_may_not_run_twice_shares_no_connection() {
-    let asked = [Ask::new(1), book(2), Ask::new(3), book(4), Ask::new(5)];
+    let asked = [WebRequest::new(1), book(2), WebRequest::new(3), book(4), WebRequest::new(5)];
     let (all, come) = (asked.len(), Arc::new(AtomicUsize::new(0)));
     let come_now = come.clone();
     // None is answered before all are there, so that all are out at once.
     let rig = Rig::start(vec![calls(move |s| {
         let come = come_now.clone();
         come.fetch_add(1, Ordering::Relaxed);
-        vec![Do::Until(Arc::new(move || come.load(Ordering::Relaxed) >= all)), Do::Write(hit(s))]
+        vec![
+            ScriptStep::WaitUntil(Arc::new(move || come.load(Ordering::Relaxed) >= all)),
+            ScriptStep::Write(hit_line(s)),
+        ]
     })]);
     let mut web = rig.web();
-    asked.iter().zip(1..).for_each(|(ask, n)| web.ask(n, ask).unwrap());
+    asked.iter().zip(1..).for_each(|(ask, n)| web.send(n, ask).unwrap());
     asked.iter().for_each(|_| assert_eq!(web.answer().unwrap().status, 200));
-    let seen = rig.executors[0].words("FN");
-    let of = |ask: &Ask| seen.iter().find(|s| s.req == ask.id).unwrap().connection;
+    let seen = rig.executors[0].received_of_kind("FN");
+    let of = |ask: &WebRequest| seen.iter().find(|s| s.req == ask.id).unwrap().connection;
     let ways: Vec<_> = asked.iter().map(of).collect();
     let alone = |n: usize| ways.iter().filter(|w| **w == ways[n]).count() == 1;
     assert!(alone(1) && alone(3), "{ways:?}");
--- a/crates/badgerwind-cli/tests/platform/fleet.rs
+++ b/crates/badgerwind-cli/tests/platform/fleet.rs
@@ -2,10 +2,10 @@
 //! hold few connections and turn away the rest. All verdicts are on counts, most of them taken at the executors.
 
 use crate::rig::{id, Front, Script};
-use badgerwind_standins::platform::board::{record, Board};
-use badgerwind_standins::platform::executor::{hit, well, Do, Executor, Seen};
-use badgerwind_standins::platform::web::{Answer, Ask, Web};
-use badgerwind_standins::platform::{configuration, member, until};
+use badgerwind_standins::platform::discovery::{record, DiscoveryServer};
+use badgerwind_standins::platform::executor::{hit_line, succeed, Executor, ReceivedLine, ScriptStep};
+use badgerwind_standins::platform::web::{Answer, WebConnection, WebRequest};
+use badgerwind_standins::platform::{configuration, list_member, wait_until};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -23,10 +23,10 @@
 const GONE: u8 = 2;
 
 /// Works for 20 ms, and answers.
-fn works(s: &Seen) -> Vec<Do> {
-    match s.word.as_str() {
-        "FN" => vec![Do::Wait(Duration::from_millis(20)), Do::Write(hit(s))],
-        _ => well(s),
+fn works(s: &ReceivedLine) -> Vec<ScriptStep> {
+    match s.kind.as_str() {
+        "FN" => vec![ScriptStep::Wait(Duration::from_millis(20)), ScriptStep::Write(hit_line(s))],
+        _ => succeed(s),
     }
 }
 
@@ -60,7 +60,7 @@
 }
 
 struct Fleet {
-    board: Board,
+    board: DiscoveryServer,
     executors: Vec<Executor>,
     fronts: Vec<Option<Front>>,
     peers: Vec<SocketAddr>,
@@ -72,9 +72,9 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        let board = Board::start(2).unwrap();
+        let board = DiscoveryServer::start(2).unwrap();
         let executors: Vec<_> = (0..EXECUTORS).map(|_| Executor::with_table(TABLE, works).unwrap()).collect();
-        let listed = executors.iter().enumerate().map(|(n, e)| member(id(n), e.address, "in_service"));
+        let listed = executors.iter().enumerate().map(|(n, e)| list_member(id(n), e.address, "in_service"));
         let mut config =
             configuration("127.0.0.1:0".parse().unwrap(), board.address, &listed.collect::<Vec<_>>());
         let told = Arc::<Told>::default();
@@ -113,7 +113,7 @@
             all.into_iter().map(|t| t.join().unwrap()).collect()
         });
         for (n, front) in started {
-            assert!(until(|| front.health() == 200), "front end {n} says that it serves");
+            assert!(wait_until(|| front.health() == 200), "front end {n} says that it serves");
             self.fronts[n] = Some(front);
         }
     }
@@ -131,7 +131,7 @@
                     let mut web = front.web();
                     let call = |k| {
                         let ask = ask(from + n as u64 * each + k);
-                        web.ask(1 + k as u16, &ask).unwrap();
+                        web.send(1 + k as u16, &ask).unwrap();
                         let answer = web.answer().unwrap();
                         assert_eq!(answer.number, 1 + k as u16, "one answer, and to what was asked");
                         std::thread::sleep(PACE);
@@ -151,13 +151,13 @@
 
     /// What an executor has been sent, by the front ends' connections that came up and by words.
     fn opened(&self) -> Vec<usize> {
-        self.executors.iter().map(|e| e.doors.opened.load(Ordering::Relaxed)).collect()
+        self.executors.iter().map(|e| e.connections.accepted.load(Ordering::Relaxed)).collect()
     }
 
     /// Nothing that may run once ran twice, and nothing at all at two places at once.
     fn effects_kept(&self) {
         let mut ran: BTreeMap<String, usize> = BTreeMap::new();
-        for s in self.executors.iter().flat_map(|e| e.words("FN")) {
+        for s in self.executors.iter().flat_map(|e| e.received_of_kind("FN")) {
             if s.line["meta"]["kind"] == "book" {
                 *ran.entry(s.req).or_default() += 1;
             }
@@ -196,12 +196,12 @@
 }
 
 /// `look` most times, `book` each tenth time; functions differ, so that they are at home at different executors.
-fn ask(n: u64) -> Ask {
+fn ask(n: u64) -> WebRequest {
     let class = if n % 10 == 0 { "book" } else { "look" };
-    Ask {
+    WebRequest {
         class: class.into(),
         key: format!("{:016x}", (n % 40).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-        ..Ask::new(n)
+        ..WebRequest::new(n)
     }
 }
 
@@ -214,7 +214,7 @@
     let answers = fleet.calls(&all, 24);
     assert_eq!(answers.len(), FRONTS * 24);
     let refused = answers.values().filter(|a| a.status != 200).count();
-    let turned: usize = fleet.executors.iter().map(|e| e.doors.turned_away.load(Ordering::Relaxed)).sum();
+    let turned: usize = fleet.executors.iter().map(|e| e.connections.rejected.load(Ordering::Relaxed)).sum();
     let opened = fleet.opened();
     println!("opened {opened:?}, turned away {turned}, refused {refused} of {}", answers.len());
     assert!(opened.iter().all(|n| *n <= 2 * FRONTS), "connections: {opened:?}");
@@ -225,8 +225,11 @@
     fleet.datagrams_kept();
     // What all of them ask for beside calls is no multiple of the calls.
     for e in &fleet.executors {
-        let (calls, probes, orders) =
-            (e.words("FN"), e.words("HELO").len() + e.words("TOP").len(), e.words("SPAWN"));
+        let (calls, probes, orders) = (
+            e.received_of_kind("FN"),
+            e.received_of_kind("HELO").len() + e.received_of_kind("TOP").len(),
+            e.received_of_kind("SPAWN"),
+        );
         assert!(probes <= calls.len() / 2 + FRONTS, "{probes} probes for {} calls", calls.len());
         assert!(orders.len() <= calls.len() + FRONTS, "{} orders for {} calls", orders.len(), calls.len());
     }
@@ -241,12 +244,12 @@
         let staying: Vec<_> = (0..FRONTS).filter(|n| !dying.contains(n)).collect();
         assert_eq!(dying.len(), 10);
         // Each of the dying has a call under way that nobody will answer.
-        let cut: Vec<Web> = dying
+        let cut: Vec<WebConnection> = dying
             .iter()
             .map(|n| {
                 let mut web = fleet.fronts[*n].as_ref().unwrap().web();
-                let call = Ask { class: "book".into(), ..ask(900_000 + (round * FRONTS + n) as u64) };
-                web.ask(1, &call).unwrap();
+                let call = WebRequest { class: "book".into(), ..ask(900_000 + (round * FRONTS + n) as u64) };
+                web.send(1, &call).unwrap();
                 web
             })
             .collect();
@@ -265,7 +268,8 @@
     fleet.effects_kept();
     fleet.limits_kept();
     fleet.datagrams_kept();
-    let most: Vec<_> = fleet.executors.iter().map(|e| e.doors.most.load(Ordering::Relaxed)).collect();
+    let most: Vec<_> =
+        fleet.executors.iter().map(|e| e.connections.max_open.load(Ordering::Relaxed)).collect();
     assert!(most.iter().all(|n| *n <= TABLE), "{most:?}");
 }
 
@@ -278,7 +282,7 @@
         for &n in tenth {
             let front = fleet.fronts[n].as_ref().unwrap();
             let mut web = front.web();
-            web.ask(1, &ask(fleet.next)).unwrap();
+            web.send(1, &ask(fleet.next)).unwrap();
             fleet.next += 1;
             open.push(web);
         }
@@ -305,20 +309,20 @@
 #[test]
 fn all_follow_a_board_that_moves_and_share_a_cold_executor() {
     let mut fleet = Fleet::start();
-    assert!(until(|| fleet.board.asked().len() == FRONTS));
-    let moved = Board::start(2).unwrap();
+    assert!(wait_until(|| fleet.board.requested().len() == FRONTS));
+    let moved = DiscoveryServer::start(2).unwrap();
     for front in fleet.fronts.iter().flatten() {
         let mut config = front.config.clone();
         config["board"] = moved.address.to_string().into();
         front.replace(&config.to_string());
         front.signal("-HUP");
     }
-    assert!(until(|| moved.asked().len() >= FRONTS), "{} have come", moved.asked().len());
+    assert!(wait_until(|| moved.requested().len() >= FRONTS), "{} have come", moved.requested().len());
     let holds = Arc::new(Mutex::new((0usize, 0usize, None::<Instant>)));
     let script: Script = {
         let holds = holds.clone();
         Box::new(move |s| {
-            if s.word == "FN" {
+            if s.kind == "FN" {
                 let mut h = holds.lock().unwrap();
                 let first = *h.2.get_or_insert_with(Instant::now);
                 h.0 += 1;
@@ -330,29 +334,29 @@
                 std::thread::sleep(Duration::from_millis(40));
                 holds.lock().unwrap().0 -= 1;
             }
-            well(s)
+            succeed(s)
         })
     };
     let cold = Executor::with_table(TABLE, script).unwrap();
     let gone = fleet.executors[0].address;
-    moved.tell(&[record(id(0), gone, GONE), record(id(90), cold.address, READY)]);
+    moved.send_changes(&[record(id(0), gone, GONE), record(id(90), cold.address, READY)]);
     let all = fleet.living();
     let mut answers = BTreeMap::new();
-    assert!(until(|| {
+    assert!(wait_until(|| {
         answers.extend(fleet.calls(&all, 4));
-        !cold.words("FN").is_empty()
+        !cold.received_of_kind("FN").is_empty()
     }));
-    let before = fleet.executors[0].words("FN").len();
+    let before = fleet.executors[0].received_of_kind("FN").len();
     answers.extend(fleet.calls(&all, 8));
-    assert_eq!(fleet.executors[0].words("FN").len(), before, "nobody sends to one that has gone");
+    assert_eq!(fleet.executors[0].received_of_kind("FN").len(), before, "nobody sends to one that has gone");
     let refused = answers.values().filter(|a| a.status != 200).count();
     assert!(refused * 50 <= answers.len(), "{refused} of {}", answers.len());
     // A size of four, and two and a half times that is its fall.
     let most = holds.lock().unwrap().1;
     assert!(most <= 10, "{most} calls at once at a cold executor, from all front ends");
-    let orders = cold.words("SPAWN").len();
-    assert!(orders <= cold.words("FN").len() + 2 * FRONTS, "{orders} orders");
-    assert!(cold.doors.opened.load(Ordering::Relaxed) <= 2 * FRONTS);
+    let orders = cold.received_of_kind("SPAWN").len();
+    assert!(orders <= cold.received_of_kind("FN").len() + 2 * FRONTS, "{orders} orders");
+    assert!(cold.connections.accepted.load(Ordering::Relaxed) <= 2 * FRONTS);
     fleet.effects_kept();
     fleet.limits_kept();
 }
--- a/crates/badgerwind-cli/tests/platform/outages.rs
+++ b/crates/badgerwind-cli/tests/platform/outages.rs
@@ -11,10 +11,12 @@
 //! the figures.
 
 use crate::rig::{id, Front};
-use badgerwind_standins::platform::board::{record, Board, Mood};
-use badgerwind_standins::platform::executor::{hit, say, well, Do, Executor, Seen};
-use badgerwind_standins::platform::web::{Ask, Web};
-use badgerwind_standins::platform::{configuration, member, until};
+use badgerwind_standins::platform::discovery::{record, Behaviour, DiscoveryServer};
+use badgerwind_standins::platform::executor::{
+    answer_line, hit_line, succeed, Executor, ReceivedLine, ScriptStep,
+};
+use badgerwind_standins::platform::web::{WebConnection, WebRequest};
+use badgerwind_standins::platform::{configuration, list_member, wait_until};
 use badgerwind_standins::reserved::{unused_address, ReservedPort};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener};
@@ -166,15 +168,15 @@
     fn on(port: Arc<ReservedPort>, listener: TcpListener, denial: Denial) -> Server {
         let (drains, hangs) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
         let (drains_now, hangs_now) = (drains.clone(), hangs.clone());
-        let script = move |s: &Seen| match (s.word.as_str(), drains_now.load(Ordering::Relaxed)) {
+        let script = move |s: &ReceivedLine| match (s.kind.as_str(), drains_now.load(Ordering::Relaxed)) {
             _ if hangs_now.load(Ordering::Relaxed) => vec![],
             // Some calls are served while it drains.
-            ("FN", true) if !s.req.ends_with(['0', '8']) => vec![Do::Write(say("SHED", s))],
-            ("FN", true) => vec![Do::Wait(WORK), Do::Write(hit(s))],
-            ("HELO", true) if denial == Denial::Probe => vec![Do::Write(say("SICK", s))],
-            ("SPAWN", true) if denial == Denial::Order => vec![Do::Write(say("SHED", s))],
-            ("FN", false) => vec![Do::Wait(WORK), Do::Write(hit(s))],
-            _ => well(s),
+            ("FN", true) if !s.req.ends_with(['0', '8']) => vec![ScriptStep::Write(answer_line("SHED", s))],
+            ("FN", true) => vec![ScriptStep::Wait(WORK), ScriptStep::Write(hit_line(s))],
+            ("HELO", true) if denial == Denial::Probe => vec![ScriptStep::Write(answer_line("SICK", s))],
+            ("SPAWN", true) if denial == Denial::Order => vec![ScriptStep::Write(answer_line("SHED", s))],
+            ("FN", false) => vec![ScriptStep::Wait(WORK), ScriptStep::Write(hit_line(s))],
+            _ => succeed(s),
         };
         let executor = Executor::on(listener, usize::MAX, script).unwrap();
         Server { executor, port, drains, hangs, connections_ended: AtomicUsize::new(0) }
@@ -182,7 +184,7 @@
 
     /// Ends all connections that have come up since the last time.
     fn end_connections(&self) {
-        let up_to = self.executor.doors.opened.load(Ordering::Relaxed);
+        let up_to = self.executor.connections.accepted.load(Ordering::Relaxed);
         for connection in self.connections_ended.swap(up_to, Ordering::Relaxed)..up_to {
             self.executor.close(connection);
         }
@@ -196,9 +198,10 @@
 
     /// What the drain rule forbids that has come since a moment.
     fn sends_since(&self, since: Instant) -> usize {
-        let binds =
-            |s: &Seen| s.word == "FN" || s.word == "SPAWN" && s.line["meta"]["slots_up"].as_u64() != Some(0);
-        self.executor.seen().iter().filter(|s| s.at > since && binds(s)).count()
+        let binds = |s: &ReceivedLine| {
+            s.kind == "FN" || s.kind == "SPAWN" && s.line["meta"]["slots_up"].as_u64() != Some(0)
+        };
+        self.executor.received().iter().filter(|s| s.at > since && binds(s)).count()
     }
 }
 
@@ -230,14 +233,17 @@
 }
 
 fn call_until(over: &AtomicBool, ended: &Ended, ids: &AtomicU64, (address, wait): (SocketAddr, Duration)) {
-    let connect = || Web::connect(address).ok();
+    let connect = || WebConnection::connect(address).ok();
     let mut web = connect();
     while !over.load(Ordering::Relaxed) {
         let n = ids.fetch_add(1, Ordering::Relaxed);
-        let ask =
-            Ask { key: format!("{:016x}", n % FUNCTIONS), wait_ms: wait.as_millis() as u64, ..Ask::new(n) };
+        let ask = WebRequest {
+            key: format!("{:016x}", n % FUNCTIONS),
+            wait_ms: wait.as_millis() as u64,
+            ..WebRequest::new(n)
+        };
         let sent = Instant::now();
-        let answer = web.as_mut().and_then(|web| web.ask(1, &ask).and_then(|()| web.answer()).ok());
+        let answer = web.as_mut().and_then(|web| web.send(1, &ask).and_then(|()| web.answer()).ok());
         let served = answer.is_some_and(|a| a.status == 200 && a.body == ask.body);
         ended.lock().unwrap().push((sent, served));
         if !served {
@@ -249,7 +255,7 @@
 
 /// Front ends, executors and discovery on one machine.
 struct World {
-    board: Board,
+    board: DiscoveryServer,
     servers: Vec<Server>,
     fronts: Vec<Front>,
     loads: Vec<Load>,
@@ -276,9 +282,10 @@
 
 impl World {
     fn start(plan: Plan) -> World {
-        let board = Board::start(2).unwrap();
+        let board = DiscoveryServer::start(2).unwrap();
         let servers: Vec<_> = (0..EXECUTORS).map(|_| Server::start(plan.denial)).collect();
-        let listed = servers.iter().enumerate().map(|(n, s)| member(id(n), s.executor.address, "in_service"));
+        let listed =
+            servers.iter().enumerate().map(|(n, s)| list_member(id(n), s.executor.address, "in_service"));
         let mut config =
             configuration("127.0.0.1:0".parse().unwrap(), board.address, &listed.collect::<Vec<_>>());
         config["settings"]["rules"]["stopSendingWithin"] = json!(plan.grace.as_micros() as u64);
@@ -299,28 +306,28 @@
     /// The executors that served most, busiest first.
     fn busiest(&self) -> Vec<usize> {
         let mut all: Vec<usize> = (0..EXECUTORS).collect();
-        all.sort_by_key(|n| std::cmp::Reverse(self.servers[*n].executor.words("FN").len()));
+        all.sort_by_key(|n| std::cmp::Reverse(self.servers[*n].executor.received_of_kind("FN").len()));
         all
     }
 
     fn begin_outage(&self, kind: Kind) {
         match kind {
-            Kind::Silent => self.board.mood(Mood::Silent),
-            Kind::Refuses => self.board.refuse(true),
+            Kind::Silent => self.board.set_behaviour(Behaviour::Silent),
+            Kind::Refuses => self.board.set_refusing(true),
             Kind::EndsAndIsSilent | Kind::Flaps => {
-                self.board.mood(Mood::Silent);
-                self.board.cut();
+                self.board.set_behaviour(Behaviour::Silent);
+                self.board.disconnect_all();
             }
             Kind::Moves => {
                 self.follow(unused_address());
-                self.board.mood(Mood::Silent);
+                self.board.set_behaviour(Behaviour::Silent);
             }
         }
     }
 
     fn end_outage(&self, kind: Kind) {
-        self.board.mood(Mood::Well);
-        self.board.refuse(false);
+        self.board.set_behaviour(Behaviour::Normal);
+        self.board.set_refusing(false);
         if kind == Kind::Moves {
             self.follow(self.board.address);
         }
@@ -343,7 +350,7 @@
         while Instant::now() < end {
             std::thread::sleep(end.saturating_duration_since(Instant::now()).min(AGAIN));
             if self.plan.kind == Kind::Flaps {
-                self.board.cut();
+                self.board.disconnect_all();
             }
             if self.plan.beside == Beside::Disconnects {
                 self.servers.iter().for_each(Server::end_connections);
@@ -390,7 +397,7 @@
         self.servers.iter().for_each(|server| server.hangs.store(false, Ordering::Relaxed));
         self.end_outage(plan.kind);
         let all = |words: &str, before: &[usize]| {
-            until(|| count(words).iter().zip(before).all(|(now, before)| now > before))
+            wait_until(|| count(words).iter().zip(before).all(|(now, before)| now > before))
         };
         assert!(all(TELLS_EVENTS, &events_before), "{:?}", self.fronts[0].lines());
         let taken_in = ended.elapsed();
@@ -410,41 +417,41 @@
     fn call_new_functions(&self) {
         for n in 0..4 * EXECUTORS as u64 {
             let key = format!("{:016x}", 1_000 + n);
-            let answer = self.fronts[0].call(&Ask { key, ..Ask::new(1 << 32 | n) });
+            let answer = self.fronts[0].call(&WebRequest { key, ..WebRequest::new(1 << 32 | n) });
             assert_eq!(answer.status, 200, "new function {n}");
         }
     }
 
     fn tell(&self, leaving: &[usize], state: u8) {
         let of = |&n: &usize| record(id(n), self.servers[n].executor.address, state);
-        self.board.tell(&leaving.iter().map(of).collect::<Vec<_>>());
+        self.board.send_changes(&leaving.iter().map(of).collect::<Vec<_>>());
     }
 
     /// Another executor at the address of one that has gone, under an id of its own.
     fn replace(&self, n: usize) -> Server {
         let port = self.servers[n].port.clone();
         let mut listener = None;
-        assert!(until(|| {
+        assert!(wait_until(|| {
             listener = port.listen().ok();
             listener.is_some()
         }));
-        self.board.tell(&[record(id(n + EXECUTORS), port.address(), READY)]);
+        self.board.send_changes(&[record(id(n + EXECUTORS), port.address(), READY)]);
         Server::on(port, listener.unwrap(), self.plan.denial)
     }
 
     fn questions_since(&self, since: Instant) -> usize {
-        let of = |s: &Server| s.executor.seen().iter().filter(|s| s.at > since && is_question(s)).count();
+        let of = |s: &Server| s.executor.received().iter().filter(|s| s.at > since && is_question(s)).count();
         self.servers.iter().map(of).sum()
     }
 }
 
-fn is_question(s: &Seen) -> bool {
-    let asks = s.word == "SPAWN" && s.line["meta"]["slots_up"].as_u64() == Some(0);
-    asks || s.word == "HELO" || s.word == "TOP"
+fn is_question(s: &ReceivedLine) -> bool {
+    let asks = s.kind == "SPAWN" && s.line["meta"]["slots_up"].as_u64() == Some(0);
+    asks || s.kind == "HELO" || s.kind == "TOP"
 }
 
 fn questions(server: &Server) -> usize {
-    server.executor.seen().iter().filter(|s| is_question(s)).count()
+    server.executor.received().iter().filter(|s| is_question(s)).count()
 }
 
 /// No rule is broken, and those executors that are ready go on serving.
--- a/crates/badgerwind-cli/tests/platform/peers.rs
+++ b/crates/badgerwind-cli/tests/platform/peers.rs
@@ -1,8 +1,8 @@
 //! Datagrams between front ends.
 
 use crate::rig::*;
-use badgerwind_standins::platform::executor::well;
-use badgerwind_standins::platform::web::Ask;
+use badgerwind_standins::platform::executor::succeed;
+use badgerwind_standins::platform::web::WebRequest;
 use badgerwind_standins::reserved::unused_address;
 use serde_json::json;
 use std::net::UdpSocket;
@@ -16,7 +16,7 @@
     peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = unused_address();
-    let mut rig = Rig::with(vec![Box::new(well)], |c| {
+    let mut rig = Rig::with(vec![Box::new(succeed)], |c| {
         c["settings"]["allowed"]["peers"] = json!(true);
         c["settings"]["peersTotal"] = json!(2);
         c["peer_listen"] = json!(own);
@@ -28,7 +28,7 @@
             from.send_to(bytes, own).unwrap();
         }
     }
-    assert_eq!(rig.call(&Ask::new(1)).status, 200);
+    assert_eq!(rig.call(&WebRequest::new(1)).status, 200);
     let mut buf = [0u8; 2048];
     for _ in 0..2 {
         let (n, from) =
--- a/crates/badgerwind-cli/tests/platform/questions.rs
+++ b/crates/badgerwind-cli/tests/platform/questions.rs
@@ -2,10 +2,10 @@
 //! at its exact state by a scripted executor.
 
 use crate::rig::{id, Rig, Script};
-use badgerwind_standins::platform::board::{Board, Mood};
-use badgerwind_standins::platform::executor::{say, well, Do, Executor, Seen};
-use badgerwind_standins::platform::until;
-use badgerwind_standins::platform::web::Ask;
+use badgerwind_standins::platform::discovery::{Behaviour, DiscoveryServer};
+use badgerwind_standins::platform::executor::{answer_line, succeed, Executor, ReceivedLine, ScriptStep};
+use badgerwind_standins::platform::wait_until;
+use badgerwind_standins::platform::web::WebRequest;
 use serde_json::{json, Value};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,8 +17,8 @@
 }
 
 fn untold_with(scripts: Vec<Script>, change: impl FnOnce(&mut Value)) -> Rig {
-    let silent = Board::start(2).unwrap();
-    silent.mood(Mood::Silent);
+    let silent = DiscoveryServer::start(2).unwrap();
+    silent.set_behaviour(Behaviour::Silent);
     let mut rig = Rig::with(scripts, |config| {
         config["board"] = json!(silent.address);
         change(config);
@@ -35,55 +35,55 @@
     })
 }
 
-fn is_question(s: &Seen) -> bool {
-    s.word == "HELO" || is_order_question(s)
+fn is_question(s: &ReceivedLine) -> bool {
+    s.kind == "HELO" || is_order_question(s)
 }
 
-fn is_order_question(s: &Seen) -> bool {
-    s.word == "SPAWN" && s.line["meta"]["slots_up"].as_u64() == Some(0)
+fn is_order_question(s: &ReceivedLine) -> bool {
+    s.kind == "SPAWN" && s.line["meta"]["slots_up"].as_u64() == Some(0)
 }
 
 fn questions(executor: &Executor) -> usize {
-    executor.seen().iter().filter(|s| is_question(s)).count()
+    executor.received().iter().filter(|s| is_question(s)).count()
 }
 
 /// Calls, and orders to load.
-fn work(executor: &Executor) -> Vec<Seen> {
+fn work(executor: &Executor) -> Vec<ReceivedLine> {
     executor
-        .seen()
+        .received()
         .into_iter()
-        .filter(|s| matches!(s.word.as_str(), "FN" | "SPAWN") && !is_order_question(s))
+        .filter(|s| matches!(s.kind.as_str(), "FN" | "SPAWN") && !is_order_question(s))
         .collect()
 }
 
 /// It answers questions once the test says so.
 fn answers_questions_once(open: &Arc<AtomicBool>) -> Script {
     let open = open.clone();
-    Box::new(move |s: &Seen| {
+    Box::new(move |s: &ReceivedLine| {
         if is_question(s) {
-            assert!(until(|| open.load(Ordering::Relaxed)));
+            assert!(wait_until(|| open.load(Ordering::Relaxed)));
         }
-        well(s)
+        succeed(s)
     })
 }
 
 /// Executors answer an order for no copies well while they drain, and take orders to load; or they turn both away.
 #[test]
 fn one_that_drains_is_asked_and_sent_neither_calls_nor_orders_to_load() {
-    let by_probe = |s: &Seen| match s.word.as_str() {
-        "HELO" => vec![Do::Write(say("SICK", s))],
-        "FN" => vec![Do::Write(say("SHED", s))],
-        _ => well(s),
+    let by_probe = |s: &ReceivedLine| match s.kind.as_str() {
+        "HELO" => vec![ScriptStep::Write(answer_line("SICK", s))],
+        "FN" => vec![ScriptStep::Write(answer_line("SHED", s))],
+        _ => succeed(s),
     };
-    let by_order = |s: &Seen| match s.word.as_str() {
-        "FN" | "SPAWN" => vec![Do::Write(say("SHED", s))],
-        _ => well(s),
+    let by_order = |s: &ReceivedLine| match s.kind.as_str() {
+        "FN" | "SPAWN" => vec![ScriptStep::Write(answer_line("SHED", s))],
+        _ => succeed(s),
     };
     let scripts: [Script; 2] = [Box::new(by_probe), Box::new(by_order)];
     for script in scripts {
         let rig = untold(vec![script]);
         // The first question goes over a new connection, where a refusal may be for want of room.
-        (0..4).for_each(|n| _ = rig.call(&Ask { wait_ms: 400, ..Ask::new(n) }));
+        (0..4).for_each(|n| _ = rig.call(&WebRequest { wait_ms: 400, ..WebRequest::new(n) }));
         assert!(rig.logs(&["takes no new work", "s-a0000000"]), "{:?}", rig.lines());
         let work = work(&rig.executors[0]);
         assert!(questions(&rig.executors[0]) >= 2 && work.is_empty(), "{work:?}");
@@ -95,8 +95,8 @@
     let open = Arc::<AtomicBool>::default();
     let rig = untold_and_patient(vec![answers_questions_once(&open)]);
     let mut web = rig.web();
-    (1..=20).for_each(|n| web.ask(n, &Ask::new(n.into())).unwrap());
-    assert!(until(|| questions(&rig.executors[0]) == 2));
+    (1..=20).for_each(|n| web.send(n, &WebRequest::new(n.into())).unwrap());
+    assert!(wait_until(|| questions(&rig.executors[0]) == 2));
     // Another call has come and gone by the time at which all of them wait.
     assert_eq!(rig.health(), 200);
     open.store(true, Ordering::Relaxed);
@@ -110,15 +110,15 @@
     let open = Arc::<AtomicBool>::default();
     let rig = untold_and_patient(vec![answers_questions_once(&open)]);
     let (mut leaves, mut stays) = (rig.web(), rig.web());
-    let left = Ask::new(1);
-    leaves.ask(1, &left).unwrap();
-    assert!(until(|| questions(&rig.executors[0]) == 2));
+    let left = WebRequest::new(1);
+    leaves.send(1, &left).unwrap();
+    assert!(wait_until(|| questions(&rig.executors[0]) == 2));
     leaves.abort(1).unwrap();
     assert_eq!(rig.health(), 200);
     open.store(true, Ordering::Relaxed);
-    stays.ask(1, &Ask::new(2)).unwrap();
+    stays.send(1, &WebRequest::new(2)).unwrap();
     assert_eq!(stays.answer().unwrap().status, 200);
-    assert!(rig.executors[0].words("FN").iter().all(|s| s.req != left.id));
+    assert!(rig.executors[0].received_of_kind("FN").iter().all(|s| s.req != left.id));
 }
 
 /// The call whose turn it was to ask has left, and the connection ends under its question: whoever waits on another one asks anew.
@@ -126,20 +126,25 @@
 fn work_on_another_connection_does_not_wait_for_a_question_that_ended_with_its_connection() {
     let open = Arc::<AtomicBool>::default();
     let closes = open.clone();
-    let script: Script = Box::new(move |s| match (s.word.as_str(), s.connection) {
+    let script: Script = Box::new(move |s| match (s.kind.as_str(), s.connection) {
         ("HELO", 0) => {
-            assert!(until(|| closes.load(Ordering::Relaxed)));
-            vec![Do::Close]
+            assert!(wait_until(|| closes.load(Ordering::Relaxed)));
+            vec![ScriptStep::Close]
         }
-        _ => well(s),
+        _ => succeed(s),
     });
     let rig = untold_and_patient(vec![script]);
-    let book = |n| Ask { class: "book".into(), key: format!("{n:016x}"), wait_ms: 20_000, ..Ask::new(n) };
+    let book = |n| WebRequest {
+        class: "book".into(),
+        key: format!("{n:016x}"),
+        wait_ms: 20_000,
+        ..WebRequest::new(n)
+    };
     let (mut leaves, mut stays) = (rig.web(), rig.web());
-    leaves.ask(1, &book(1)).unwrap();
-    assert!(until(|| questions(&rig.executors[0]) == 2));
-    stays.ask(1, &book(2)).unwrap();
-    assert!(until(|| rig.executors[0].doors.opened.load(Ordering::Relaxed) == 2));
+    leaves.send(1, &book(1)).unwrap();
+    assert!(wait_until(|| questions(&rig.executors[0]) == 2));
+    stays.send(1, &book(2)).unwrap();
+    assert!(wait_until(|| rig.executors[0].connections.accepted.load(Ordering::Relaxed) == 2));
     leaves.abort(1).unwrap();
     assert_eq!(rig.health(), 200);
     open.store(true, Ordering::Relaxed);
@@ -150,20 +155,20 @@
 /// The executor ends while nothing is out there, and another process has its address before anything is called again.
 #[test]
 fn nothing_goes_to_whoever_listens_at_the_address_of_one_that_has_gone() {
-    let rig = untold(vec![Box::new(well), Box::new(well)]);
-    let call = |n: u64| rig.call(&Ask { key: format!("{n:016x}"), ..Ask::new(n) }).status;
+    let rig = untold(vec![Box::new(succeed), Box::new(succeed)]);
+    let call = |n: u64| rig.call(&WebRequest { key: format!("{n:016x}"), ..WebRequest::new(n) }).status;
     assert!((0..40).all(|n| call(n) == 200));
-    assert!(!rig.executors[0].words("FN").is_empty());
+    assert!(!rig.executors[0].received_of_kind("FN").is_empty());
     rig.executors[0].stop();
     assert!(rig.logs(&["nobody listens there", &format!("s-{:08x}", id(0))]), "{:?}", rig.lines());
     let mut listener = None;
-    assert!(until(|| {
+    assert!(wait_until(|| {
         listener = TcpListener::bind(rig.executors[0].address).ok();
         listener.is_some()
     }));
-    let newcomer = Executor::on(listener.unwrap(), usize::MAX, well).unwrap();
+    let newcomer = Executor::on(listener.unwrap(), usize::MAX, succeed).unwrap();
     assert!((40..80).all(|n| call(n) == 200), "the other one serves");
-    assert!(newcomer.seen().is_empty(), "{:?}", newcomer.seen());
+    assert!(newcomer.received().is_empty(), "{:?}", newcomer.received());
 }
 
 /// An executor that hangs answers no question: what waited for it goes another way, or is refused in time.
@@ -171,12 +176,12 @@
 fn one_that_answers_no_question_holds_up_nobody() {
     // Also where the module may call nothing off.
     for may_cancel in [true, false] {
-        let rig = untold_with(vec![Box::new(well), Box::new(|_| vec![])], |config| {
+        let rig = untold_with(vec![Box::new(succeed), Box::new(|_| vec![])], |config| {
             config["settings"]["allowed"]["mayCancel"] = json!(may_cancel);
         });
         let served = (0..40).filter(|&n| {
             let key = format!("{n:016x}");
-            rig.call(&Ask { key, wait_ms: 1_200, ..Ask::new(n) }).status == 200
+            rig.call(&WebRequest { key, wait_ms: 1_200, ..WebRequest::new(n) }).status == 200
         });
         let served = served.count();
         assert!(served >= 40, "{served} of 40, cancel {may_cancel}");
@@ -189,11 +194,11 @@
     let open = Arc::<AtomicBool>::default();
     let mut rig = untold_and_patient(vec![answers_questions_once(&open)]);
     let mut web = rig.web();
-    web.ask(1, &Ask::new(1)).unwrap();
-    assert!(until(|| questions(&rig.executors[0]) == 2));
+    web.send(1, &WebRequest::new(1)).unwrap();
+    assert!(wait_until(|| questions(&rig.executors[0]) == 2));
     rig.signal("-TERM");
     assert!(rig.logs(&["stopping"]));
-    web.ask(2, &Ask::new(2)).unwrap();
+    web.send(2, &WebRequest::new(2)).unwrap();
     open.store(true, Ordering::Relaxed);
     let answers = [web.answer(), web.answer()].map(|a| a.map(|a| a.status).ok());
     assert!(answers.iter().all(|a| matches!(a, Some(200 | 503))), "{answers:?}");
@@ -203,12 +208,12 @@
 /// Discovery's first word ends the questions.
 #[test]
 fn once_discovery_vouches_nobody_is_asked_any_more() {
-    let rig = untold(vec![Box::new(well)]);
-    assert_eq!(rig.call(&Ask::new(1)).status, 200);
+    let rig = untold(vec![Box::new(succeed)]);
+    assert_eq!(rig.call(&WebRequest::new(1)).status, 200);
     let asked = questions(&rig.executors[0]);
     assert!(asked > 0);
-    rig.board.mood(Mood::Well);
+    rig.board.set_behaviour(Behaviour::Normal);
     assert!(rig.logs(&["fresh again"]));
-    assert!((2..40).all(|n| rig.call(&Ask::new(n)).status == 200));
+    assert!((2..40).all(|n| rig.call(&WebRequest::new(n)).status == 200));
     assert_eq!(questions(&rig.executors[0]), asked);
 }
--- a/crates/badgerwind-cli/tests/platform/rig.rs
+++ b/crates/badgerwind-cli/tests/platform/rig.rs
@@ -1,9 +1,9 @@
 //! A front end's process with its configuration, and what stands around it.
 
-use badgerwind_standins::platform::board::Board;
-use badgerwind_standins::platform::executor::{well, Do, Executor, Seen};
-use badgerwind_standins::platform::web::{Answer, Ask, Web};
-use badgerwind_standins::platform::{configuration, member, until};
+use badgerwind_standins::platform::discovery::DiscoveryServer;
+use badgerwind_standins::platform::executor::{succeed, Executor, ReceivedLine, ScriptStep};
+use badgerwind_standins::platform::web::{Answer, WebConnection, WebRequest};
+use badgerwind_standins::platform::{configuration, list_member, wait_until};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// What an executor does with a line.
-pub type Script = Box<dyn Fn(&Seen) -> Vec<Do> + Send + Sync>;
+pub type Script = Box<dyn Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync>;
 
 /// A front end's process.
 pub struct Front {
@@ -26,7 +26,7 @@
 }
 
 pub struct Rig {
-    pub board: Board,
+    pub board: DiscoveryServer,
     pub executors: Vec<Executor>,
     front: Front,
 }
@@ -65,9 +65,9 @@
 
     /// The same, with a configuration changed before it starts.
     pub fn with(scripts: Vec<Script>, change: impl FnOnce(&mut Value)) -> Rig {
-        let board = Board::start(2).unwrap();
+        let board = DiscoveryServer::start(2).unwrap();
         let executors: Vec<_> = scripts.into_iter().map(|s| Executor::start(s).unwrap()).collect();
-        let listed = executors.iter().enumerate().map(|(n, e)| member(id(n), e.address, "in_service"));
+        let listed = executors.iter().enumerate().map(|(n, e)| list_member(id(n), e.address, "in_service"));
         let mut config =
             configuration("127.0.0.1:0".parse().unwrap(), board.address, &listed.collect::<Vec<_>>());
         change(&mut config);
@@ -76,7 +76,7 @@
 
     /// One executor that does well.
     pub fn well() -> Rig {
-        Rig::start(vec![Box::new(well)])
+        Rig::start(vec![Box::new(succeed)])
     }
 }
 
@@ -125,7 +125,7 @@
     /// Waits until its log has a line with all of these words.
     pub fn logs(&self, words: &[&str]) -> bool {
         let has = |line: &String| words.iter().all(|w| line.contains(w));
-        until(|| self.log.lock().unwrap().iter().any(has))
+        wait_until(|| self.log.lock().unwrap().iter().any(has))
     }
 
     /// Lines of its log so far.
@@ -137,7 +137,7 @@
     pub fn freeze(&self) {
         self.signal("-STOP");
         let path = format!("/proc/{}/stat", self.child.id());
-        assert!(until(|| std::fs::read_to_string(&path).unwrap().contains(") T ")));
+        assert!(wait_until(|| std::fs::read_to_string(&path).unwrap().contains(") T ")));
     }
 
     /// Gives it back.
@@ -156,21 +156,21 @@
         self.child.wait().unwrap();
     }
 
-    pub fn web(&self) -> Web {
-        Web::connect(self.address).unwrap()
+    pub fn web(&self) -> WebConnection {
+        WebConnection::connect(self.address).unwrap()
     }
 
     /// One call on a connection of its own.
-    pub fn call(&self, ask: &Ask) -> Answer {
+    pub fn call(&self, ask: &WebRequest) -> Answer {
         let mut web = self.web();
-        web.ask(1, ask).unwrap();
+        web.send(1, ask).unwrap();
         web.answer().unwrap()
     }
 
     /// Whether a front end's health says that it serves.
     pub fn health(&self) -> u16 {
         let mut web = self.web();
-        web.healthy(1).unwrap();
+        web.send_health_check(1).unwrap();
         web.answer().unwrap().status
     }
 
@@ -206,7 +206,7 @@
     /// Waits for its end: the exit code.
     pub fn ended(&mut self) -> Option<i32> {
         let mut code = None;
-        until(|| {
+        wait_until(|| {
             code = self.child.try_wait().unwrap();
             code.is_some()
         });
@@ -233,7 +233,7 @@
             return;
         }
         for (n, executor) in self.executors.iter().enumerate() {
-            let lines: Vec<String> = executor.seen().iter().map(|s| format!("{s:?}")).collect();
+            let lines: Vec<String> = executor.received().iter().map(|s| format!("{s:?}")).collect();
             keep(&format!("front-end-{}-executor-{n}.log", self.pid()), &lines.join("\n"));
         }
     }
--- a/crates/badgerwind-cli/tests/platform/terms.rs
+++ b/crates/badgerwind-cli/tests/platform/terms.rs
@@ -2,10 +2,10 @@
 //! outside: one process, linked dynamically against the C library, no Unix sockets, no ring of system calls.
 
 use crate::rig::{id, Front, Rig};
-use badgerwind_standins::platform::door::Door;
-use badgerwind_standins::platform::executor::well;
-use badgerwind_standins::platform::web::Ask;
-use badgerwind_standins::platform::{configuration, member, until};
+use badgerwind_standins::platform::executor::succeed;
+use badgerwind_standins::platform::full_backlog::FullBacklog;
+use badgerwind_standins::platform::web::WebRequest;
+use badgerwind_standins::platform::{configuration, list_member, wait_until};
 use serde_json::json;
 use std::fs;
 use std::time::{Duration, Instant};
@@ -53,7 +53,7 @@
 #[test]
 fn it_serves_in_one_process_that_nobody_reaches_over_a_unix_socket() {
     let rig = Rig::well();
-    (0..20).for_each(|n| assert_eq!(rig.call(&Ask::new(n)).status, 200));
+    (0..20).for_each(|n| assert_eq!(rig.call(&WebRequest::new(n)).status, 200));
     let proc = format!("/proc/{}", rig.pid());
     let (mut threads, mut children) = (0, String::new());
     for task in fs::read_dir(format!("{proc}/task")).unwrap().flatten() {
@@ -97,27 +97,31 @@
 #[test]
 fn it_is_ready_before_it_has_connected_anywhere() {
     // Neither the board's door nor the executors' let anybody in.
-    let doors: Vec<_> = (0..3).map(|_| Door::shut().unwrap()).collect();
+    let doors: Vec<_> = (0..3).map(|_| FullBacklog::start().unwrap()).collect();
     let listed: Vec<_> =
-        doors[1..].iter().enumerate().map(|(n, d)| member(id(n), d.address, "in_service")).collect();
+        doors[1..].iter().enumerate().map(|(n, d)| list_member(id(n), d.address, "in_service")).collect();
     let config = configuration("127.0.0.1:0".parse().unwrap(), doors[0].address, &listed);
     let front = Front::start(config);
     assert_eq!(front.health(), 200);
-    assert!(until(|| doors[0].knocking() == 1), "it knocks at the board");
-    assert_eq!(doors[1..].iter().map(Door::knocking).sum::<usize>(), 0, "and at no executor before a call");
+    assert!(wait_until(|| doors[0].connecting() == 1), "it knocks at the board");
+    assert_eq!(
+        doors[1..].iter().map(FullBacklog::connecting).sum::<usize>(),
+        0,
+        "and at no executor before a call"
+    );
 }
 
 #[test]
 fn it_serves_within_thirty_seconds_of_its_start_with_a_whole_fleet_in_its_configuration() {
     let began = Instant::now();
-    let rig = Rig::with(vec![Box::new(well)], |config| {
+    let rig = Rig::with(vec![Box::new(succeed)], |config| {
         let own = config["known"]["notices"][0]["pool"]["members"][0].clone();
-        let others = (1..400).map(|n| member(id(n), "127.0.0.1:9".parse().unwrap(), "terminating"));
+        let others = (1..400).map(|n| list_member(id(n), "127.0.0.1:9".parse().unwrap(), "terminating"));
         config["known"]["notices"][0]["pool"]["members"] = [own].into_iter().chain(others).collect();
         config["settings"]["peersTotal"] = json!(300);
         config["peers"] = (0..300).map(|n| json!(format!("127.0.0.1:{}", 20_000 + n))).collect();
     });
     assert_eq!(rig.health(), 200);
     assert!(began.elapsed() < Duration::from_secs(30), "{:?}", began.elapsed());
-    assert_eq!(rig.call(&Ask::new(1)).status, 200);
+    assert_eq!(rig.call(&WebRequest::new(1)).status, 200);
 }
--- a/crates/badgerwind-cli/tests/rig/mod.rs
+++ b/crates/badgerwind-cli/tests/rig/mod.rs
@@ -214,7 +214,7 @@
         let ring = RingKey { name: "gateway".into(), key: runners_key, not_before: None, not_after: None };
         let keys = Arc::new(std::sync::Mutex::new(Keys::new(60_000_000, 60_000_000)));
         let group = runner::Group { classes: vec!["amend".into()], keys };
-        let ledger = Fenced::here(vec!["lodge".into()]);
+        let ledger = Fenced::local(vec!["lodge".into()]);
         let (mut tasks, mut runners) = (Vec::new(), Vec::new());
         for address in plan.played {
             runners.push(listed(runners.len() as u32 + 1, address, State::Ready));
--- a/crates/badgerwind-cli/tests/store_day.rs
+++ b/crates/badgerwind-cli/tests/store_day.rs
@@ -90,7 +90,7 @@
     let net = Net::start(FRONTS, seed).unwrap();
     let (listener, store) = rig::socket().await;
     let counts = Arc::new(server::Counts::default());
-    let made = Spec { fetch: 200_000, wide: 4.0, most: WHOLE + 8 };
+    let made = Spec { fetch: 200_000, full_rate_fetches: 4.0, max_fetches: WHOLE + 8 };
     let serving = smol::spawn(server::serve_counted(listener, made, counts.clone()));
     let mut spec = Plan::default().spec;
     (spec.loads_when_absent, spec.memory_mb, spec.keep_alive) = (false, 3000.0, 4_000_000);
--- a/crates/badgerwind-cli/tests/zones.rs
+++ b/crates/badgerwind-cli/tests/zones.rs
@@ -99,7 +99,7 @@
         let mut links = vec![];
         for r in &self.fronts[0].runners {
             let link = Relay::start(r.address).await.unwrap();
-            listed.push(Runner { address: link.at, state: State::Ready, ..r.clone() });
+            listed.push(Runner { address: link.address, state: State::Ready, ..r.clone() });
             links.push(link);
         }
         let (listener, at) = rig::socket().await;
@@ -198,8 +198,8 @@
     }
 }
 
-const SILENT: Link = Link { there: Flow::Silent, back: Flow::Silent, broken: false };
-const BROKEN: Link = Link { there: Flow::Open, back: Flow::Open, broken: true };
+const SILENT: Link = Link { forward: Flow::Silent, backward: Flow::Silent, broken: false };
+const BROKEN: Link = Link { forward: Flow::Open, backward: Flow::Open, broken: true };
 
 #[test]
 fn a_silent_zone_is_left_by_all_and_returned_to_by_steps() {
@@ -248,7 +248,7 @@
         let mut fleet = Fleet::start(5).await;
         let all = [0, 1, 2, 3, 4];
         // One way only: what is asked arrives, and no answer comes back.
-        let one_way = Link { there: Flow::Open, back: Flow::Silent, broken: false };
+        let one_way = Link { forward: Flow::Open, backward: Flow::Silent, broken: false };
         all.iter().for_each(|n| fleet.link(*n, 0, one_way));
         fleet.until("all have left it", &all, |z| z[0].stage == "left").await;
         // The last one dies and another life starts: behind new links that are as dead.
--- a/crates/badgerwind-rig/src/day.rs
+++ b/crates/badgerwind-rig/src/day.rs
@@ -165,7 +165,7 @@
                     continue;
                 }
                 let relay = smol::block_on(Relay::start(listen[to])).map_err(RigError::Network)?;
-                peers.insert(to as u16, relay.at);
+                peers.insert(to as u16, relay.address);
                 relays.insert((from, to), relay);
             }
             write(&format!("peers-{from}.json"), json(serde_json::to_vec(&peers))?)?;
@@ -228,7 +228,7 @@
             Fault::Stop(who) => signal(who, "-STOP")?,
             Fault::Go(who) => signal(who, "-CONT")?,
             Fault::Cut(from, to) => {
-                let cut = Link { there: Flow::Silent, back: Flow::Silent, broken: false };
+                let cut = Link { forward: Flow::Silent, backward: Flow::Silent, broken: false };
                 let both = |a: &usize, b: &usize| self.relays.get(&(*a, *b));
                 from.iter().flat_map(|f| to.iter().filter_map(move |t| both(f, t))).for_each(|r| r.set(cut));
             }
--- a/crates/badgerwind-standins/src/fenced.rs
+++ b/crates/badgerwind-standins/src/fenced.rs
@@ -1,4 +1,4 @@
-//! A runner's way to its group's ledger: in this process, or kept by the store stand-in.
+//! A runner's access to its group's ledger, which is in this process or held by the store stand-in.
 
 use crate::record::now;
 use badgerwind_attempts::ledger::{Bounds, Ledger, Verdict};
@@ -8,128 +8,130 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Bounds of the stand-ins' ledgers: longer than any try of theirs.
-pub const BOUNDS: Bounds = Bounds { keep: 600_000_000, lease: 20_000_000, calls: 1_000_000 };
+/// Limits of the stand-ins' ledgers, in microseconds; longer than any of their tries.
+pub const LIMITS: Bounds = Bounds { keep: 600_000_000, lease: 20_000_000, calls: 1_000_000 };
 
-/// What the ledger says to a runner that asks.
+/// Answer of the ledger to a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
-    /// Run it.
+pub enum LedgerAnswer {
+    /// The attempt is admitted.
     Run,
-    /// It ran, with this answer.
+    /// The call ran already, with this answer.
     Ran(String),
-    /// One is at work.
+    /// Another attempt is running.
     Busy,
-    /// A newer one was let in.
+    /// A newer attempt was admitted.
     Stale,
-    /// One may have run.
-    Doubt,
-    /// No room to remember it, or no ledger to be reached.
+    /// An earlier attempt may have run.
+    #[serde(rename = "Doubt")]
+    InDoubt,
+    /// The ledger is full, or cannot be reached.
     Full,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum How {
-    /// It ran, with this answer.
+pub enum AttemptEnd {
+    /// The attempt ran, with this answer.
     Ran(String),
-    /// It was stopped before its effect.
+    /// The attempt was stopped before its effect.
     NeverRan,
 }
 
-/// A question or a word to the ledger.
+/// A request to the ledger.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Asked {
+pub struct LedgerRequest {
     key: String,
     fence: Fence,
-    /// How it ended; absent: whether it may begin.
-    how: Option<How>,
+    /// How the attempt ended; `None` asks whether it may start.
+    how: Option<AttemptEnd>,
 }
 
-impl Asked {
-    /// Puts it to a ledger.
-    pub fn put_to(self, ledger: &mut Ledger<String>, now: u64) -> Said {
+impl LedgerRequest {
+    /// Applies the request to a ledger.
+    pub fn apply(self, ledger: &mut Ledger<String>, now: u64) -> LedgerAnswer {
         match self.how {
             None => match ledger.admit(now, &self.key, self.fence) {
-                Verdict::Run => Said::Run,
-                Verdict::Ran(answer) => Said::Ran(answer),
-                Verdict::Busy => Said::Busy,
-                Verdict::Stale => Said::Stale,
-                Verdict::Doubt => Said::Doubt,
-                Verdict::Full => Said::Full,
+                Verdict::Run => LedgerAnswer::Run,
+                Verdict::Ran(answer) => LedgerAnswer::Ran(answer),
+                Verdict::Busy => LedgerAnswer::Busy,
+                Verdict::Stale => LedgerAnswer::Stale,
+                Verdict::Doubt => LedgerAnswer::InDoubt,
+                Verdict::Full => LedgerAnswer::Full,
             },
-            Some(How::Ran(answer)) => {
+            Some(AttemptEnd::Ran(answer)) => {
                 ledger.ran(now, &self.key, self.fence, answer);
-                Said::Run
+                LedgerAnswer::Run
             }
-            Some(How::NeverRan) => {
+            Some(AttemptEnd::NeverRan) => {
                 ledger.never_ran(now, &self.key, self.fence);
-                Said::Run
+                LedgerAnswer::Run
             }
         }
     }
 }
 
 #[derive(Clone)]
-enum Link {
-    Here(Arc<Mutex<Ledger<String>>>),
-    There(Arc<Pool>),
+enum Access {
+    Local(Arc<Mutex<Ledger<String>>>),
+    Remote(Arc<Pool>),
 }
 
-/// The classes that a group fences, and its ledger.
+/// The fenced classes of a group, and access to its ledger.
 #[derive(Clone)]
 pub struct Fenced {
-    /// The classes.
+    /// The fenced classes.
     pub classes: Vec<String>,
-    link: Link,
+    access: Access,
 }
 
 impl Fenced {
-    /// A ledger of this process, shared by copies.
-    pub fn here(classes: Vec<String>) -> Self {
-        Fenced { classes, link: Link::Here(Arc::new(Mutex::new(Ledger::new(BOUNDS)))) }
+    /// A ledger in this process, shared by clones.
+    pub fn local(classes: Vec<String>) -> Self {
+        Fenced { classes, access: Access::Local(Arc::new(Mutex::new(Ledger::new(LIMITS)))) }
     }
 
-    /// The ledger that a store stand-in keeps.
-    pub fn there(classes: Vec<String>, store: SocketAddr) -> Self {
-        Fenced { classes, link: Link::There(Arc::new(crate::pool(store, 256))) }
+    /// A ledger held by a store stand-in.
+    pub fn remote(classes: Vec<String>, store: SocketAddr) -> Self {
+        Fenced { classes, access: Access::Remote(Arc::new(crate::pool(store, 256))) }
     }
 
-    async fn put(&self, asked: Asked) -> Said {
-        match &self.link {
-            Link::Here(ledger) => put_here(ledger, asked),
-            Link::There(pool) => {
-                let body = serde_json::to_vec(&asked).unwrap_or_default();
+    async fn send(&self, request: LedgerRequest) -> LedgerAnswer {
+        match &self.access {
+            Access::Local(ledger) => apply_local(ledger, request),
+            Access::Remote(pool) => {
+                let body = serde_json::to_vec(&request).unwrap_or_default();
                 let (method, target) = ("POST", "/ledger".to_owned());
-                let request = Exchange { method, target, headers: vec![], body: body.into() };
-                match pool.exchange(&request).await {
-                    Ok((_, body)) => serde_json::from_slice(&body).unwrap_or(Said::Full),
-                    // Without its ledger a runner lets nothing in.
-                    Err(_) => Said::Full,
+                let exchange = Exchange { method, target, headers: vec![], body: body.into() };
+                match pool.exchange(&exchange).await {
+                    Ok((_, body)) => serde_json::from_slice(&body).unwrap_or(LedgerAnswer::Full),
+                    // Without its ledger a runner admits no attempt.
+                    Err(_) => LedgerAnswer::Full,
                 }
             }
         }
     }
 
-    /// Asks whether an attempt may begin.
-    pub async fn admit(&self, key: &str, fence: Fence) -> Said {
-        self.put(Asked { key: key.to_owned(), fence, how: None }).await
+    /// Asks whether an attempt may start.
+    pub async fn admit(&self, key: &str, fence: Fence) -> LedgerAnswer {
+        self.send(LedgerRequest { key: key.to_owned(), fence, how: None }).await
     }
 
-    /// Says how it ended. A word that is lost leaves the call in doubt once its lease has ended. A ledger of this process has it
-    /// before the call is answered: whoever has the answer and tries again is told that it ran, and not that one is at work.
-    pub fn ended(&self, key: String, fence: Fence, how: How) {
-        let asked = Asked { key, fence, how: Some(how) };
-        match &self.link {
-            Link::Here(ledger) => _ = put_here(ledger, asked),
-            Link::There(_) => {
+    /// Reports how an attempt ended. If the report is lost, the call is in doubt once its lease has ended. A
+    /// local ledger has the report before the call is answered, so a sender that has the answer and retries
+    /// learns that the call ran, and not that an attempt is running.
+    pub fn report_end(&self, key: String, fence: Fence, end: AttemptEnd) {
+        let request = LedgerRequest { key, fence, how: Some(end) };
+        match &self.access {
+            Access::Local(ledger) => _ = apply_local(ledger, request),
+            Access::Remote(_) => {
                 let me = self.clone();
-                smol::spawn(async move { _ = me.put(asked).await }).detach();
+                smol::spawn(async move { _ = me.send(request).await }).detach();
             }
         }
     }
 }
 
-fn put_here(ledger: &Mutex<Ledger<String>>, asked: Asked) -> Said {
-    asked.put_to(&mut ledger.lock().unwrap_or_else(PoisonError::into_inner), now())
+fn apply_local(ledger: &Mutex<Ledger<String>>, request: LedgerRequest) -> LedgerAnswer {
+    request.apply(&mut ledger.lock().unwrap_or_else(PoisonError::into_inner), now())
 }
--- a/crates/badgerwind-standins/src/keys.rs
+++ b/crates/badgerwind-standins/src/keys.rs
@@ -1,65 +1,65 @@
-//! What a group of runners remembers of idempotency keys: a key that ran is not run again for a while, and one that
-//! runs at one runner is not begun at another. No I/O.
+//! The idempotency keys that a group of runners remembers: a key that ran is not run again for a limited
+//! time, and one that runs at one runner is not started at another. The module does no I/O.
 
 use crate::share::Time;
 use std::collections::BTreeMap;
 
-/// What a runner may do with a key.
+/// Result of claiming a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// Run it.
+    /// The key is new: run the call.
     Fresh,
-    /// It runs elsewhere in the group: turn it away unseen.
+    /// The call runs elsewhere in the group: reject this one.
     Busy,
-    /// It ran: answer so, and do not run it.
+    /// The call ran already: answer so without running it again.
     Ran,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Seen {
+enum KeyState {
     Running(Time),
     Ran(Time),
 }
 
-/// The memory of a group.
+/// The keys that a group remembers.
 #[derive(Debug)]
 pub struct Keys {
     window: Time,
     lease: Time,
-    seen: BTreeMap<String, Seen>,
+    seen: BTreeMap<String, KeyState>,
 }
 
 impl Keys {
-    /// Remembers what ran for `window`, and what was begun and never ended for `lease`.
+    /// Remembers keys that ran for `window`, and keys that were claimed and never ended for `lease`.
     pub fn new(window: Time, lease: Time) -> Self {
         Keys { window, lease, seen: BTreeMap::new() }
     }
 
-    /// A runner asks for a key.
+    /// Claims a key for a runner.
     pub fn claim(&mut self, now: Time, key: &str) -> Claim {
         let (window, lease) = (self.window, self.lease);
         self.seen.retain(|_, s| match s {
-            Seen::Running(at) => *at + lease > now,
-            Seen::Ran(at) => *at + window > now,
+            KeyState::Running(at) => *at + lease > now,
+            KeyState::Ran(at) => *at + window > now,
         });
         match self.seen.get(key) {
-            Some(Seen::Ran(_)) => Claim::Ran,
-            Some(Seen::Running(_)) => Claim::Busy,
+            Some(KeyState::Ran(_)) => Claim::Ran,
+            Some(KeyState::Running(_)) => Claim::Busy,
             None => {
-                self.seen.insert(key.to_owned(), Seen::Running(now));
+                self.seen.insert(key.to_owned(), KeyState::Running(now));
                 Claim::Fresh
             }
         }
     }
 
-    /// It ran.
+    /// Marks a key as run.
     pub fn ran(&mut self, now: Time, key: &str) {
-        self.seen.insert(key.to_owned(), Seen::Ran(now));
+        self.seen.insert(key.to_owned(), KeyState::Ran(now));
     }
 
-    /// It was begun and did not run.
+    /// Releases a claimed key whose call did not run.
     pub fn release(&mut self, key: &str) {
-        if matches!(self.seen.get(key), Some(Seen::Running(_))) {
+        if matches!(self.seen.get(key), Some(KeyState::Running(_))) {
             self.seen.remove(key);
         }
     }
--- a/crates/badgerwind-standins/src/lib.rs
+++ b/crates/badgerwind-standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what the gateway meets: runners, the handler store, the runner list, senders. Scripted by seed and
-//! by commands over their sockets; what they see they record for the checker. The product's own path uses none of
-//! this.
+//! Test doubles for the gateway's peers: runners, the handler store, the list service and senders. They are
+//! scripted by a seed and by commands over their sockets, and record what they observe for
+//! `badgerwind-check`. The gateway itself does not use this crate.
 
 pub mod fenced;
 pub mod keys;
@@ -22,10 +22,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections that a stand-in serves at once.
-const MOST_CONNECTIONS: usize = 8192;
+/// Largest number of connections that a stand-in serves at the same time.
+const MAX_CONNECTIONS: usize = 8192;
 
-/// Accepts connections for ever and hands each to `serve`.
+/// Accepts connections without end and passes each to `serve`.
 async fn accept<F: Future<Output = ()> + Send + 'static>(
     listener: TcpListener,
     tls: Option<ServerTls>,
@@ -36,17 +36,17 @@
         body_bytes: 8 * 1024 * 1024,
         ..Default::default()
     });
-    let places = Arc::new(smol::lock::Semaphore::new(MOST_CONNECTIONS));
+    let permits = Arc::new(smol::lock::Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let place = places.acquire_arc().await;
+        let permit = permits.acquire_arc().await;
         let Ok((stream, _)) = listener.accept().await else {
             smol::Timer::after(Duration::from_millis(50)).await;
             continue;
         };
-        let _ = stream.set_nodelay(true); // only a delay is lost where it is not to be had
+        let _ = stream.set_nodelay(true); // without it answers are only delayed
         let (serve, limits, tls) = (serve.clone(), limits.clone(), tls.clone());
         smol::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let stream = match tls {
                 None => Ok(stream.into()),
                 Some(tls) => tls.accept(stream, limits.head_time).await,
@@ -60,7 +60,7 @@
 }
 
 fn json(status: u16, value: &impl serde::Serialize) -> Response {
-    // Plain records of numbers and words always become JSON.
+    // Plain records of numbers and strings always serialize.
     Response::new(status, "application/json", serde_json::to_vec(value).unwrap_or_default())
 }
 
@@ -68,9 +68,9 @@
     Response::new(status, "", Vec::new())
 }
 
-fn pool(address: SocketAddr, most: usize) -> Pool {
+fn pool(address: SocketAddr, max_connections: usize) -> Pool {
     let bounds = PoolBounds {
-        most,
+        most: max_connections,
         connect_time: Duration::from_millis(500),
         idle_time: Duration::from_secs(20),
         body_bytes: 8 * 1024 * 1024,
@@ -78,7 +78,8 @@
     Pool::new(address, bounds)
 }
 
-/// Gives a stand-in a command: a JSON document by POST. The error says what went wrong.
+/// Sends a command to a stand-in: a JSON document by POST. Returns the answer's body, or a description of the
+/// error.
 pub async fn command(
     address: SocketAddr,
     path: &str,
--- a/crates/badgerwind-standins/src/list.rs
+++ b/crates/badgerwind-standins/src/list.rs
@@ -1,10 +1,10 @@
-//! The list service, after `docs/protocols/list.md`. It lags on command.
+//! The list service, as specified in `docs/protocols/list.md`, with a configurable delay.
 //!
-//! `POST /standin/runner` with a runner of the list, `/standin/lag` with `{"ms": 2000}`: how late what is told from
-//! now on becomes seen.
+//! Commands: `POST /standin/runner` with a runner of the list; `POST /standin/lag` with `{"ms": 2000}` sets
+//! the time after which later changes become visible.
 
 use crate::record::{now, Recorder};
-use badgerwind_check::{Event, State as Seen};
+use badgerwind_check::{Event, State as RecordedState};
 use badgerwind_http::{Conn, Response, Stream};
 use badgerwind_protocol::list::{List, Runner, State};
 use serde::{Deserialize, Serialize};
@@ -13,13 +13,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How often a question held open looks for news.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which a long poll checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The command that sets the lag.
+/// The command that sets the delay of changes.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Lag {
-    /// Milliseconds.
+    /// The delay in milliseconds.
     pub ms: u64,
 }
 
@@ -28,8 +28,8 @@
     lag_us: u64,
     /// Each runner with the version of its last change.
     runners: BTreeMap<u32, (Runner, u64)>,
-    /// What will be seen then.
-    coming: Vec<(u64, Runner)>,
+    /// Changes with the time at which they become visible.
+    pending: Vec<(u64, Runner)>,
 }
 
 struct Server {
@@ -42,12 +42,12 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What changed after a version, or the whole list; `None` where nothing has.
-    fn news(&self, after: Option<u64>) -> Option<List> {
+    /// The changes after a version, or the full list; `None` if nothing changed.
+    fn changes_after(&self, after: Option<u64>) -> Option<List> {
         let mut inner = self.lock();
         let at = now();
-        let (due, later) = std::mem::take(&mut inner.coming).into_iter().partition(|(seen, _)| *seen <= at);
-        inner.coming = later;
+        let (due, later) = std::mem::take(&mut inner.pending).into_iter().partition(|(seen, _)| *seen <= at);
+        inner.pending = later;
         for (_, runner) in due {
             inner.version += 1;
             let version = inner.version;
@@ -71,8 +71,8 @@
         while let Ok(Some(head)) = conn.head().await {
             let Ok(body) = conn.body(&head).await else { return };
             let response = match (head.method.as_str(), head.path()) {
-                ("GET", "/runners") => self.ask(&head.target).await,
-                ("POST", "/standin/runner") => self.told(&body),
+                ("GET", "/runners") => self.get_runners(&head.target).await,
+                ("POST", "/standin/runner") => self.set_runner(&body),
                 ("POST", "/standin/lag") => match serde_json::from_slice::<Lag>(&body) {
                     Ok(lag) => {
                         self.lock().lag_us = lag.ms * 1000;
@@ -88,19 +88,19 @@
         }
     }
 
-    fn told(&self, body: &[u8]) -> Response {
+    fn set_runner(&self, body: &[u8]) -> Response {
         match serde_json::from_slice::<Runner>(body) {
             Ok(runner) => {
                 let mut inner = self.lock();
                 let seen = now() + inner.lag_us;
-                inner.coming.push((seen, runner));
+                inner.pending.push((seen, runner));
                 crate::empty(200)
             }
             Err(e) => Response::new(400, "text/plain", e.to_string().into_bytes()),
         }
     }
 
-    async fn ask(&self, target: &str) -> Response {
+    async fn get_runners(&self, target: &str) -> Response {
         let query = target.split_once('?').map_or("", |q| q.1);
         let number = |name: &str| {
             query
@@ -114,30 +114,30 @@
         let (front, after) = (number("front").unwrap_or(u64::from(u32::MAX)) as u32, number("after"));
         let until = now() + 1000 * number("wait").unwrap_or(0).min(60_000);
         loop {
-            let news = self.news(after);
-            if let Some(list) = news.or_else(|| {
+            let changes = self.changes_after(after);
+            if let Some(list) = changes.or_else(|| {
                 let version = self.lock().version;
                 (now() >= until).then(|| List { version, whole: false, runners: vec![] })
             }) {
                 for r in &list.runners {
                     let state = match r.state {
-                        State::Ready => Seen::Ready,
-                        State::Draining => Seen::Draining,
-                        State::Gone => Seen::Gone,
+                        State::Ready => RecordedState::Ready,
+                        State::Draining => RecordedState::Draining,
+                        State::Gone => RecordedState::Gone,
                     };
                     self.recorder.add(Event::Listed { front, runner: r.id, state });
                 }
                 return crate::json(200, &list);
             }
-            smol::Timer::after(LOOK).await;
+            smol::Timer::after(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Serves for ever, beginning with these runners.
+/// Serves without end, starting with these runners.
 pub async fn serve(listener: TcpListener, runners: Vec<Runner>, recorder: Recorder) {
     let runners = runners.into_iter().map(|r| (r.id, (r, 1))).collect();
-    let inner = Inner { version: 1, lag_us: 0, runners, coming: Vec::new() };
+    let inner = Inner { version: 1, lag_us: 0, runners, pending: Vec::new() };
     let server = Arc::new(Server { inner: Mutex::new(inner), recorder });
     crate::accept(listener, None, move |conn| {
         let server = server.clone();
--- a/crates/badgerwind-standins/src/model.rs
+++ b/crates/badgerwind-standins/src/model.rs
@@ -1,129 +1,130 @@
-//! A runner without its sockets: copies, lanes, queue, memory, loads, warming, faults. Time comes in; nothing is
-//! random here.
+//! A deterministic model of a runner, without I/O: copies, lanes, queue, memory, loads, warming and faults.
+//! The current time is passed in.
 //!
-//! A call runs only on a loaded copy. A runner that lacks one loads it while the call waits, or answers `miss`. A
-//! load is a fetch from the handler store, then a start. A copy runs so many calls at a time; with all lanes taken
-//! a call waits in a bounded queue. Idle copies go after a while, or sooner where a load needs the room. A runner
-//! that has just started is cold; pushed over, it stays down.
+//! A call runs only on a loaded copy. A runner without one loads it while the call waits, or answers `miss`.
+//! A load is a fetch from the handler store followed by a start. A copy runs a limited number of calls at a
+//! time; when all lanes are in use a call waits in a bounded queue. Idle copies are unloaded after a time, or
+//! earlier if a load needs the memory. A runner that has just started is cold; if overloaded while cold, it
+//! fails and stays down.
 
 use crate::share::{Share, Time};
 use badgerwind::interface::{CopyMark, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a runner is made of.
+/// Properties of a runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Speed of one.
+    /// Speed of a core.
     pub speed: f64,
-    /// Calls that may wait in all.
+    /// Largest number of waiting calls in total.
     pub queue: usize,
     /// Memory for copies, in MB.
     pub memory_mb: f64,
-    /// Loads at once; twice as many wait.
+    /// Number of concurrent loads; twice as many may wait.
     pub loads: usize,
-    /// An idle copy goes after this, in microseconds.
+    /// Time after which an idle copy is unloaded, in microseconds.
     pub keep_alive: Time,
-    /// True: it loads what it lacks while the call waits. False: it answers `miss`.
+    /// Whether a call for a function that is not loaded waits for a load; otherwise the answer is `miss`.
     pub loads_when_absent: bool,
-    /// With all lanes taken it starts another copy by itself.
+    /// Whether the runner loads a further copy by itself when all lanes are in use.
     pub eager: bool,
-    /// Share of its capacity at its start.
+    /// Share of its capacity at the start.
     pub cold_from: f64,
-    /// Time until it is warm.
+    /// Time until it is warm, in microseconds.
     pub cold_span: Time,
-    /// It falls over when sent more than this many times its present capacity...
+    /// A cold runner fails if it is sent more than this multiple of its present capacity in a `fall_window`.
     pub fall_multiple: f64,
-    /// ...in a window of this length.
+    /// Length of the window for `fall_multiple`, in microseconds.
     pub fall_window: Time,
-    /// Time of a start after the fetch.
+    /// Time of the start after the fetch, in microseconds.
     pub start: Time,
 }
 
-/// A fault that lasts until it is taken back.
+/// A fault that lasts until it is ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "kebab-case")]
 pub enum Fault {
-    /// It takes calls and answers none.
+    /// Accepts calls and answers none.
     Hang,
-    /// It fails this share of calls at once, the ones whose number falls so.
+    /// Fails a share of the calls at once, evenly spread.
     FastErrors {
-        /// The share.
+        /// The share of calls or of cores.
         share: f64,
     },
-    /// It turns a tenant's calls away as full, after a pause.
+    /// Rejects a tenant's calls as full, after a delay.
     Throttle {
         /// The tenant.
         tenant: String,
     },
-    /// It turns a class's calls away as full, after a pause.
+    /// Rejects a class's calls as full, after a delay.
     ThrottleClass {
         /// The class.
         class: String,
     },
-    /// It leaves a class's calls unanswered.
+    /// Leaves a class's calls unanswered.
     ClassFail {
         /// The class.
         class: String,
     },
-    /// Another program takes this share of its cores.
+    /// Another program uses a share of the cores.
     Neighbour {
-        /// The share.
+        /// The share of calls or of cores.
         share: f64,
     },
-    /// It breaks the connection of this share of calls in the middle of the answer.
+    /// Breaks the connection of a share of the calls in the middle of the answer.
     Reset {
-        /// The share.
+        /// The share of calls or of cores.
         share: f64,
     },
 }
 
-/// A call as it arrives.
+/// A call as it arrives at the runner.
 #[derive(Clone, Debug)]
-pub struct CallIn {
-    /// Its function.
+pub struct IncomingCall {
+    /// Function to call.
     pub function: String,
-    /// Memory of a copy.
+    /// Memory of a copy, in MB.
     pub memory_mb: f64,
-    /// Lanes of a copy.
+    /// Concurrent calls of a copy.
     pub lanes: u32,
-    /// Its work, in microseconds of a core of speed 1.
+    /// Work in microseconds of a core of speed 1.
     pub work: f64,
-    /// Its class's mean work, which is what counts for falling over.
+    /// Mean work of the class, which counts for the overload of a cold runner.
     pub mean_work: f64,
-    /// Its class.
+    /// Class of the call.
     pub class: String,
-    /// Its tenant.
+    /// Tenant of the call.
     pub tenant: String,
 }
 
-/// What the model wants done.
+/// An action that the model requests.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Action {
     /// Answer a call.
     Answer {
         /// The call.
         call: u64,
-        /// How.
+        /// The outcome.
         outcome: Outcome,
-        /// What is said of the copy.
+        /// State of the copy when the call came.
         mark: CopyMark,
-        /// Calls for the function held when it came.
+        /// Number of calls for the function held when it came.
         crowd: u32,
     },
-    /// Its work is done: its effect stands.
+    /// The call's work is complete: its effect has happened.
     Finished {
         /// The call.
         call: u64,
     },
-    /// Break the call's connection in the middle of its answer.
+    /// Break the call's connection in the middle of the answer.
     Break {
         /// The call.
         call: u64,
     },
-    /// Fetch a function from the store, and say how that ended.
+    /// Fetch a function from the store; the result goes to [`Runner::on_fetch_end`].
     Fetch {
         /// The load.
         load: u64,
@@ -134,13 +135,13 @@
     Ordered {
         /// The order.
         order: u64,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// Copies that stand.
+        /// Number of loaded copies.
         copies: u32,
     },
-    /// It has fallen over.
-    FellOver,
+    /// The runner failed from overload.
+    Overloaded,
 }
 
 #[derive(Debug)]
@@ -156,17 +157,17 @@
     copies: Vec<Copy>,
     loading: usize,
     queue: VecDeque<u64>,
-    /// Calls in hand, queued or running.
+    /// Number of calls, queued or running.
     held: u32,
 }
 
 #[derive(Debug)]
-struct Held {
-    call: CallIn,
+struct HeldCall {
+    call: IncomingCall,
     crowd: u32,
     mark: CopyMark,
-    /// The fault that swallows it: it is never answered.
-    swallowed: bool,
+    /// Whether a fault leaves it unanswered.
+    unanswered: bool,
     running: bool,
 }
 
@@ -190,42 +191,42 @@
     state: LoadState,
 }
 
-/// A runner.
+/// The model of a runner.
 #[derive(Debug)]
 pub struct Runner {
     spec: Spec,
-    born: Time,
-    /// `false`: it was warm from the start.
+    started_at: Time,
+    /// Whether it started cold.
     cold: bool,
-    down: bool,
+    failed: bool,
     draining: bool,
     faults: Vec<Fault>,
     functions: BTreeMap<String, Function>,
-    calls: BTreeMap<u64, Held>,
+    calls: BTreeMap<u64, HeldCall>,
     share: Share,
     loads: BTreeMap<u64, Load>,
     next_load: u64,
     orders: BTreeMap<u64, Order>,
     arrivals: VecDeque<(Time, f64)>,
-    /// Answers that are due later: throttled ones.
-    later: BTreeMap<(Time, u64), Outcome>,
-    counted: u64,
+    /// Delayed answers of throttled calls.
+    delayed: BTreeMap<(Time, u64), Outcome>,
+    call_count: u64,
 }
 
-/// How long a throttled call waits for its refusal, in microseconds.
-const THROTTLE_PAUSE: Time = 80_000;
-/// How often a warming runner's capacity is brought up to date, in microseconds.
-const WARMING_STEP: Time = 50_000;
+/// Delay of the rejection of a throttled call, in microseconds.
+const THROTTLE_DELAY: Time = 80_000;
+/// Interval at which a warming runner's capacity is updated, in microseconds.
+const WARMING_INTERVAL: Time = 50_000;
 
 impl Runner {
-    /// A runner that starts now; warm where it has been running for long.
+    /// Creates a runner that starts at `now`, either cold or already warm.
     pub fn new(now: Time, spec: Spec, cold: bool) -> Self {
         let mut runner = Runner {
             share: Share::new(0.0, 0.0),
             spec,
-            born: now,
+            started_at: now,
             cold,
-            down: false,
+            failed: false,
             draining: false,
             faults: Vec::new(),
             functions: BTreeMap::new(),
@@ -234,56 +235,56 @@
             next_load: 0,
             orders: BTreeMap::new(),
             arrivals: VecDeque::new(),
-            later: BTreeMap::new(),
-            counted: 0,
+            delayed: BTreeMap::new(),
+            call_count: 0,
         };
-        runner.pace(now);
+        runner.update_speed(now);
         runner
     }
 
-    /// Share of its capacity that it has now.
+    /// Share of its capacity that is available at `now`.
     pub fn capacity(&self, now: Time) -> f64 {
-        let age = now.saturating_sub(self.born);
+        let age = now.saturating_sub(self.started_at);
         if !self.cold || age >= self.spec.cold_span {
             return 1.0;
         }
         self.spec.cold_from + (1.0 - self.spec.cold_from) * age as f64 / self.spec.cold_span as f64
     }
 
-    fn pace(&mut self, now: Time) {
-        let taken: f64 =
+    fn update_speed(&mut self, now: Time) {
+        let lost: f64 =
             self.faults.iter().map(|f| if let Fault::Neighbour { share } = f { *share } else { 0.0 }).sum();
-        let speed = self.spec.speed * self.capacity(now) * (1.0 - taken).max(0.05);
-        self.share.set(now, self.spec.cores * speed, speed);
+        let speed = self.spec.speed * self.capacity(now) * (1.0 - lost).max(0.05);
+        self.share.set_capacity(now, self.spec.cores * speed, speed);
     }
 
-    /// Begins or takes back a fault.
-    pub fn fault(&mut self, now: Time, fault: Fault, on: bool) {
+    /// Starts or ends a fault.
+    pub fn set_fault(&mut self, now: Time, fault: Fault, on: bool) {
         self.faults.retain(|f| std::mem::discriminant(f) != std::mem::discriminant(&fault));
         if on {
             self.faults.push(fault);
         }
-        self.pace(now);
+        self.update_speed(now);
     }
 
-    /// From now on it takes nothing new, or takes it again.
-    pub fn drain(&mut self, on: bool) {
+    /// Starts or ends draining: a draining runner accepts no new calls and orders.
+    pub fn set_draining(&mut self, on: bool) {
         self.draining = on;
     }
 
-    /// Copies that stand.
+    /// Number of loaded copies of a function.
     pub fn copies(&self, function: &str) -> u32 {
         self.functions.get(function).map_or(0, |f| f.copies.len() as u32)
     }
 
-    /// Calls in hand.
-    pub fn held(&self) -> usize {
+    /// Number of held calls.
+    pub fn held_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// True once it has fallen over.
-    pub fn is_down(&self) -> bool {
-        self.down
+    /// Whether it has failed from overload.
+    pub fn has_failed(&self) -> bool {
+        self.failed
     }
 
     fn memory_used(&self) -> f64 {
@@ -304,20 +305,20 @@
         f
     }
 
-    /// The share of a fault of this kind that falls on the call counted last.
-    fn falls(&self, share: f64) -> bool {
-        // Evenly spread, and the same at every run.
-        let (n, s) = (self.counted as f64, share.clamp(0.0, 1.0));
+    /// Whether a fault that affects this share of the calls affects the latest call.
+    fn affects_latest(&self, share: f64) -> bool {
+        // Spread evenly and deterministically.
+        let (n, s) = (self.call_count as f64, share.clamp(0.0, 1.0));
         (n * s).floor() > ((n - 1.0) * s).floor()
     }
 
-    /// A call arrives.
-    pub fn call(&mut self, now: Time, id: u64, call: CallIn, out: &mut Vec<Out>) {
-        self.poll(now, out);
-        self.counted += 1;
+    /// Handles an arriving call.
+    pub fn call(&mut self, now: Time, id: u64, call: IncomingCall, actions: &mut Vec<Action>) {
+        self.poll(now, actions);
+        self.call_count += 1;
         let crowd = self.functions.get(&call.function).map_or(0, |f| f.held);
-        let mut answer = |outcome, mark| out.push(Out::Answer { call: id, outcome, mark, crowd });
-        // What it turns away pushes a cold one too.
+        let mut answer = |outcome, mark| actions.push(Action::Answer { call: id, outcome, mark, crowd });
+        // Rejected calls also count for the overload of a cold runner.
         self.arrivals.push_back((now, call.mean_work));
         while self.arrivals.front().is_some_and(|(at, _)| at + self.spec.fall_window <= now) {
             self.arrivals.pop_front();
@@ -326,19 +327,19 @@
         let sum: f64 = self.arrivals.iter().map(|a| a.1).sum();
         let budget = self.spec.fall_multiple * share * full * self.spec.fall_window as f64;
         if share < 1.0 && sum > budget + 2.0 * call.mean_work {
-            self.down = true;
-            out.push(Out::FellOver);
+            self.failed = true;
+            actions.push(Action::Overloaded);
             return;
         }
         if self.draining {
             return answer(Outcome::Full, CopyMark::Untold);
         }
-        let (mut swallowed, mut throttled) = (false, false);
+        let (mut unanswered, mut throttled) = (false, false);
         for fault in &self.faults {
             match fault {
-                Fault::Hang => swallowed = true,
-                Fault::ClassFail { class } if *class == call.class => swallowed = true,
-                Fault::FastErrors { share } if self.falls(*share) => {
+                Fault::Hang => unanswered = true,
+                Fault::ClassFail { class } if *class == call.class => unanswered = true,
+                Fault::FastErrors { share } if self.affects_latest(*share) => {
                     return answer(Outcome::Error, CopyMark::Untold);
                 }
                 Fault::Throttle { tenant } if *tenant == call.tenant => throttled = true,
@@ -347,8 +348,8 @@
             }
         }
         if throttled {
-            self.later.insert((now + THROTTLE_PAUSE, id), Outcome::Full);
-            let held = Held { call, crowd, mark: CopyMark::Untold, swallowed: true, running: false };
+            self.delayed.insert((now + THROTTLE_DELAY, id), Outcome::Full);
+            let held = HeldCall { call, crowd, mark: CopyMark::Untold, unanswered: true, running: false };
             self.calls.insert(id, held);
             return;
         }
@@ -357,10 +358,10 @@
         let f = self.function(&name, call.memory_mb, call.lanes);
         let free = f.copies.iter().any(|c| c.running < f.lanes);
         let absent = f.copies.is_empty() && f.loading == 0;
-        if absent && !self.spec.loads_when_absent && !swallowed {
+        if absent && !self.spec.loads_when_absent && !unanswered {
             return answer(Outcome::Miss, CopyMark::Untold);
         }
-        if !free && queued >= limits.0 && !swallowed {
+        if !free && queued >= limits.0 && !unanswered {
             return answer(Outcome::Full, CopyMark::Untold);
         }
         let f = self.function(&name, call.memory_mb, call.lanes);
@@ -373,16 +374,16 @@
             (false, _) => CopyMark::Warm,
         };
         f.queue.push_back(id);
-        let wants = absent || !free && limits.1 && f.loading * (f.lanes as usize) < f.queue.len();
-        self.calls.insert(id, Held { call, crowd, mark, swallowed, running: false });
-        if wants && !self.load(now, &name, out) && absent {
-            // No room and nothing to wait for.
+        let needs_load = absent || !free && limits.1 && f.loading * (f.lanes as usize) < f.queue.len();
+        self.calls.insert(id, HeldCall { call, crowd, mark, unanswered, running: false });
+        if needs_load && !self.load(now, &name, actions) && absent {
+            // No memory for a copy, and no load to wait for.
             self.unqueue(&name, id);
             self.calls.remove(&id);
-            out.push(Out::Answer { call: id, outcome: Outcome::Full, mark: CopyMark::Untold, crowd });
+            actions.push(Action::Answer { call: id, outcome: Outcome::Full, mark: CopyMark::Untold, crowd });
             return;
         }
-        self.run(now, &name);
+        self.start_queued(now, &name);
     }
 
     fn unqueue(&mut self, function: &str, id: u64) {
@@ -392,14 +393,14 @@
         }
     }
 
-    /// Begins a load; false where there is no room, or too many stand in line.
-    fn load(&mut self, now: Time, name: &str, out: &mut Vec<Out>) -> bool {
+    /// Queues a load; returns false without memory for it, or if too many loads wait.
+    fn load(&mut self, now: Time, name: &str, actions: &mut Vec<Action>) -> bool {
         let Some(f) = self.functions.get(name) else { return false };
         let memory_mb = f.memory_mb;
         if self.loads.len() >= 3 * self.spec.loads {
             return false;
         }
-        // Idle copies make room, the one idle longest first.
+        // Unloads idle copies to free memory, the longest idle one first.
         while self.memory_used() + memory_mb > self.spec.memory_mb {
             let idle = self.functions.iter().filter_map(|(n, f)| {
                 f.copies.iter().filter(|c| c.running == 0).map(|c| (c.idle_since, n.clone())).min()
@@ -418,23 +419,23 @@
         if let Some(f) = self.functions.get_mut(name) {
             f.loading += 1;
         }
-        self.begin_loads(out);
+        self.start_loads(actions);
         let _ = now;
         true
     }
 
-    fn begin_loads(&mut self, out: &mut Vec<Out>) {
+    fn start_loads(&mut self, actions: &mut Vec<Action>) {
         let busy = self.loads.values().filter(|l| l.state != LoadState::Waiting).count();
         let waiting = self.loads.iter_mut().filter(|(_, l)| l.state == LoadState::Waiting);
         for (id, load) in waiting.take(self.spec.loads.saturating_sub(busy)) {
             load.state = LoadState::Fetching;
-            out.push(Out::Fetch { load: *id, function: load.function.clone() });
+            actions.push(Action::Fetch { load: *id, function: load.function.clone() });
         }
     }
 
-    /// A fetch has ended.
-    pub fn fetched(&mut self, now: Time, load: u64, ok: bool, out: &mut Vec<Out>) {
-        self.poll(now, out);
+    /// Handles the end of a fetch.
+    pub fn on_fetch_end(&mut self, now: Time, load: u64, ok: bool, actions: &mut Vec<Action>) {
+        self.poll(now, actions);
         if ok {
             if let Some(l) = self.loads.get_mut(&load) {
                 l.state = LoadState::Starting(now + self.spec.start);
@@ -451,10 +452,10 @@
             }
         }
         for id in missed {
-            // What waited for it was never run.
-            if let Some(h) = self.calls.remove(&id).filter(|h| !h.swallowed) {
+            // Calls that waited for the load never ran.
+            if let Some(h) = self.calls.remove(&id).filter(|h| !h.unanswered) {
                 let (outcome, mark) = (Outcome::Miss, CopyMark::LoadFailed);
-                out.push(Out::Answer { call: id, outcome, mark, crowd: h.crowd });
+                actions.push(Action::Answer { call: id, outcome, mark, crowd: h.crowd });
             }
         }
         for (id, o) in &self.orders {
@@ -465,13 +466,13 @@
         }
         for (order, copies) in failed {
             self.orders.remove(&order);
-            out.push(Out::Ordered { order, outcome: Outcome::Error, copies });
+            actions.push(Action::Ordered { order, outcome: Outcome::Error, copies });
         }
-        self.begin_loads(out);
+        self.start_loads(actions);
     }
 
-    /// Queued calls take free lanes.
-    fn run(&mut self, now: Time, name: &str) {
+    /// Starts queued calls on free lanes.
+    fn start_queued(&mut self, now: Time, name: &str) {
         let Some(f) = self.functions.get_mut(name) else { return };
         while let Some(&id) = f.queue.front() {
             let Some(copy) = f.copies.iter_mut().find(|c| c.running < f.lanes) else { break };
@@ -479,16 +480,16 @@
             copy.running += 1;
             if let Some(h) = self.calls.get_mut(&id) {
                 h.running = true;
-                // A swallowed call holds its lane and does no work that ends.
-                self.share.add(now, id, if h.swallowed { 1e15 } else { h.call.work });
+                // An unanswered call holds its lane and never completes.
+                self.share.add(now, id, if h.unanswered { 1e15 } else { h.call.work });
             }
         }
     }
 
-    /// A call's sender has left or called it off: its work stops. False where it is not held.
-    pub fn leave(&mut self, now: Time, id: u64, out: &mut Vec<Out>) -> bool {
-        self.poll(now, out);
-        self.later.retain(|(_, call), _| *call != id);
+    /// Cancels a call whose sender has disconnected or cancelled it; returns false if it is not held.
+    pub fn cancel(&mut self, now: Time, id: u64, actions: &mut Vec<Action>) -> bool {
+        self.poll(now, actions);
+        self.delayed.retain(|(_, call), _| *call != id);
         let Some(held) = self.calls.remove(&id) else { return false };
         let name = held.call.function;
         if held.running {
@@ -503,83 +504,84 @@
     fn free_lane(&mut self, now: Time, name: &str) {
         if let Some(f) = self.functions.get_mut(name) {
             f.held = f.held.saturating_sub(1);
-            // The fullest copy gives a lane back, so that idle ones stay idle.
+            // The busiest copy releases a lane, so that idle copies stay idle.
             if let Some(c) = f.copies.iter_mut().max_by_key(|c| c.running) {
                 c.running = c.running.saturating_sub(1);
                 c.idle_since = now;
             }
         }
-        self.run(now, name);
+        self.start_queued(now, name);
     }
 
-    /// An order to hold so many copies, or to ask how many stand.
+    /// Handles an order to hold a number of copies, or a query for their number.
     pub fn order(
         &mut self,
         now: Time,
         id: u64,
         (name, copies): (&str, u32),
         (memory_mb, lanes): (f64, u32),
-        out: &mut Vec<Out>,
+        actions: &mut Vec<Action>,
     ) {
-        self.poll(now, out);
-        let stand = self.copies(name);
+        self.poll(now, actions);
+        let loaded = self.copies(name);
         if copies == 0 || self.faults.contains(&Fault::Hang) {
             if copies == 0 && !self.faults.contains(&Fault::Hang) {
-                out.push(Out::Ordered { order: id, outcome: Outcome::Ok, copies: stand });
+                actions.push(Action::Ordered { order: id, outcome: Outcome::Ok, copies: loaded });
             }
             return;
         }
         if self.draining {
-            return out.push(Out::Ordered { order: id, outcome: Outcome::Full, copies: stand });
+            return actions.push(Action::Ordered { order: id, outcome: Outcome::Full, copies: loaded });
         }
         let f = self.function(name, memory_mb, lanes);
         f.copies.iter_mut().filter(|c| c.running == 0).for_each(|c| c.idle_since = now);
-        let (stand, coming) = (f.copies.len() as u32, (f.copies.len() + f.loading) as u32);
-        if stand >= copies {
-            return out.push(Out::Ordered { order: id, outcome: Outcome::Ok, copies: stand });
+        let (loaded, planned) = (f.copies.len() as u32, (f.copies.len() + f.loading) as u32);
+        if loaded >= copies {
+            return actions.push(Action::Ordered { order: id, outcome: Outcome::Ok, copies: loaded });
         }
-        for _ in coming..copies {
-            if !self.load(now, name, out) {
-                return out.push(Out::Ordered { order: id, outcome: Outcome::Full, copies: stand });
+        for _ in planned..copies {
+            if !self.load(now, name, actions) {
+                return actions.push(Action::Ordered { order: id, outcome: Outcome::Full, copies: loaded });
             }
         }
         self.orders.insert(id, Order { function: name.to_owned(), copies });
     }
 
-    /// Unloads idle copies.
-    pub fn unload(&mut self, now: Time, name: &str, out: &mut Vec<Out>) {
-        self.poll(now, out);
+    /// Unloads the idle copies of a function.
+    pub fn unload(&mut self, now: Time, name: &str, actions: &mut Vec<Action>) {
+        self.poll(now, actions);
         if let Some(f) = self.functions.get_mut(name) {
             f.copies.retain(|c| c.running > 0);
         }
     }
 
-    /// A release: all idle copies of these functions go void.
-    pub fn release(&mut self, now: Time, out: &mut Vec<Out>) {
-        self.poll(now, out);
+    /// Unloads all idle copies, as after a new release of the functions.
+    pub fn discard_idle_copies(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.poll(now, actions);
         self.functions.values_mut().for_each(|f| f.copies.retain(|c| c.running > 0));
     }
 
-    /// Brings everything up to now.
-    pub fn poll(&mut self, now: Time, out: &mut Vec<Out>) {
-        self.pace(now);
-        while let Some((&(at, call), &outcome)) = self.later.iter().next().filter(|((at, _), _)| *at <= now) {
-            self.later.remove(&(at, call));
+    /// Advances the model to `now`.
+    pub fn poll(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.update_speed(now);
+        while let Some((&(at, call), &outcome)) = self.delayed.iter().next().filter(|((at, _), _)| *at <= now)
+        {
+            self.delayed.remove(&(at, call));
             if let Some(h) = self.calls.remove(&call) {
-                out.push(Out::Answer { call, outcome, mark: h.mark, crowd: h.crowd });
+                actions.push(Action::Answer { call, outcome, mark: h.mark, crowd: h.crowd });
             }
         }
-        for id in self.share.done(now) {
+        for id in self.share.take_completed(now) {
             let Some(held) = self.calls.remove(&id) else { continue };
-            out.push(Out::Finished { call: id });
-            let broken = self.faults.iter().any(|f| match f {
-                Fault::Reset { share } => self.falls(*share),
+            actions.push(Action::Finished { call: id });
+            let breaks = self.faults.iter().any(|f| match f {
+                Fault::Reset { share } => self.affects_latest(*share),
                 _ => false,
             });
             let (mark, crowd) = (held.mark, held.crowd);
-            out.push(match broken {
-                true => Out::Break { call: id },
-                false => Out::Answer { call: id, outcome: Outcome::Ok, mark, crowd },
+            actions.push(match breaks {
+                true => Action::Break { call: id },
+                false => Action::Answer { call: id, outcome: Outcome::Ok, mark, crowd },
             });
             self.free_lane(now, &held.call.function);
         }
@@ -591,30 +593,31 @@
                 f.loading -= 1;
                 f.copies.push(Copy { running: 0, idle_since: now });
             }
-            self.run(now, &load.function);
-            let stand = self.copies(&load.function);
-            let met = |o: &Order| o.function == load.function && stand >= o.copies;
-            let orders: Vec<u64> = self.orders.iter().filter(|(_, o)| met(o)).map(|(id, _)| *id).collect();
+            self.start_queued(now, &load.function);
+            let loaded = self.copies(&load.function);
+            let satisfied = |o: &Order| o.function == load.function && loaded >= o.copies;
+            let orders: Vec<u64> =
+                self.orders.iter().filter(|(_, o)| satisfied(o)).map(|(id, _)| *id).collect();
             for order in orders {
                 self.orders.remove(&order);
-                out.push(Out::Ordered { order, outcome: Outcome::Ok, copies: stand });
+                actions.push(Action::Ordered { order, outcome: Outcome::Ok, copies: loaded });
             }
         }
-        self.begin_loads(out);
+        self.start_loads(actions);
         let keep = self.spec.keep_alive;
         for f in self.functions.values_mut() {
             f.copies.retain(|c| c.running > 0 || c.idle_since + keep > now);
         }
     }
 
-    /// When something is due next.
+    /// Time of the next due event.
     pub fn next(&self, now: Time) -> Option<Time> {
         let starts = self.loads.values().filter_map(|l| match l.state {
             LoadState::Starting(at) => Some(at),
             _ => None,
         });
-        let later = self.later.keys().next().map(|k| k.0);
-        let warming = (!self.share.is_empty() && self.capacity(now) < 1.0).then_some(now + WARMING_STEP);
-        starts.chain(later).chain(warming).chain(self.share.next()).min()
+        let delayed = self.delayed.keys().next().map(|k| k.0);
+        let warming = (!self.share.is_empty() && self.capacity(now) < 1.0).then_some(now + WARMING_INTERVAL);
+        starts.chain(delayed).chain(warming).chain(self.share.next_completion()).min()
     }
 }
--- a/crates/badgerwind-standins/src/platform/connect_flood.rs
+++ b/crates/badgerwind-standins/src/platform/connect_flood.rs
@@ -1,5 +1,6 @@
-//! A flood of connections on which nothing is sent, up to a bound. Each thread keeps a window of connections open and makes another
-//! one as soon as the peer has closed the oldest, so that their number follows from what the peer accepts and not from time.
+//! A flood of connections on which nothing is sent, up to a limit. Each thread keeps a window of connections
+//! open and opens another one as soon as the peer has closed the oldest, so that the rate follows from what
+//! the peer accepts, not from time.
 
 use rustix::net::sockopt::set_socket_linger;
 use std::collections::VecDeque;
@@ -10,33 +11,33 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Threads that connect.
+/// Number of threads that connect.
 const THREADS: usize = 4;
-/// Window of each thread: all together they do not fill the peer's listen queue.
+/// Window of each thread; all windows together do not fill the peer's listen queue.
 const CONNECTIONS_EACH: usize = 64;
-/// Longest wait before a thread looks whether the flood is over.
+/// Longest wait before a thread checks whether the flood has ended.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
-/// A connection that is not up by then is given up.
+/// Timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A flood of connections; it ends when dropped.
 pub struct ConnectFlood {
-    most: usize,
+    max_connections: usize,
     made: Arc<AtomicUsize>,
-    over: Arc<AtomicBool>,
+    ended: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl ConnectFlood {
-    /// Begins one of at most so many connections.
-    pub fn begin(to: SocketAddr, most: usize) -> ConnectFlood {
-        let (made, over) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
+    /// Starts a flood of at most `max_connections` connections.
+    pub fn start(to: SocketAddr, max_connections: usize) -> ConnectFlood {
+        let (made, ended) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
         let connect = |_| {
-            let (made, over) = (made.clone(), over.clone());
-            std::thread::spawn(move || connect_without_pause(to, most, &made, &over))
+            let (made, ended) = (made.clone(), ended.clone());
+            std::thread::spawn(move || connect_without_pause(to, max_connections, &made, &ended))
         };
         let threads = (0..THREADS).map(connect).collect();
-        ConnectFlood { most, made, over, threads }
+        ConnectFlood { max_connections, made, ended, threads }
     }
 
     /// Connections made so far.
@@ -44,40 +45,40 @@
         self.made.load(Ordering::Relaxed)
     }
 
-    /// Whether it has not come to its bound.
-    pub fn goes_on(&self) -> bool {
-        self.made() < self.most
+    /// Whether it has not reached its limit.
+    pub fn is_below_limit(&self) -> bool {
+        self.made() < self.max_connections
     }
 }
 
 impl Drop for ConnectFlood {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.ended.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
-            let _ = thread.join(); // it only connects
+            let _ = thread.join(); // the thread only connects
         }
     }
 }
 
-fn connect_without_pause(to: SocketAddr, most: usize, made: &AtomicUsize, over: &AtomicBool) {
+fn connect_without_pause(to: SocketAddr, max_connections: usize, made: &AtomicUsize, ended: &AtomicBool) {
     let mut open = VecDeque::new();
-    while !over.load(Ordering::Relaxed) {
+    while !ended.load(Ordering::Relaxed) {
         if open.len() >= CONNECTIONS_EACH {
             if open.front_mut().is_some_and(closed_by_peer) {
                 open.pop_front();
             }
             continue;
         }
-        // Refused where nobody listens: not counted.
+        // Not counted: nobody listens.
         let Ok(stream) = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT) else {
             std::thread::yield_now();
             continue;
         };
-        // Closed by a reset, which leaves no port in TIME_WAIT.
+        // Closes by a reset, which leaves no port in TIME_WAIT.
         let _ =
             (set_socket_linger(&stream, Some(Duration::ZERO)), stream.set_read_timeout(Some(READ_TIMEOUT)));
         open.push_back(stream);
-        if made.fetch_add(1, Ordering::Relaxed) >= most {
+        if made.fetch_add(1, Ordering::Relaxed) >= max_connections {
             return;
         }
     }
--- a/crates/badgerwind-standins/src/platform/executor.rs
+++ b/crates/badgerwind-standins/src/platform/executor.rs
@@ -1,6 +1,6 @@
-//! An executor that does what its test says.
+//! An executor that is scripted by its test.
 
-use super::{until, LONG};
+use super::{wait_until, TIMEOUT};
 use crate::reserved::ReservedPort;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -10,186 +10,189 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A line that came whole.
+/// A complete line that the executor received.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// The connection, counted from 0.
+pub struct ReceivedLine {
+    /// Number of the connection, from 0.
     pub connection: usize,
-    /// The port that it comes from.
-    pub from: u16,
-    /// Its word: `FN`, `KILL`, `SPAWN` ...
-    pub word: String,
-    /// Id or tag.
+    /// Local port of the front end.
+    pub peer_port: u16,
+    /// The line's `type`: `FN`, `KILL`, `SPAWN` and so on.
+    pub kind: String,
+    /// The line's `req`: an id or a tag.
     pub req: String,
-    /// The rest.
+    /// The whole line.
     pub line: Value,
-    /// When.
+    /// When it was received.
     pub at: Instant,
 }
 
 /// A condition that a script waits for.
 type Condition = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// What an executor does next.
+/// A step of a script.
 #[derive(Clone)]
-pub enum Do {
+pub enum ScriptStep {
     /// Writes these bytes.
     Write(Vec<u8>),
     /// Writes these bytes on another connection, by its number.
     WriteOn(usize, Vec<u8>),
-    /// Waits.
+    /// Waits for a time.
     Wait(Duration),
-    /// Waits until this holds.
-    Until(Condition),
+    /// Waits until a condition holds.
+    WaitUntil(Condition),
     /// Ends the connection.
     Close,
 }
 
-/// The line of a good answer, which says the request's body again.
-pub fn hit(seen: &Seen) -> Vec<u8> {
-    let data = seen.line["data"].as_str().unwrap_or("");
-    format!("{{\"type\":\"HIT\",\"req\":\"{}\",\"meta\":{{\"res\":\"w\"}},\"data\":\"{data}\"}}\n", seen.req)
+/// The line of a successful answer, which echoes the request's body.
+pub fn hit_line(line: &ReceivedLine) -> Vec<u8> {
+    let data = line.line["data"].as_str().unwrap_or("");
+    format!("{{\"type\":\"HIT\",\"req\":\"{}\",\"meta\":{{\"res\":\"w\"}},\"data\":\"{data}\"}}\n", line.req)
         .into_bytes()
 }
 
-/// The line of another word.
-pub fn say(word: &str, seen: &Seen) -> Vec<u8> {
-    format!("{{\"type\":\"{word}\",\"req\":\"{}\",\"meta\":{{\"slots_up\":1}}}}\n", seen.req).into_bytes()
+/// An answer line of another type.
+pub fn answer_line(kind: &str, line: &ReceivedLine) -> Vec<u8> {
+    format!("{{\"type\":\"{kind}\",\"req\":\"{}\",\"meta\":{{\"slots_up\":1}}}}\n", line.req).into_bytes()
 }
 
-/// What most scripts do with what they are not about: calls and orders succeed, probes find it well.
-pub fn well(seen: &Seen) -> Vec<Do> {
-    match seen.word.as_str() {
-        "FN" => vec![Do::Write(hit(seen))],
-        "SPAWN" => vec![Do::Write(say("HIT", seen))],
-        "HELO" | "TOP" => vec![Do::Write(say("PONG", seen))],
+/// The default script: calls, orders and probes succeed.
+pub fn succeed(line: &ReceivedLine) -> Vec<ScriptStep> {
+    match line.kind.as_str() {
+        "FN" => vec![ScriptStep::Write(hit_line(line))],
+        "SPAWN" => vec![ScriptStep::Write(answer_line("HIT", line))],
+        "HELO" | "TOP" => vec![ScriptStep::Write(answer_line("PONG", line))],
         _ => vec![],
     }
 }
 
-type Script = dyn Fn(&Seen) -> Vec<Do> + Send + Sync;
-/// Connections to write on, by number.
-type Ways = Mutex<BTreeMap<usize, Arc<Mutex<TcpStream>>>>;
+type Script = dyn Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync;
+/// The writing ends of the connections, by number.
+type Writers = Mutex<BTreeMap<usize, Arc<Mutex<TcpStream>>>>;
 
-/// Connections, as an executor counted them.
+/// Counts of an executor's connections.
 #[derive(Debug, Default)]
-pub struct Doors {
-    /// That came up, ever.
-    pub opened: AtomicUsize,
-    /// That stand now.
-    pub standing: AtomicUsize,
-    /// That stood at once, at the most.
-    pub most: AtomicUsize,
-    /// Whose first word was turned away, the table being full.
-    pub turned_away: AtomicUsize,
+pub struct ConnectionCounts {
+    /// Accepted since the start.
+    pub accepted: AtomicUsize,
+    /// Open now.
+    pub open: AtomicUsize,
+    /// Largest number open at the same time.
+    pub max_open: AtomicUsize,
+    /// Rejected because the table was full.
+    pub rejected: AtomicUsize,
 }
 
-/// An executor.
+/// A scripted executor.
 pub struct Executor {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its connections.
-    pub doors: Arc<Doors>,
-    seen: Arc<Mutex<Vec<Seen>>>,
-    ways: Arc<Ways>,
+    /// Counts of its connections.
+    pub connections: Arc<ConnectionCounts>,
+    received: Arc<Mutex<Vec<ReceivedLine>>>,
+    writers: Arc<Writers>,
     stopped: Arc<AtomicBool>,
-    /// Keeps its address from others once it has stopped.
+    /// Reserves the address also after the executor has stopped.
     _port: Option<ReservedPort>,
 }
 
 impl Executor {
-    /// Starts one on a free port. Each line that comes whole is given to the script, whose answer is carried out on a
-    /// thread of its own, so that a waiting one holds up nobody.
-    pub fn start(script: impl Fn(&Seen) -> Vec<Do> + Send + Sync + 'static) -> io::Result<Executor> {
+    /// Starts an executor on a free port. Each complete line is passed to the script, whose steps run on a
+    /// thread of their own, so that a waiting script does not delay others.
+    pub fn start(
+        script: impl Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync + 'static,
+    ) -> io::Result<Executor> {
         Executor::with_table(usize::MAX, script)
     }
 
-    /// The same with a table of so many connections. Where it is full a connection still comes up, but its first word is
-    /// answered with `SHED` and it is closed.
+    /// Like [`Executor::start`], with a table of `table` connections. When it is full, a further connection
+    /// is accepted, but its first line is answered with `SHED` and it is closed.
     pub fn with_table(
         table: usize,
-        script: impl Fn(&Seen) -> Vec<Do> + Send + Sync + 'static,
+        script: impl Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync + 'static,
     ) -> io::Result<Executor> {
         let port = ReservedPort::reserve()?;
         let executor = Executor::on(port.listen()?, table, script)?;
         Ok(Executor { _port: Some(port), ..executor })
     }
 
-    /// The same behind a listener that stands already.
+    /// Like [`Executor::with_table`], on an existing listener.
     pub fn on(
         listener: TcpListener,
         table: usize,
-        script: impl Fn(&Seen) -> Vec<Do> + Send + Sync + 'static,
+        script: impl Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync + 'static,
     ) -> io::Result<Executor> {
         let address = listener.local_addr()?;
-        let (seen, script): (Arc<Mutex<Vec<Seen>>>, Arc<Script>) = (Arc::default(), Arc::new(script));
-        let (all, doors) = (seen.clone(), Arc::<Doors>::default());
-        let (counts, ways) = (doors.clone(), Arc::<Ways>::default());
-        let own_ways = ways.clone();
+        let (received, script): (Arc<Mutex<Vec<ReceivedLine>>>, Arc<Script>) =
+            (Arc::default(), Arc::new(script));
+        let (all, connections) = (received.clone(), Arc::<ConnectionCounts>::default());
+        let (own_connections, writers) = (connections.clone(), Arc::<Writers>::default());
+        let own_writers = writers.clone();
         let stopped = Arc::<AtomicBool>::default();
         let ends = stopped.clone();
         std::thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
                 if ends.load(Ordering::Relaxed) {
-                    return; // connections to its address are refused from now on
+                    return; // closes the listener, so connections are refused
                 }
-                let (seen, script, doors) = (all.clone(), script.clone(), counts.clone());
-                let ways = own_ways.clone();
+                let (received, script, connections) = (all.clone(), script.clone(), own_connections.clone());
+                let writers = own_writers.clone();
                 std::thread::spawn(move || {
-                    doors.opened.fetch_add(1, Ordering::Relaxed);
-                    let stand = doors.standing.fetch_add(1, Ordering::Relaxed) + 1;
-                    if stand > table {
-                        doors.turned_away.fetch_add(1, Ordering::Relaxed);
-                        turn_away(stream);
+                    connections.accepted.fetch_add(1, Ordering::Relaxed);
+                    let open = connections.open.fetch_add(1, Ordering::Relaxed) + 1;
+                    if open > table {
+                        connections.rejected.fetch_add(1, Ordering::Relaxed);
+                        reject(stream);
                     } else {
-                        doors.most.fetch_max(stand, Ordering::Relaxed);
-                        serve(connection, stream, &seen, (&script, &ways));
+                        connections.max_open.fetch_max(open, Ordering::Relaxed);
+                        serve(connection, stream, &received, (&script, &writers));
                     }
-                    doors.standing.fetch_sub(1, Ordering::Relaxed);
+                    connections.open.fetch_sub(1, Ordering::Relaxed);
                 });
             }
         });
-        Ok(Executor { address, doors, seen, ways, stopped, _port: None })
+        Ok(Executor { address, connections, received, writers, stopped, _port: None })
     }
 
-    /// Ends it as the death of its process would: connections end, and new ones are refused.
+    /// Stops it like a killed process: connections end, and new ones are refused.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
-        // Wakes the thread that accepts, which then lets go of the address.
+        // Wakes the accepting thread, which then closes the listener.
         let _ = TcpStream::connect(self.address);
-        let ways = self.ways.lock().unwrap_or_else(PoisonError::into_inner);
-        for way in ways.values() {
-            let stream = way.lock().unwrap_or_else(PoisonError::into_inner);
+        let writers = self.writers.lock().unwrap_or_else(PoisonError::into_inner);
+        for writer in writers.values() {
+            let stream = writer.lock().unwrap_or_else(PoisonError::into_inner);
             let _ = stream.shutdown(std::net::Shutdown::Both); // it may have ended
         }
     }
 
-    /// Ends a connection, by its number; false where it never came up.
+    /// Ends a connection by its number; returns false if there was none.
     pub fn close(&self, connection: usize) -> bool {
-        let ways = self.ways.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(way) = ways.get(&connection) else { return false };
-        let stream = way.lock().unwrap_or_else(PoisonError::into_inner);
+        let writers = self.writers.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(writer) = writers.get(&connection) else { return false };
+        let stream = writer.lock().unwrap_or_else(PoisonError::into_inner);
         stream.shutdown(std::net::Shutdown::Both).is_ok()
     }
 
-    /// What has come.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    /// All received lines.
+    pub fn received(&self) -> Vec<ReceivedLine> {
+        self.received.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// What has come of one word.
-    pub fn words(&self, word: &str) -> Vec<Seen> {
-        self.seen().into_iter().filter(|s| s.word == word).collect()
+    /// The received lines of one type.
+    pub fn received_of_kind(&self, kind: &str) -> Vec<ReceivedLine> {
+        self.received().into_iter().filter(|s| s.kind == kind).collect()
     }
 }
 
-fn turn_away(mut stream: TcpStream) {
+fn reject(mut stream: TcpStream) {
     let Ok(read) = stream.try_clone() else { return };
     let mut line = Vec::new();
     if BufReader::new(read).read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
         let req = serde_json::from_slice::<Value>(&line).ok();
         let req = req.as_ref().and_then(|l| l["req"].as_str()).unwrap_or("");
-        // The front end may have given the connection up: that is its right.
+        // The front end may have closed the connection.
         let _ =
             stream.write_all(format!("{{\"type\":\"SHED\",\"req\":\"{req}\",\"meta\":{{}}}}\n").as_bytes());
     }
@@ -198,37 +201,38 @@
 fn serve(
     connection: usize,
     stream: TcpStream,
-    seen: &Mutex<Vec<Seen>>,
-    (script, ways): (&Arc<Script>, &Arc<Ways>),
+    received: &Mutex<Vec<ReceivedLine>>,
+    (script, writers): (&Arc<Script>, &Arc<Writers>),
 ) {
-    // Only a delay is lost where these are not to be had.
-    let _ = (stream.set_nodelay(true), stream.set_write_timeout(Some(LONG)));
+    // Errors are ignored: without these options answers are only delayed.
+    let _ = (stream.set_nodelay(true), stream.set_write_timeout(Some(TIMEOUT)));
     let Ok(write) = stream.try_clone() else { return };
-    let Ok(from) = stream.peer_addr().map(|a| a.port()) else { return };
+    let Ok(peer_port) = stream.peer_addr().map(|a| a.port()) else { return };
     let write = Arc::new(Mutex::new(write));
-    ways.lock().unwrap_or_else(PoisonError::into_inner).insert(connection, write.clone());
+    writers.lock().unwrap_or_else(PoisonError::into_inner).insert(connection, write.clone());
     for line in BufReader::new(stream).split(b'\n') {
         let Ok(line) = line else { return };
         let Ok(line) = serde_json::from_slice::<Value>(&line) else { return };
         let text = |name: &str| line[name].as_str().unwrap_or("").to_owned();
-        let (word, req) = (text("type"), text("req"));
-        let s = Seen { connection, from, word, req, line, at: Instant::now() };
-        seen.lock().unwrap_or_else(PoisonError::into_inner).push(s.clone());
-        let (script, write, ways) = (script.clone(), write.clone(), ways.clone());
+        let (kind, req) = (text("type"), text("req"));
+        let s = ReceivedLine { connection, peer_port, kind, req, line, at: Instant::now() };
+        received.lock().unwrap_or_else(PoisonError::into_inner).push(s.clone());
+        let (script, write, writers) = (script.clone(), write.clone(), writers.clone());
         std::thread::spawn(move || {
             for step in script(&s) {
                 let stream = || write.lock().unwrap_or_else(PoisonError::into_inner);
                 match step {
-                    Do::Wait(time) => std::thread::sleep(time),
-                    Do::Until(holds) => _ = until(|| holds()),
-                    // The front end may have given the connection up: that is its right.
-                    Do::Write(bytes) => _ = stream().write_all(&bytes),
-                    Do::WriteOn(other, bytes) => {
-                        let way = ways.lock().unwrap_or_else(PoisonError::into_inner).get(&other).cloned();
-                        let way = way.expect("a script names connections that have come up");
-                        let _ = way.lock().unwrap_or_else(PoisonError::into_inner).write_all(&bytes);
+                    ScriptStep::Wait(time) => std::thread::sleep(time),
+                    ScriptStep::WaitUntil(holds) => _ = wait_until(|| holds()),
+                    // The front end may have closed the connection.
+                    ScriptStep::Write(bytes) => _ = stream().write_all(&bytes),
+                    ScriptStep::WriteOn(other, bytes) => {
+                        let writer =
+                            writers.lock().unwrap_or_else(PoisonError::into_inner).get(&other).cloned();
+                        let writer = writer.expect("a script names existing connections");
+                        let _ = writer.lock().unwrap_or_else(PoisonError::into_inner).write_all(&bytes);
                     }
-                    Do::Close => _ = stream().shutdown(std::net::Shutdown::Both),
+                    ScriptStep::Close => _ = stream().shutdown(std::net::Shutdown::Both),
                 }
             }
         });
--- a/crates/badgerwind-standins/src/platform/door.rs
+++ b/crates/badgerwind-standins/src/platform/full_backlog.rs
@@ -1,54 +1,54 @@
-//! An address where connections do not come up until it is opened: the system's queue of connections is full, so that it
-//! leaves each further one without a word, as a machine does that has vanished or is swamped.
+//! A listener whose backlog is full, so that the system does not answer further connection attempts, as with
+//! a machine that is unreachable or overloaded.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The most that may have to be put into the queue until it is full.
-const FILLS: usize = 16;
-/// On loopback a connection that comes up does so at once.
-const AT_ONCE: Duration = Duration::from_millis(300);
+/// Largest number of connections that may be needed to fill the backlog.
+const MAX_FILLERS: usize = 16;
+/// Time after which a connect counts as unanswered; on loopback an accepted one succeeds at once.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A shut door.
-pub struct Door {
-    /// Where it is.
+/// A listener with a full backlog.
+pub struct FullBacklog {
+    /// The address of the listener.
     pub address: SocketAddr,
     listener: TcpListener,
     fillers: Vec<TcpStream>,
 }
 
-impl Door {
-    /// Shuts one on a free port.
-    pub fn shut() -> io::Result<Door> {
+impl FullBacklog {
+    /// Listens on a free port and fills the backlog.
+    pub fn start() -> io::Result<FullBacklog> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         rustix::net::listen(&listener, 0)?;
         let address = listener.local_addr()?;
         let mut fillers = Vec::new();
-        while fillers.len() < FILLS {
-            match TcpStream::connect_timeout(&address, AT_ONCE) {
+        while fillers.len() < MAX_FILLERS {
+            match TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
                 Ok(stream) => fillers.push(stream),
                 Err(e) if e.kind() == io::ErrorKind::TimedOut => {
-                    return Ok(Door { address, listener, fillers })
+                    return Ok(FullBacklog { address, listener, fillers })
                 }
                 Err(e) => return Err(e),
             }
         }
-        Err(io::Error::other("the queue of connections does not fill"))
+        Err(io::Error::other("the backlog does not fill"))
     }
 
-    /// Connections that knock there.
-    pub fn knocking(&self) -> usize {
-        knocking(self.address)
+    /// Number of pending connection attempts.
+    pub fn connecting(&self) -> usize {
+        connecting(self.address)
     }
 
-    /// The local ports of these connections.
+    /// The local ports of the pending connection attempts.
     pub fn pending_ports(&self) -> Vec<u16> {
         ports_to(self.address, SYN_SENT)
     }
 
-    /// Opens it: the next knock is heard. What had filled the queue is gone.
-    pub fn open(self) -> io::Result<TcpListener> {
+    /// Empties the backlog and returns the listener: the next connection attempt succeeds.
+    pub fn drain(self) -> io::Result<TcpListener> {
         for _ in &self.fillers {
             self.listener.accept()?;
         }
@@ -57,8 +57,8 @@
     }
 }
 
-/// Connections that knock at an address.
-pub fn knocking(at: SocketAddr) -> usize {
+/// Number of pending connection attempts to an address.
+pub fn connecting(at: SocketAddr) -> usize {
     ports_to(at, SYN_SENT).len()
 }
 
@@ -67,7 +67,7 @@
     ports_to(at, ESTABLISHED)
 }
 
-/// States of `/proc/net/tcp`.
+// Connection states of `/proc/net/tcp`.
 const ESTABLISHED: &str = "01";
 const SYN_SENT: &str = "02";
 
--- a/crates/badgerwind-standins/src/platform/mod.rs
+++ b/crates/badgerwind-standins/src/platform/mod.rs
@@ -1,22 +1,23 @@
-//! The platform's side of its protocol: a web server's connection, an executor and a notice board, each scripted by its
-//! test. On threads of their own and blocking sockets, so that they share no code of I/O with what they stand against.
+//! The platform's side of the platform front's protocols: a web server's connection, an executor and a
+//! service discovery server, each scripted by its test. They use threads and blocking sockets, and so share
+//! no I/O code with the gateway.
 
-pub mod board;
 pub mod connect_flood;
-pub mod door;
+pub mod discovery;
 pub mod executor;
+pub mod full_backlog;
 pub mod web;
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The longest that a stand-in waits for anything.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Longest time that a stand-in waits for anything.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds; false where it did not within [`LONG`].
-pub fn until(mut holds: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + LONG;
+/// Waits until a condition holds; returns false if it does not within [`TIMEOUT`].
+pub fn wait_until(mut holds: impl FnMut() -> bool) -> bool {
+    let end = Instant::now() + TIMEOUT;
     while Instant::now() < end {
         if holds() {
             return true;
@@ -26,14 +27,14 @@
     false
 }
 
-/// An entry of the list, as `known` holds it.
-pub fn member(id: u32, address: SocketAddr, phase: &str) -> Value {
+/// An executor of the list in the configuration's `known`.
+pub fn list_member(id: u32, address: SocketAddr, phase: &str) -> Value {
     json!({"id": format!("s-{id:08x}"), "host_port": address, "locality": "east", "flavor": "std", "cell": 0,
            "phase": phase, "size": 4, "up_since_ms": 0})
 }
 
 /// A configuration with one repeatable class (`look`) and one that must not run twice (`book`).
-pub fn configuration(listen: SocketAddr, board: SocketAddr, members: &[Value]) -> Value {
+pub fn configuration(listen: SocketAddr, discovery: SocketAddr, members: &[Value]) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim": 500_000, "hardLimit": 3_000_000, "effect": effect, "group": "all",
                "worth": 1.0, "lateWorth": 0.2, "window": 5_000_000, "streaming": false})
@@ -41,7 +42,7 @@
     json!({
         "name": "n0", "listen": listen, "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256},
-        "board": board,
+        "board": discovery,
         "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"revision": 1, "complete": true, "members": members}}]},
         "settings": {
             "allowed": {"connectTimeout": 250_000, "idleClose": 30_000_000, "maxAttempts": 4, "maxRetryAfter": 2_000_000,
--- a/crates/badgerwind-standins/src/platform/web.rs
+++ b/crates/badgerwind-standins/src/platform/web.rs
@@ -1,45 +1,45 @@
-//! A web server's connection to a front end.
+//! A web server's FastCGI connection to a front end.
 
-use super::LONG;
+use super::TIMEOUT;
 use badgerwind_platform::fcgi::{self, Decoder};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// An answer, as it came.
+/// A received answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// The request's number.
+    /// FastCGI id of the request.
     pub number: u16,
-    /// CGI status; 0 where none came.
+    /// CGI status; 0 if there was none.
     pub status: u16,
-    /// `Srv-Wait-Ms`, where it came.
-    pub stay_away: Option<u64>,
-    /// The body.
+    /// `Srv-Wait-Ms`, if present.
+    pub retry_after_ms: Option<u64>,
+    /// Body.
     pub body: Vec<u8>,
-    /// The protocol status of its end.
-    pub ended: u8,
+    /// FastCGI protocol status of the end record.
+    pub protocol_status: u8,
 }
 
-/// What a request says; change what a test is about.
+/// The contents of a request; a test changes the fields that matter to it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct WebRequest {
     /// `Req-Id`.
     pub id: String,
-    /// The class.
+    /// Class of the call.
     pub class: String,
     /// `Req-Key`.
     pub key: String,
     /// `Req-Wait-Ms`.
     pub wait_ms: u64,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-impl Ask {
-    /// A request of class `look`, told from others by its number.
-    pub fn new(n: u64) -> Ask {
-        Ask {
+impl WebRequest {
+    /// A request of class `look`, with an id and a body derived from `n`.
+    pub fn new(n: u64) -> WebRequest {
+        WebRequest {
             id: format!("{n:016x}"),
             class: "look".into(),
             key: "7f3a9c21e0b4d655".into(),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Its records.
+    /// Encodes the FastCGI records of the request.
     pub fn records(&self, number: u16) -> Vec<u8> {
         let (mut out, mut params) = (Vec::new(), Vec::new());
         for (name, value) in [
@@ -68,43 +68,43 @@
     }
 }
 
-/// A connection.
-pub struct Web {
+/// A connection of a web server.
+pub struct WebConnection {
     stream: TcpStream,
     decoder: Decoder,
-    coming: BTreeMap<u16, Vec<u8>>,
+    partial: BTreeMap<u16, Vec<u8>>,
     ready: Vec<Answer>,
 }
 
-impl Web {
-    /// Connects.
-    pub fn connect(to: SocketAddr) -> io::Result<Web> {
+impl WebConnection {
+    /// Connects to a front end.
+    pub fn connect(to: SocketAddr) -> io::Result<WebConnection> {
         let stream = TcpStream::connect(to)?;
-        stream.set_read_timeout(Some(LONG))?;
-        stream.set_write_timeout(Some(LONG))?;
+        stream.set_read_timeout(Some(TIMEOUT))?;
+        stream.set_write_timeout(Some(TIMEOUT))?;
         stream.set_nodelay(true)?;
-        Ok(Web { stream, decoder: Decoder::default(), coming: BTreeMap::new(), ready: Vec::new() })
+        Ok(WebConnection { stream, decoder: Decoder::default(), partial: BTreeMap::new(), ready: Vec::new() })
     }
 
-    /// Writes bytes as they are.
+    /// Writes raw bytes.
     pub fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
     /// Sends a request.
-    pub fn ask(&mut self, number: u16, ask: &Ask) -> io::Result<()> {
-        self.write(&ask.records(number))
+    pub fn send(&mut self, number: u16, request: &WebRequest) -> io::Result<()> {
+        self.write(&request.records(number))
     }
 
-    /// Withdraws one.
+    /// Aborts a request.
     pub fn abort(&mut self, number: u16) -> io::Result<()> {
         let mut out = Vec::new();
         fcgi::record(&mut out, fcgi::ABORT_REQUEST, number, b"");
         self.write(&out)
     }
 
-    /// Asks whether the front end serves.
-    pub fn healthy(&mut self, number: u16) -> io::Result<()> {
+    /// Sends a health check.
+    pub fn send_health_check(&mut self, number: u16) -> io::Result<()> {
         let (mut out, mut params) = (Vec::new(), Vec::new());
         fcgi::pair(&mut params, b"SCRIPT_NAME", b"/-/healthy");
         fcgi::record(&mut out, fcgi::BEGIN_REQUEST, number, &[0, 1, 1, 0, 0, 0, 0, 0]);
@@ -113,7 +113,7 @@
         self.write(&out)
     }
 
-    /// The next whole answer; an error at the connection's end.
+    /// Receives the next complete answer; an error at the end of the connection.
     pub fn answer(&mut self) -> io::Result<Answer> {
         let mut buf = [0u8; 8192];
         while self.ready.is_empty() {
@@ -123,21 +123,21 @@
             };
             let mut rest = &buf[..n];
             while let Some(p) = self.decoder.next(&mut rest).map_err(io::Error::other)? {
-                let coming = self.coming.entry(p.head.number).or_default();
+                let partial = self.partial.entry(p.head.number).or_default();
                 if p.head.kind == fcgi::STDOUT {
-                    coming.extend_from_slice(p.bytes);
+                    partial.extend_from_slice(p.bytes);
                 } else if p.head.kind == fcgi::END_REQUEST && p.last {
-                    let ended = p.bytes.get(4).copied().unwrap_or(255);
-                    let text = self.coming.remove(&p.head.number).unwrap_or_default();
-                    self.ready.push(read(p.head.number, &text, ended));
+                    let protocol_status = p.bytes.get(4).copied().unwrap_or(255);
+                    let text = self.partial.remove(&p.head.number).unwrap_or_default();
+                    self.ready.push(parse_answer(p.head.number, &text, protocol_status));
                 }
             }
         }
         Ok(self.ready.remove(0))
     }
 
-    /// Reads until the connection ends; what came of answers is left out.
-    pub fn closed(&mut self) -> bool {
+    /// Reads until the connection ends, ignoring answers; returns false on a timeout.
+    pub fn wait_closed(&mut self) -> bool {
         loop {
             match self.answer() {
                 Ok(_) => {}
@@ -147,12 +147,12 @@
     }
 }
 
-fn read(number: u16, text: &[u8], ended: u8) -> Answer {
+fn parse_answer(number: u16, text: &[u8], protocol_status: u8) -> Answer {
     let at = text.windows(4).position(|w| w == b"\r\n\r\n");
     let (head, body) = at.map_or((text, &b""[..]), |at| (&text[..at], &text[at + 4..]));
     let head = String::from_utf8_lossy(head);
     let field = |name: &str| head.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "));
     let status = field("Status").and_then(|s| s.get(..3)?.parse().ok()).unwrap_or(0);
-    let stay_away = field("Srv-Wait-Ms").and_then(|v| v.parse().ok());
-    Answer { number, status, stay_away, body: body.to_vec(), ended }
+    let retry_after_ms = field("Srv-Wait-Ms").and_then(|v| v.parse().ok());
+    Answer { number, status, retry_after_ms, body: body.to_vec(), protocol_status }
 }
--- a/crates/badgerwind-standins/src/relay.rs
+++ b/crates/badgerwind-standins/src/relay.rs
@@ -1,5 +1,5 @@
-//! A link between two parties: connections pass through it, each direction as told. Silence leaves connections open; what was
-//! under way then is lost to both, as behind a switch that died.
+//! A TCP relay with faults that can be set for each direction. A silent link leaves its connections open, and
+//! bytes that were in transit when it fell silent are lost, as behind a failed switch.
 
 use async_channel::{Receiver, Sender};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -8,40 +8,40 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How bytes of one direction fare.
+/// Treatment of the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// They pass.
+    /// Bytes pass.
     #[default]
     Open,
-    /// Each piece comes so much later.
-    Late(Duration),
-    /// Nothing passes, and nobody is told.
+    /// Each chunk is delayed by this time.
+    Delayed(Duration),
+    /// Nothing passes, and the connections stay open.
     Silent,
 }
 
-/// How a link fares.
+/// State of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Link {
-    /// Towards the listener.
-    pub there: Flow,
-    /// Back.
-    pub back: Flow,
-    /// New connections are closed at once, and those that stand are broken.
+    /// Direction towards the listener.
+    pub forward: Flow,
+    /// Direction towards the caller.
+    pub backward: Flow,
+    /// New connections are closed at once, and existing ones are ended.
     pub broken: bool,
 }
 
 #[derive(Default)]
 struct Shared {
     link: Link,
-    /// One for each direction of each connection: a change wakes them.
-    woken: Vec<Sender<()>>,
+    /// One per direction of each connection, to wake it on a change.
+    wakers: Vec<Sender<()>>,
 }
 
-/// A running link. Ends with its handle.
+/// A running link; it ends when dropped.
 pub struct Relay {
-    /// Where it listens.
-    pub at: SocketAddr,
+    /// The address on which it listens.
+    pub address: SocketAddr,
     shared: Arc<Mutex<Shared>>,
     _task: smol::Task<()>,
 }
@@ -51,11 +51,11 @@
 }
 
 impl Relay {
-    /// A link to a listener.
+    /// Starts a link to a listener.
     pub async fn start(to: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (at, shared) = (listener.local_addr()?, Arc::new(Mutex::new(Shared::default())));
-        let links = shared.clone();
+        let (address, shared) = (listener.local_addr()?, Arc::new(Mutex::new(Shared::default())));
+        let own = shared.clone();
         let task = smol::spawn(async move {
             let mut connections = Vec::new();
             loop {
@@ -64,68 +64,69 @@
                     continue;
                 };
                 connections.retain(|c: &smol::Task<()>| !c.is_finished());
-                let links = links.clone();
-                // Dropped unasked, it closes at once: a broken link.
-                if !lock(&links).link.broken {
-                    connections.push(smol::spawn(lead(near, to, links)));
+                let shared = own.clone();
+                // On a broken link the connection is dropped, which closes it at once.
+                if !lock(&own).link.broken {
+                    connections.push(smol::spawn(relay_connection(near, to, shared)));
                 }
             }
         });
-        Ok(Relay { at, shared, _task: task })
+        Ok(Relay { address, shared, _task: task })
     }
 
-    /// From now on it fares like this.
+    /// Sets the state of the link.
     pub fn set(&self, link: Link) {
         let mut shared = lock(&self.shared);
         shared.link = link;
-        shared.woken.retain(|w| !w.is_closed());
-        shared.woken.iter().for_each(|w| _ = w.try_send(())); // full: it is about to look anyway
+        shared.wakers.retain(|w| !w.is_closed());
+        shared.wakers.iter().for_each(|w| _ = w.try_send(())); // full: a wake-up is pending
     }
 }
 
-/// Bytes that a silent link keeps of what one side sends, as the sender's own window would; beyond them it reads no more.
-const MOST_KEPT: usize = 64 * 1024;
-/// Pause after a connection could not be accepted, most likely for want of descriptors.
+/// Bytes that a silent link buffers of one direction, like a TCP window; beyond them it stops reading.
+const MAX_BUFFERED: usize = 64 * 1024;
+/// Pause after a failed accept, which is most likely due to a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-async fn lead(mut near: TcpStream, to: SocketAddr, shared: Arc<Mutex<Shared>>) {
-    // Where nothing passes a connection does not come up either; the caller gives up by itself, and its connection ends then.
-    let mut kept = Vec::new();
+async fn relay_connection(mut near: TcpStream, to: SocketAddr, shared: Arc<Mutex<Shared>>) {
+    // While nothing passes, no connection to the listener is made; the caller's connection ends when the
+    // caller gives up.
+    let mut buffered = Vec::new();
     let far = loop {
         let link = lock(&shared).link;
         if link.broken {
             return;
         }
-        if link.there != Flow::Silent && link.back != Flow::Silent {
+        if link.forward != Flow::Silent && link.backward != Flow::Silent {
             match TcpStream::connect(to).await {
                 Ok(far) => break far,
                 Err(_) => return,
             }
         }
-        let look = async {
+        let poll = async {
             smol::Timer::after(Duration::from_millis(5)).await;
             true
         };
-        if !keep(&mut near, &mut kept).or(look).await {
+        if !buffer(&mut near, &mut buffered).or(poll).await {
             return;
         }
     };
-    let there = pass(near.clone(), far.clone(), kept, |l| l.there, &shared);
-    let back = pass(far.clone(), near.clone(), Vec::new(), |l| l.back, &shared);
-    // One side's end is the other's: these protocols have no half-closed connections.
-    there.or(back).await;
+    let forward = pass(near.clone(), far.clone(), buffered, |l| l.forward, &shared);
+    let backward = pass(far.clone(), near.clone(), Vec::new(), |l| l.backward, &shared);
+    // The end of one direction ends both: these protocols have no half-closed connections.
+    forward.or(backward).await;
     let _ = (near.shutdown(std::net::Shutdown::Both), far.shutdown(std::net::Shutdown::Both));
 }
 
-/// Keeps what comes while nothing passes; false once the sender has ended the connection.
-async fn keep(from: &mut TcpStream, kept: &mut Vec<u8>) -> bool {
-    if kept.len() >= MOST_KEPT {
+/// Buffers received bytes while nothing passes; returns false once the sender has ended the connection.
+async fn buffer(from: &mut TcpStream, buffered: &mut Vec<u8>) -> bool {
+    if buffered.len() >= MAX_BUFFERED {
         futures_lite::future::pending::<()>().await;
     }
     let mut buf = vec![0u8; 4 * 1024];
     match from.read(&mut buf).await {
         Ok(n) if n > 0 => {
-            kept.extend_from_slice(&buf[..n]);
+            buffered.extend_from_slice(&buf[..n]);
             true
         }
         _ => false,
@@ -135,16 +136,16 @@
 async fn pass(
     mut from: TcpStream,
     mut to: TcpStream,
-    mut kept: Vec<u8>,
+    mut buffered: Vec<u8>,
     flow: fn(&Link) -> Flow,
     shared: &Mutex<Shared>,
 ) {
     let (wake, woken): (Sender<()>, Receiver<()>) = async_channel::bounded(1);
     {
-        // Those of connections that have ended go: what is kept is bounded by what stands.
+        // Removes the wakers of ended connections, so that their number is bounded by the open ones.
         let mut shared = lock(shared);
-        shared.woken.retain(|w| !w.is_closed());
-        shared.woken.push(wake);
+        shared.wakers.retain(|w| !w.is_closed());
+        shared.wakers.push(wake);
     }
     let mut buf = vec![0u8; 16 * 1024];
     loop {
@@ -153,14 +154,14 @@
             return;
         }
         if flow(&link) == Flow::Silent {
-            // The sender hears nothing; what it sent comes once something passes again.
+            // What the sender sends is delivered once bytes pass again.
             let changed = async { woken.recv().await.is_ok() };
-            if !keep(&mut from, &mut kept).or(changed).await {
+            if !buffer(&mut from, &mut buffered).or(changed).await {
                 return;
             }
             continue;
         }
-        if !kept.is_empty() && to.write_all(&std::mem::take(&mut kept)).await.is_err() {
+        if !buffered.is_empty() && to.write_all(&std::mem::take(&mut buffered)).await.is_err() {
             return;
         }
         let read = async { Some(from.read(&mut buf).await) };
@@ -175,8 +176,8 @@
         };
         let link = lock(shared).link;
         match flow(&link) {
-            Flow::Late(by) => _ = smol::Timer::after(by).await,
-            // It was under way when silence fell: nobody will have it.
+            Flow::Delayed(by) => _ = smol::Timer::after(by).await,
+            // In transit when the link fell silent: these bytes are lost.
             Flow::Silent => continue,
             Flow::Open => {}
         }
--- a/crates/badgerwind-standins/src/reserved.rs
+++ b/crates/badgerwind-standins/src/reserved.rs
@@ -1,4 +1,4 @@
-//! Addresses that are kept for a server that starts later, perhaps as another process and more than once.
+//! Reserved addresses for servers that start later, possibly in another process and more than once.
 
 use rustix::net::{bind, getsockname, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
 use std::io;
@@ -6,9 +6,10 @@
 use std::os::fd::OwnedFd;
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// A TCP port of the loopback address which the system gives to nobody else while this lives: neither to a socket that asks
-/// for any port, nor to a connection as its own end. A server that names it can listen there, since both sockets allow the
-/// address to be reused and this one never listens; until then connections to it are refused.
+/// A TCP port of the loopback address that the system assigns to nobody else while this value exists: neither
+/// to a socket that binds any free port, nor to an outgoing connection. A server can still listen on it
+/// explicitly, since both sockets set `SO_REUSEADDR` and this one never listens. Until then connections to it
+/// are refused.
 #[derive(Debug)]
 pub struct ReservedPort {
     address: SocketAddr,
@@ -26,12 +27,12 @@
         Ok(ReservedPort { address, _socket: socket })
     }
 
-    /// Listens there in this process.
+    /// Listens on the port in this process.
     pub fn listen(&self) -> io::Result<TcpListener> {
         TcpListener::bind(self.address)
     }
 
-    /// Where the server is to listen.
+    /// The reserved address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -40,11 +41,11 @@
 /// The first port of [`unused_address`].
 const FIRST_PORT: u16 = 10_000;
 
-/// An address where nobody listens and which nobody else is given: the IP address belongs to this process alone among those
-/// that use this function, and each call gives another port. For UDP, where no second socket can hold the port meanwhile.
+/// Returns an address that is not in use: the IP address is unique to this process among those that use this
+/// function, and each call returns another port. For UDP, where no second socket can reserve the port.
 pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(FIRST_PORT);
-    // Process numbers have 22 bits; the second byte is 192 at the least, far from the usual loopback address.
+    // Process ids have 22 bits; the second byte is at least 192, far from the usual loopback address.
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let address = Ipv4Addr::new(127, 192 | high, middle, low);
     SocketAddr::from((address, NEXT.fetch_add(1, Ordering::Relaxed)))
