--- a/crates/badgerwind-standins/src/runner.rs
+++ b/crates/badgerwind-standins/src/runner.rs
@@ -1,11 +1,11 @@
-//! A runner on a socket, after `docs/protocols/runner.md`, with commands for faults.
+//! A runner's HTTP server, as specified in `docs/protocols/runner.md`, with commands that inject faults.
 //!
-//! `POST /standin/fault` with `{"on": true, "fault": "hang"}` and the like, `/standin/drain` with `{"on": true}`,
-//! `/standin/release` with `{}`.
+//! Commands: `POST /standin/fault` with for example `{"on": true, "fault": "hang"}`, `/standin/drain` with
+//! `{"on": true}`, `/standin/release` with `{}`.
 
-use crate::fenced::{Fenced, How, Said};
+use crate::fenced::{AttemptEnd, Fenced, LedgerAnswer};
 use crate::keys::{Claim, Keys};
-use crate::model::{CallIn, Fault, Out, Runner, Spec};
+use crate::model::{Action, Fault, IncomingCall, Runner, Spec};
 use crate::record::{now, Recorder};
 use badgerwind::interface::{CopyMark, Outcome};
 use badgerwind_attempts::Fence;
@@ -20,58 +20,58 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A runner's own settings.
+/// Settings of a runner.
 #[derive(Clone)]
 pub struct Options {
     /// Its id in the list.
     pub id: u32,
-    /// What it is made of.
+    /// Properties of the modelled runner.
     pub spec: Spec,
-    /// It has just started; else it has been warm for long.
+    /// Whether the runner starts cold; otherwise it starts warm.
     pub cold: bool,
-    /// The handler store; without one, fetches take no time.
+    /// Address of the handler store; without one, fetches take no time.
     pub store: Option<SocketAddr>,
-    /// Who may call; `None`: signatures are not looked at.
+    /// Keys of the front ends; `None` disables the check of signatures.
     pub keys: Option<KeyRing>,
-    /// Classes whose repeats its group drops, and what the group remembers.
+    /// The group that drops repeats of a key.
     pub group: Option<Group>,
-    /// Classes that its group fences, and the group's ledger.
+    /// The fenced classes, and the ledger of the group.
     pub fenced: Option<Fenced>,
-    /// Where it writes down what it sees.
+    /// Recorder of the observed events.
     pub recorder: Recorder,
-    /// It is met under TLS.
+    /// TLS settings of the server; `None` for plain TCP.
     pub tls: Option<ServerTls>,
 }
 
-/// A group of runners of one process that share what keys they have seen.
+/// A group of runners of one process that share the keys they have seen.
 #[derive(Clone)]
 pub struct Group {
-    /// The classes.
+    /// Classes whose repeats are dropped.
     pub classes: Vec<String>,
-    /// The memory.
+    /// The shared keys.
     pub keys: Arc<Mutex<Keys>>,
 }
 
-/// What a call's body says of its work; a stand-in has no other way to know. Anything else counts as 1 ms.
+/// The work of a call, given by its body. A body of another form counts as 1 ms of work.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Work {
-    /// Microseconds of a core of speed 1.
+    /// Work in microseconds of a core of speed 1.
     pub work_us: f64,
-    /// The mean of its class.
+    /// Mean work of the class.
     pub mean_us: f64,
 }
 
-/// A command that begins or takes back a fault.
+/// A command that starts or ends a fault.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FaultCommand {
-    /// Begins, or takes back.
+    /// Whether the fault starts or ends.
     pub on: bool,
-    /// Which.
+    /// The fault.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-/// A command that switches something.
+/// A command that turns a mode on or off.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Switch {
     /// On or off.
@@ -83,21 +83,21 @@
     Break,
 }
 
-struct CallHere {
+struct ActiveCall {
     request: String,
     attempt: u32,
     reply: async_channel::Sender<Reply>,
-    /// The key that its group holds for it.
+    /// The key claimed in the group.
     key: Option<String>,
-    /// What the ledger holds for it: key and fence, and whether it ran.
-    let_in: Option<(String, Fence, bool)>,
+    /// Key and fence with which the ledger admitted it, and whether it ran.
+    admission: Option<(String, Fence, bool)>,
 }
 
 struct Inner {
     model: Runner,
     next: u64,
-    calls: HashMap<u64, CallHere>,
-    by_name: HashMap<(String, u32), u64>,
+    calls: HashMap<u64, ActiveCall>,
+    by_attempt: HashMap<(String, u32), u64>,
     orders: HashMap<u64, async_channel::Sender<(Outcome, u32)>>,
     hangs: bool,
 }
@@ -105,38 +105,38 @@
 struct Server {
     options: Options,
     inner: Mutex<Inner>,
-    nudge: async_channel::Sender<()>,
+    wake: async_channel::Sender<()>,
     store: Option<Arc<Pool>>,
 }
 
-/// Serves for ever, or until the runner falls over: then the process ends, as a machine that is down.
+/// Serves without end, or until the runner is overloaded: then the process exits, like a failed machine.
 pub async fn serve(listener: TcpListener, options: Options) {
     if options.cold {
         options.recorder.add(Event::RunnerStarted { runner: options.id });
     }
     let tls = options.tls.clone();
-    let (nudge, nudged) = async_channel::bounded(1);
+    let (wake, woken) = async_channel::bounded(1);
     let inner = Inner {
         model: Runner::new(now(), options.spec.clone(), options.cold),
         next: 0,
         calls: HashMap::new(),
-        by_name: HashMap::new(),
+        by_attempt: HashMap::new(),
         orders: HashMap::new(),
         hangs: false,
     };
     let store = options.store.map(|a| Arc::new(crate::pool(a, 64)));
-    let server = Arc::new(Server { options, inner: Mutex::new(inner), nudge, store });
+    let server = Arc::new(Server { options, inner: Mutex::new(inner), wake, store });
     let ticking = server.clone();
     let tick = smol::spawn(async move {
         loop {
-            ticking.step(|model, out| model.poll(now(), out));
+            ticking.step(|model, actions| model.poll(now(), actions));
             let next = ticking.lock().model.next(now());
             let due =
                 next.map_or(Duration::from_secs(1), |at| Duration::from_micros(at.saturating_sub(now())));
             let timer = async {
                 smol::Timer::after(due.min(Duration::from_secs(1))).await;
             };
-            futures_lite::future::or(timer, async { _ = nudged.recv().await }).await;
+            futures_lite::future::or(timer, async { _ = woken.recv().await }).await;
         }
     });
     crate::accept(listener, tls, move |conn| {
@@ -152,32 +152,32 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something to the model and carries out what follows.
-    fn step<T>(self: &Arc<Self>, work: impl FnOnce(&mut Runner, &mut Vec<Out>) -> T) -> T {
+    /// Applies an operation to the model and executes the resulting actions.
+    fn step<T>(self: &Arc<Self>, operation: impl FnOnce(&mut Runner, &mut Vec<Action>) -> T) -> T {
         let mut inner = self.lock();
-        let mut out = Vec::new();
-        let result = work(&mut inner.model, &mut out);
-        for o in out {
-            self.carry(&mut inner, o);
+        let mut actions = Vec::new();
+        let result = operation(&mut inner.model, &mut actions);
+        for action in actions {
+            self.execute(&mut inner, action);
         }
         result
     }
 
-    fn carry(self: &Arc<Self>, inner: &mut Inner, out: Out) {
+    fn execute(self: &Arc<Self>, inner: &mut Inner, action: Action) {
         let runner = self.options.id;
-        match out {
-            Out::Answer { call, outcome, mark, crowd } => {
+        match action {
+            Action::Answer { call, outcome, mark, crowd } => {
                 let Some(here) = inner.calls.remove(&call) else { return };
-                self.release(&here);
+                self.end_call(&here);
                 let word = runner::outcome_word(outcome).unwrap_or("error");
                 let (request, attempt) = (here.request.clone(), here.attempt);
                 self.options.recorder.add(Event::Replied { runner, request, attempt, outcome: word.into() });
-                inner.by_name.remove(&(here.request, here.attempt));
+                inner.by_attempt.remove(&(here.request, here.attempt));
                 let _ = here.reply.try_send(Reply::Answer { outcome, mark, crowd });
             }
-            Out::Finished { call } => {
+            Action::Finished { call } => {
                 if let Some(here) = inner.calls.get_mut(&call) {
-                    if let Some((_, _, ran)) = &mut here.let_in {
+                    if let Some((_, _, ran)) = &mut here.admission {
                         *ran = true;
                     }
                     let (request, attempt) = (here.request.clone(), here.attempt);
@@ -187,15 +187,15 @@
                     }
                 }
             }
-            Out::Break { call } => {
+            Action::Break { call } => {
                 let Some(here) = inner.calls.remove(&call) else { return };
-                self.release(&here);
+                self.end_call(&here);
                 let (request, attempt) = (here.request.clone(), here.attempt);
                 self.options.recorder.add(Event::Aborted { runner, request, attempt });
-                inner.by_name.remove(&(here.request, here.attempt));
+                inner.by_attempt.remove(&(here.request, here.attempt));
                 let _ = here.reply.try_send(Reply::Break);
             }
-            Out::Fetch { load, function } => {
+            Action::Fetch { load, function } => {
                 let server = self.clone();
                 smol::spawn(async move {
                     let ok = match &server.store {
@@ -207,18 +207,18 @@
                             store.exchange(&fetch).await.is_ok_and(|(head, _)| head.status == 200)
                         }
                     };
-                    server.step(|model, out| model.fetched(now(), load, ok, out));
-                    let _ = server.nudge.try_send(());
+                    server.step(|model, actions| model.on_fetch_end(now(), load, ok, actions));
+                    let _ = server.wake.try_send(());
                 })
                 .detach();
             }
-            Out::Ordered { order, outcome, copies } => {
+            Action::Ordered { order, outcome, copies } => {
                 if let Some(reply) = inner.orders.remove(&order) {
                     let _ = reply.try_send((outcome, copies));
                 }
             }
-            Out::FellOver => {
-                eprintln!("runner {runner} was pushed over");
+            Action::Overloaded => {
+                eprintln!("runner {runner} was overloaded while cold");
                 std::process::exit(3);
             }
         }
@@ -229,12 +229,15 @@
         Some(group.keys.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// A call is over: its key is free again, unless it ran; the ledger is told.
-    fn release(&self, here: &CallHere) {
-        if let (Some(fenced), Some((key, fence, ran))) = (&self.options.fenced, &here.let_in) {
-            let how =
-                if *ran { How::Ran(format!("{{\"runner\":{}}}", self.options.id)) } else { How::NeverRan };
-            fenced.ended(key.clone(), *fence, how);
+    /// Ends a call: releases its key unless the call ran, and reports the end to the ledger.
+    fn end_call(&self, here: &ActiveCall) {
+        if let (Some(fenced), Some((key, fence, ran))) = (&self.options.fenced, &here.admission) {
+            let end = if *ran {
+                AttemptEnd::Ran(format!("{{\"runner\":{}}}", self.options.id))
+            } else {
+                AttemptEnd::NeverRan
+            };
+            fenced.report_end(key.clone(), *fence, end);
         }
         if let (Some(key), Some(mut keys)) = (&here.key, self.keys()) {
             keys.release(key);
@@ -256,7 +259,7 @@
                         conn.gone().await;
                         return;
                     }
-                    let stopped = attempt.parse().is_ok_and(|n| self.stop(request, n));
+                    let stopped = attempt.parse().is_ok_and(|n| self.cancel_attempt(request, n));
                     crate::empty(if stopped { 200 } else { 404 })
                 }
                 ("POST", ["", "v2", "repository", "models", function, "load"]) => {
@@ -266,7 +269,7 @@
                     }
                 }
                 ("POST", ["", "v2", "repository", "models", function, "unload"]) => {
-                    self.step(|model, out| model.unload(now(), function, out));
+                    self.step(|model, actions| model.unload(now(), function, actions));
                     crate::empty(200)
                 }
                 ("GET", _) if path == runner::READY_PATH => {
@@ -276,7 +279,7 @@
                     }
                     crate::empty(200)
                 }
-                ("POST", ["", "standin", what]) => self.commanded(what, &body),
+                ("POST", ["", "standin", name]) => self.command(name, &body),
                 _ => crate::empty(404),
             };
             if conn.respond(&response, head.keeps_alive()).await.is_err() || !head.keeps_alive() {
@@ -285,50 +288,50 @@
         }
     }
 
-    fn commanded(self: &Arc<Self>, what: &str, body: &[u8]) -> Response {
-        let done = match what {
+    fn command(self: &Arc<Self>, name: &str, body: &[u8]) -> Response {
+        let done = match name {
             "fault" => serde_json::from_slice::<FaultCommand>(body).map(|c| {
                 if c.fault == Fault::Hang {
                     self.lock().hangs = c.on;
                 }
-                self.step(|model, _| model.fault(now(), c.fault, c.on));
+                self.step(|model, _| model.set_fault(now(), c.fault, c.on));
             }),
-            "drain" => serde_json::from_slice::<Switch>(body).map(|c| self.lock().model.drain(c.on)),
+            "drain" => serde_json::from_slice::<Switch>(body).map(|c| self.lock().model.set_draining(c.on)),
             "release" => {
-                self.step(|model, out| model.release(now(), out));
+                self.step(|model, actions| model.discard_idle_copies(now(), actions));
                 Ok(())
             }
             _ => return crate::empty(404),
         };
-        let _ = self.nudge.try_send(());
+        let _ = self.wake.try_send(());
         match done {
             Ok(()) => crate::empty(200),
             Err(e) => Response::new(400, "text/plain", e.to_string().into_bytes()),
         }
     }
 
-    /// Stops an attempt; false where none of that name is here.
-    fn stop(self: &Arc<Self>, request: &str, attempt: u32) -> bool {
-        let id = self.lock().by_name.get(&(request.to_owned(), attempt)).copied();
-        id.is_some_and(|id| self.leave(id))
+    /// Cancels an attempt; returns false if it is not here.
+    fn cancel_attempt(self: &Arc<Self>, request: &str, attempt: u32) -> bool {
+        let id = self.lock().by_attempt.get(&(request.to_owned(), attempt)).copied();
+        id.is_some_and(|id| self.cancel(id))
     }
 
-    fn leave(self: &Arc<Self>, id: u64) -> bool {
-        // First the model, under its lock: what it answers at this moment stands.
-        let held = self.step(|model, out| model.leave(now(), id, out));
+    fn cancel(self: &Arc<Self>, id: u64) -> bool {
+        // Cancels in the model first, under its lock: an answer that it gives at this moment remains valid.
+        let was_held = self.step(|model, actions| model.cancel(now(), id, actions));
         let mut inner = self.lock();
-        let Some(here) = inner.calls.remove(&id) else { return held };
-        inner.by_name.remove(&(here.request.clone(), here.attempt));
-        self.release(&here);
+        let Some(here) = inner.calls.remove(&id) else { return was_held };
+        inner.by_attempt.remove(&(here.request.clone(), here.attempt));
+        self.end_call(&here);
         let (runner, request, attempt) = (self.options.id, here.request, here.attempt);
         self.options.recorder.add(Event::Aborted { runner, request, attempt });
         let reply = Reply::Answer { outcome: Outcome::Cancelled, mark: CopyMark::Untold, crowd: 0 };
         let _ = here.reply.try_send(reply);
-        let _ = self.nudge.try_send(());
+        let _ = self.wake.try_send(());
         true
     }
 
-    /// A call, to its answer; `None` where the connection is to close.
+    /// Serves a call and returns its answer; `None` closes the connection.
     async fn call(
         self: &Arc<Self>,
         conn: &mut Conn<Stream>,
@@ -348,7 +351,7 @@
         let attempt: u32 = attempt.parse().ok()?;
         let work: Work = serde_json::from_slice(body).unwrap_or(Work { work_us: 1000.0, mean_us: 1000.0 });
         let class = header(runner::CLASS).unwrap_or("").to_owned();
-        let call = CallIn {
+        let call = IncomingCall {
             function: function.to_owned(),
             memory_mb: header(runner::MEMORY).and_then(|v| v.parse().ok()).unwrap_or(1.0),
             lanes: header(runner::LANES).and_then(|v| v.parse().ok()).unwrap_or(1),
@@ -373,12 +376,14 @@
         });
         let fence = header(runner::FENCE).and_then(Fence::parse);
         let fenced = self.options.fenced.as_ref().filter(|f| f.classes.contains(&class)).zip(fence);
-        let said = match fenced {
+        let ledger_answer = match fenced {
             Some((fenced, fence)) => fenced.admit(&key, fence).await,
-            None => Said::Run,
+            None => LedgerAnswer::Run,
         };
-        let let_in = fenced.filter(|_| said == Said::Run).map(|(_, fence)| (key.clone(), fence, false));
-        if let_in.is_some() {
+        let admission = fenced
+            .filter(|_| ledger_answer == LedgerAnswer::Run)
+            .map(|(_, fence)| (key.clone(), fence, false));
+        if admission.is_some() {
             let (runner, request) = (self.options.id, request.to_owned());
             self.options.recorder.add(Event::Admitted { runner, request, attempt });
         }
@@ -388,28 +393,30 @@
             inner.next += 1;
             let id = inner.next;
             let key = (grouped && claim == Claim::Fresh).then_some(key);
-            inner.calls.insert(id, CallHere { request: request.to_owned(), attempt, reply, key, let_in });
-            inner.by_name.insert((request.to_owned(), attempt), id);
+            inner
+                .calls
+                .insert(id, ActiveCall { request: request.to_owned(), attempt, reply, key, admission });
+            inner.by_attempt.insert((request.to_owned(), attempt), id);
             id
         };
-        let turned = match &said {
-            Said::Run => None,
-            Said::Ran(_) => Some(Outcome::Ok),
-            Said::Busy | Said::Stale | Said::Full => Some(Outcome::Full),
-            Said::Doubt => Some(Outcome::Error),
+        let ledger_outcome = match &ledger_answer {
+            LedgerAnswer::Run => None,
+            LedgerAnswer::Ran(_) => Some(Outcome::Ok),
+            LedgerAnswer::Busy | LedgerAnswer::Stale | LedgerAnswer::Full => Some(Outcome::Full),
+            LedgerAnswer::InDoubt => Some(Outcome::Error),
         };
         match claim {
-            _ if turned.is_some() => self.step(|_, out| {
-                let outcome = turned.unwrap_or(Outcome::Full);
-                out.push(Out::Answer { call: id, outcome, mark: CopyMark::Untold, crowd: 0 });
+            _ if ledger_outcome.is_some() => self.step(|_, actions| {
+                let outcome = ledger_outcome.unwrap_or(Outcome::Full);
+                actions.push(Action::Answer { call: id, outcome, mark: CopyMark::Untold, crowd: 0 });
             }),
-            Claim::Fresh => self.step(|model, out| model.call(now(), id, call, out)),
-            Claim::Busy | Claim::Ran => self.step(|_, out| {
+            Claim::Fresh => self.step(|model, actions| model.call(now(), id, call, actions)),
+            Claim::Busy | Claim::Ran => self.step(|_, actions| {
                 let outcome = if claim == Claim::Ran { Outcome::Ok } else { Outcome::Full };
-                out.push(Out::Answer { call: id, outcome, mark: CopyMark::Untold, crowd: 0 });
+                actions.push(Action::Answer { call: id, outcome, mark: CopyMark::Untold, crowd: 0 });
             }),
         }
-        let _ = self.nudge.try_send(());
+        let _ = self.wake.try_send(());
         let gone = async {
             conn.gone().await;
             None
@@ -417,11 +424,11 @@
         let reply = futures_lite::future::or(async { replied.recv().await.ok() }, gone).await;
         match reply {
             None => {
-                self.leave(id);
+                self.cancel(id);
                 None
             }
             Some(Reply::Break) => {
-                // A head that promises a body, and no body.
+                // A response head that announces a body, without the body.
                 let _ = conn.respond_streaming(200, &[], false).await;
                 None
             }
@@ -465,9 +472,9 @@
             inner.orders.insert(id, reply);
             id
         };
-        let what = ((function, p.copies), (p.memory_mb, p.lanes));
-        self.step(|model, out| model.order(now(), id, what.0, what.1, out));
-        let _ = self.nudge.try_send(());
+        let (copies, size) = ((function, p.copies), (p.memory_mb, p.lanes));
+        self.step(|model, actions| model.order(now(), id, copies, size, actions));
+        let _ = self.wake.try_send(());
         let gone = async {
             conn.gone().await;
             None
--- a/crates/badgerwind-standins/src/senders.rs
+++ b/crates/badgerwind-standins/src/senders.rs
@@ -1,4 +1,5 @@
-//! Senders: signed webhooks at drawn moments, whatever comes back; patience; retries as their class allows.
+//! Senders: an open-loop load of signed webhooks at drawn times, with timeouts and the retries that each
+//! class allows.
 
 use crate::record::{now, Recorder};
 use crate::runner::Work;
@@ -14,93 +15,94 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A class of calls, as its senders know it.
+/// A class of calls, as configured at its senders.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its path; the function's name follows it.
+    /// URL path; the function's name is appended.
     pub path: String,
-    /// Its functions' names begin with this; a number follows.
+    /// Prefix of its functions' names; a number is appended.
     pub functions: String,
-    /// How many there are.
+    /// Number of functions.
     pub count: u32,
     /// Its share of the calls.
     pub share: f64,
     /// Mean work, in microseconds.
     pub mean_us: f64,
-    /// Patience for one try, in milliseconds.
-    pub patience_ms: u64,
-    /// Senders try again after any failure; else only after a refusal or where nothing was reached.
+    /// Timeout of one try, in milliseconds.
+    #[serde(rename = "patience_ms")]
+    pub timeout_ms: u64,
+    /// Whether senders retry after any failure; otherwise only after a refusal or a failed connection.
     pub repeatable: bool,
 }
 
-/// Traffic that differs for a while.
+/// A time span with different traffic.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Phase {
-    /// From, in microseconds after the start.
+    /// Start of the span, in microseconds after the start of the plan.
     pub from: u64,
-    /// To.
+    /// End of the span, in microseconds.
     pub to: u64,
-    /// Rate times this.
+    /// Factor on the rate of calls.
     pub rate: f64,
-    /// This share of the calls goes to one function of its class that was little used before.
+    /// Share of the calls that go to one rarely used function of their class.
     #[serde(default)]
     pub hot: f64,
-    /// Senders try again at once, and more often.
+    /// Senders retry without a wait, and more often.
     #[serde(default)]
     pub abuse: bool,
 }
 
-/// A day of senders.
+/// The load of a sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Plan {
-    /// The front ends.
+    /// Addresses of the front ends.
     pub fronts: Vec<SocketAddr>,
     /// The sender's name in the settings.
     pub sender: String,
-    /// Its tenant.
+    /// The sender's tenant.
     pub tenant: String,
-    /// Seed of everything drawn.
+    /// Seed of the random draws.
     pub seed: u64,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// How long new calls come, in microseconds.
+    /// Time in which new calls are made, in microseconds.
     pub length: u64,
     /// The classes.
     pub classes: Vec<Class>,
-    /// Exponent of the functions' popularity.
+    /// Zipf exponent of the functions' popularity.
     pub zipf: f64,
-    /// Tries after the first.
+    /// Number of retries after the first try.
     pub retries: u32,
-    /// Wait before each, in milliseconds; a half to one and a half times that is drawn.
+    /// Mean wait before a retry, in milliseconds; 0.5 to 1.5 times this is drawn.
     pub wait_ms: u64,
-    /// Retries are marked.
+    /// Whether retries carry the `badgerwind-retry` header.
     pub marks: bool,
-    /// Traffic that differs.
+    /// Time spans with different traffic.
     pub phases: Vec<Phase>,
 }
 
-/// A call drawn ahead.
+/// A planned call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Drawn {
-    /// When, in microseconds after the start.
+pub struct PlannedCall {
+    /// Time of the call, in microseconds after the start.
     pub at: u64,
-    /// Its class's place.
+    /// Index of the class in the plan.
     pub class: usize,
-    /// Its function's name.
+    /// Name of the function.
     pub function: String,
-    /// Its work, in microseconds.
+    /// Work of the call, in microseconds.
     pub work: f64,
-    /// Which front end its client begins with.
+    /// Index of the front end that receives the first try.
     pub front: usize,
 }
 
-/// Draws all calls of a plan; the same at every run.
-pub fn draw(plan: &Plan) -> Vec<Drawn> {
+/// Draws all calls of a plan; the result depends on the plan alone.
+pub fn draw(plan: &Plan) -> Vec<PlannedCall> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let (mut at, mut calls) = (0.0, Vec::new());
-    // σ of 0.8 gives a lognormal of mean 1 the spread that the operators' classes have.
+    // A lognormal distribution of mean 1; a σ of 0.8 matches the spread of the operators' classes.
     let spread = LogNormal::new(-0.32, 0.8).ok();
     while let Ok(gap) = Exp::new(plan.rate / 1e6) {
         let phase = |at: f64| plan.phases.iter().find(|p| (p.from..p.to).contains(&(at as u64)));
@@ -121,26 +123,33 @@
         let number = if hot { c.count.saturating_sub(1) } else { rank.saturating_sub(1) };
         let work = c.mean_us * spread.map_or(1.0, |s| s.sample(&mut rng));
         let front = rng.random_range(0..plan.fronts.len().max(1));
-        calls.push(Drawn { at: at as u64, class, function: format!("{}{number}", c.functions), work, front });
+        calls.push(PlannedCall {
+            at: at as u64,
+            class,
+            function: format!("{}{number}", c.functions),
+            work,
+            front,
+        });
     }
     calls
 }
 
-/// What a sender keeps of its patience for an answer's way back on a busy machine, in milliseconds.
-const WAY_BACK_MS: u64 = 150;
+/// Part of the timeout that a sender reserves for the return of the answer on a busy machine, in
+/// milliseconds.
+const RETURN_RESERVE_MS: u64 = 150;
 
-struct Sending {
+struct SenderTask {
     plan: Plan,
     key: Key,
     pools: Vec<Pool>,
     recorder: Recorder,
 }
 
-/// Sends all calls of a plan, and returns once each has ended.
+/// Sends all calls of a plan, and returns when all have ended.
 pub async fn run(plan: Plan, key: Key, recorder: Recorder) {
     let pools = plan.fronts.iter().map(|a| crate::pool(*a, 4096)).collect();
     let calls = draw(&plan);
-    let sending = Arc::new(Sending { plan, key, pools, recorder });
+    let sending = Arc::new(SenderTask { plan, key, pools, recorder });
     let start = now();
     let mut tasks = Vec::new();
     for (n, call) in calls.into_iter().enumerate() {
@@ -156,8 +165,8 @@
     }
 }
 
-impl Sending {
-    async fn call(&self, n: usize, call: Drawn) {
+impl SenderTask {
+    async fn call(&self, n: usize, call: PlannedCall) {
         let plan = &self.plan;
         let class = &plan.classes[call.class];
         let mut rng = StdRng::seed_from_u64(plan.seed ^ (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
@@ -166,7 +175,7 @@
         let tries = if abuse { plan.retries + 3 } else { plan.retries };
         let mut front = call.front;
         for attempt in 0..=tries {
-            let (answer, advice) = self.one(&id, attempt, front, class, &call).await;
+            let (answer, advice) = self.send_try(&id, attempt, front, class, &call).await;
             let again = match answer {
                 Answer::Served | Answer::Rejected => false,
                 Answer::Refused | Answer::Unreached => true,
@@ -184,7 +193,14 @@
         }
     }
 
-    async fn one(&self, id: &str, attempt: u32, front: usize, class: &Class, call: &Drawn) -> (Answer, u64) {
+    async fn send_try(
+        &self,
+        id: &str,
+        attempt: u32,
+        front: usize,
+        class: &Class,
+        call: &PlannedCall,
+    ) -> (Answer, u64) {
         let plan = &self.plan;
         let work = Work { work_us: call.work, mean_us: class.mean_us };
         let body = serde_json::to_vec(&work).unwrap_or_default();
@@ -194,8 +210,8 @@
             (TIMESTAMP, signed.timestamp.to_string()),
             (SIGNATURE, signed.signature),
             ("content-type", "application/json".to_owned()),
-            // What it asks for leaves room for the way back.
-            ("badgerwind-deadline-ms", class.patience_ms.saturating_sub(WAY_BACK_MS).to_string()),
+            // The requested deadline leaves time for the return of the answer.
+            ("badgerwind-deadline-ms", class.timeout_ms.saturating_sub(RETURN_RESERVE_MS).to_string()),
         ];
         if plan.marks && attempt > 0 {
             headers.push(("badgerwind-retry", "1".to_owned()));
@@ -203,7 +219,7 @@
         let target = format!("{}{}", class.path, call.function);
         let request = Exchange { method: "POST", target, headers, body: body.into() };
         let (sent, name) = (now(), format!("{}_{id}", plan.sender));
-        let due = sent + class.patience_ms * 1000;
+        let due = sent + class.timeout_ms * 1000;
         self.recorder.add_at(
             sent,
             Event::Sent {
@@ -216,10 +232,10 @@
                 work: call.work,
             },
         );
-        // It gives up a little after its due time, so that an answer that comes late is seen to be late.
-        let patience = Duration::from_micros(class.patience_ms * 1000 + 500_000);
+        // The sender waits a little beyond the due time, so that a late answer is recorded as late.
+        let timeout = Duration::from_micros(class.timeout_ms * 1000 + 500_000);
         let late = async {
-            smol::Timer::after(patience).await;
+            smol::Timer::after(timeout).await;
             None
         };
         let done = async { Some(self.pools[front].exchange(&request).await) }.or(late).await;
--- a/crates/badgerwind-standins/src/store.rs
+++ b/crates/badgerwind-standins/src/store.rs
@@ -1,69 +1,72 @@
-//! The handler store without its sockets: fetches share its pace, and beyond a limit it turns them away.
+//! A model of the handler store, without I/O, and a server for it. Fetches share the store's rate, and it
+//! rejects fetches beyond a limit.
 
 use crate::share::{Share, Time};
 use serde::{Deserialize, Serialize};
 
-/// What the store is made of.
+/// Properties of a store.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Spec {
-    /// Time of a fetch when nothing is in its way, in microseconds.
+    /// Time of a fetch in an idle store, in microseconds.
     pub fetch: Time,
-    /// Fetches that go at full pace together; more share it.
-    pub wide: f64,
-    /// Fetches in hand beyond which it turns away.
-    pub most: usize,
+    /// Number of concurrent fetches that run at full rate; more of them share that rate.
+    #[serde(rename = "wide")]
+    pub full_rate_fetches: f64,
+    /// Largest number of concurrent fetches; further ones are rejected.
+    #[serde(rename = "most")]
+    pub max_fetches: usize,
 }
 
-/// A store.
+/// A handler store.
 #[derive(Debug)]
 pub struct Store {
     spec: Spec,
     share: Share,
-    slower: f64,
+    slowdown: f64,
 }
 
 impl Store {
-    /// A store with nothing in hand.
+    /// Creates an idle store.
     pub fn new(spec: Spec) -> Self {
-        Store { spec, share: Share::new(spec.wide, 1.0), slower: 1.0 }
+        Store { spec, share: Share::new(spec.full_rate_fetches, 1.0), slowdown: 1.0 }
     }
 
-    /// From now on everything takes so many times as long.
-    pub fn slow(&mut self, now: Time, times: f64) {
-        self.slower = times.max(0.01);
-        self.share.set(now, self.spec.wide / self.slower, 1.0 / self.slower);
+    /// Makes all fetches take `times` as long from now on.
+    pub fn set_slowdown(&mut self, now: Time, times: f64) {
+        self.slowdown = times.max(0.01);
+        self.share.set_capacity(now, self.spec.full_rate_fetches / self.slowdown, 1.0 / self.slowdown);
     }
 
-    /// A fetch arrives; false where it is turned away.
+    /// Starts a fetch; returns false if it is rejected.
     pub fn fetch(&mut self, now: Time, id: u64) -> bool {
-        if self.share.len() >= self.spec.most {
+        if self.share.len() >= self.spec.max_fetches {
             return false;
         }
         self.share.add(now, id, self.spec.fetch as f64);
         true
     }
 
-    /// A fetch is given up.
-    pub fn leave(&mut self, now: Time, id: u64) {
+    /// Cancels a fetch.
+    pub fn cancel(&mut self, now: Time, id: u64) {
         self.share.remove(now, id);
     }
 
-    /// Fetches done by now.
-    pub fn done(&mut self, now: Time) -> Vec<u64> {
-        self.share.done(now)
+    /// Removes and returns the fetches that are complete at `now`.
+    pub fn take_completed(&mut self, now: Time) -> Vec<u64> {
+        self.share.take_completed(now)
     }
 
-    /// When the next is done.
-    pub fn next(&self) -> Option<Time> {
-        self.share.next()
+    /// Time at which the next fetch completes.
+    pub fn next_completion(&self) -> Option<Time> {
+        self.share.next_completion()
     }
 }
 
-/// The store on a socket: `GET /handlers/FUNCTION` answers when the fetch is done, or 503 at once. `POST
-/// /standin/slow` with `{"times": 4.0}` makes it slower.
+/// HTTP server of the store: `GET /handlers/FUNCTION` answers when the fetch is complete, or with 503 at
+/// once. `POST /standin/slow` with `{"times": 4.0}` slows it down.
 pub mod server {
     use super::*;
-    use crate::fenced::{Asked, Said};
+    use crate::fenced::{LedgerAnswer, LedgerRequest};
     use crate::record::now;
     use badgerwind_attempts::Ledger;
     use badgerwind_http::{Conn, Stream};
@@ -73,12 +76,12 @@
     use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
     use std::time::Duration;
 
-    /// Fetches that ended, for whoever measures a day.
+    /// Counters of ended fetches.
     #[derive(Debug, Default)]
     pub struct Counts {
-        /// Served whole.
+        /// Completed fetches.
         pub served: AtomicU64,
-        /// Turned away.
+        /// Rejected fetches.
         pub refused: AtomicU64,
     }
 
@@ -91,7 +94,7 @@
 
     struct Server {
         inner: Mutex<Inner>,
-        nudge: async_channel::Sender<()>,
+        wake: async_channel::Sender<()>,
         counts: Arc<Counts>,
     }
 
@@ -105,23 +108,23 @@
             self.inner.lock().unwrap_or_else(PoisonError::into_inner)
         }
 
-        fn finish(&self) -> Option<Time> {
+        fn complete_due(&self) -> Option<Time> {
             let mut inner = self.lock();
-            for id in inner.store.done(now()) {
-                inner.waiting.remove(&id); // the closed channel is the word
+            for id in inner.store.take_completed(now()) {
+                inner.waiting.remove(&id); // closing the channel signals completion
             }
-            inner.store.next()
+            inner.store.next_completion()
         }
 
         async fn serve(&self, mut conn: Conn<Stream>) {
             while let Ok(Some(head)) = conn.head().await {
                 let Ok(body) = conn.body(&head).await else { return };
                 if head.path() == "/ledger" {
-                    let said = match serde_json::from_slice::<Asked>(&body) {
-                        Ok(asked) => asked.put_to(&mut self.lock().ledger, now()),
-                        Err(_) => Said::Full,
+                    let answer = match serde_json::from_slice::<LedgerRequest>(&body) {
+                        Ok(request) => request.apply(&mut self.lock().ledger, now()),
+                        Err(_) => LedgerAnswer::Full,
                     };
-                    if conn.respond(&crate::json(200, &said), true).await.is_err() {
+                    if conn.respond(&crate::json(200, &answer), true).await.is_err() {
                         return;
                     }
                     continue;
@@ -132,13 +135,13 @@
                         let mut inner = self.lock();
                         inner.next += 1;
                         let id = inner.next;
-                        let taken = inner.store.fetch(now(), id);
-                        if taken {
+                        let accepted = inner.store.fetch(now(), id);
+                        if accepted {
                             inner.waiting.insert(id, done);
                         }
-                        taken.then_some(id)
+                        accepted.then_some(id)
                     };
-                    let _ = self.nudge.try_send(());
+                    let _ = self.wake.try_send(());
                     match id {
                         None => {
                             self.counts.refused.fetch_add(1, Ordering::Relaxed);
@@ -155,7 +158,7 @@
                             };
                             if !futures_lite::future::or(served, gone).await {
                                 let mut inner = self.lock();
-                                inner.store.leave(now(), id);
+                                inner.store.cancel(now(), id);
                                 inner.waiting.remove(&id);
                                 return;
                             }
@@ -166,8 +169,8 @@
                 } else {
                     match serde_json::from_slice::<Slow>(&body) {
                         Ok(slow) => {
-                            self.lock().store.slow(now(), slow.times);
-                            let _ = self.nudge.try_send(());
+                            self.lock().store.set_slowdown(now(), slow.times);
+                            let _ = self.wake.try_send(());
                             200
                         }
                         Err(_) => 400,
@@ -180,32 +183,32 @@
         }
     }
 
-    /// Serves for ever.
+    /// Serves without end.
     pub async fn serve(listener: TcpListener, spec: Spec) {
         serve_counted(listener, spec, Arc::default()).await;
     }
 
-    /// The same, and counts.
+    /// Like [`serve`], and counts ended fetches.
     pub async fn serve_counted(listener: TcpListener, spec: Spec, counts: Arc<Counts>) {
-        let (nudge, nudged) = async_channel::bounded(1);
+        let (wake, woken) = async_channel::bounded(1);
         let inner = Inner {
             store: Store::new(spec),
-            ledger: Ledger::new(crate::fenced::BOUNDS),
+            ledger: Ledger::new(crate::fenced::LIMITS),
             next: 0,
             waiting: HashMap::new(),
         };
-        let server = Arc::new(Server { inner: Mutex::new(inner), nudge, counts });
+        let server = Arc::new(Server { inner: Mutex::new(inner), wake, counts });
         let ticking = server.clone();
         let tick = smol::spawn(async move {
             loop {
-                let due = match ticking.finish() {
+                let due = match ticking.complete_due() {
                     Some(at) => Duration::from_micros(at.saturating_sub(now())),
                     None => Duration::from_secs(60),
                 };
                 let timer = async {
                     smol::Timer::after(due).await;
                 };
-                futures_lite::future::or(timer, async { _ = nudged.recv().await }).await;
+                futures_lite::future::or(timer, async { _ = woken.recv().await }).await;
             }
         });
         crate::accept(listener, None, move |conn| {
--- a/crates/badgerwind-standins/tests/models.rs
+++ b/crates/badgerwind-standins/tests/models.rs
@@ -1,4 +1,4 @@
-//! The models, by hand-worked figures.
+//! Tests of the models against results worked out by hand.
 
 use badgerwind::interface::{CopyMark, Outcome};
 use badgerwind_standins::model::*;
@@ -25,8 +25,8 @@
     }
 }
 
-fn call(function: &str) -> CallIn {
-    CallIn {
+fn call(function: &str) -> IncomingCall {
+    IncomingCall {
         function: function.into(),
         memory_mb: 100.0,
         lanes: 1,
@@ -37,27 +37,27 @@
     }
 }
 
-fn answers(out: &[Out]) -> Vec<(u64, Outcome, CopyMark, u32)> {
-    let pick = |o: &Out| match o {
-        Out::Answer { call, outcome, mark, crowd } => Some((*call, *outcome, *mark, *crowd)),
+fn answers(out: &[Action]) -> Vec<(u64, Outcome, CopyMark, u32)> {
+    let pick = |o: &Action| match o {
+        Action::Answer { call, outcome, mark, crowd } => Some((*call, *outcome, *mark, *crowd)),
         _ => None,
     };
     out.iter().filter_map(pick).collect()
 }
 
 #[test]
-fn jobs_share_the_cores_evenly_and_none_goes_faster_than_one() {
+fn jobs_share_the_cores_evenly_and_none_runs_faster_than_one_core() {
     let mut s = Share::new(2.0, 1.0);
     s.add(0, 1, 100.0);
-    assert_eq!(s.next(), Some(100));
+    assert_eq!(s.next_completion(), Some(100));
     s.add(50, 2, 100.0);
     s.add(50, 3, 100.0);
-    // Three share two cores: 50 left at two thirds of the pace.
-    assert_eq!(s.next(), Some(125));
-    assert_eq!(s.done(125), [1]);
-    // 50 left each at full pace.
-    assert_eq!(s.next(), Some(175));
-    assert_eq!(s.done(175), [2, 3]);
+    // Three jobs share two cores: 50 left at two thirds of the rate.
+    assert_eq!(s.next_completion(), Some(125));
+    assert_eq!(s.take_completed(125), [1]);
+    // 50 left each at the full rate.
+    assert_eq!(s.next_completion(), Some(175));
+    assert_eq!(s.take_completed(175), [2, 3]);
 }
 
 #[test]
@@ -65,8 +65,8 @@
     let (mut r, mut out) = (Runner::new(0, spec(), false), Vec::new());
     r.call(0, 1, call("f"), &mut out);
     r.call(10, 2, call("f"), &mut out);
-    assert_eq!(out, [Out::Fetch { load: 1, function: "f".into() }]);
-    r.fetched(200_000, 1, true, &mut out);
+    assert_eq!(out, [Action::Fetch { load: 1, function: "f".into() }]);
+    r.on_fetch_end(200_000, 1, true, &mut out);
     assert_eq!(r.next(200_000), Some(300_000));
     r.poll(300_000, &mut out);
     r.poll(350_000, &mut out);
@@ -84,60 +84,60 @@
 }
 
 #[test]
-fn where_it_does_not_load_by_itself_it_answers_miss() {
+fn a_runner_that_does_not_load_when_absent_answers_miss() {
     let (mut r, mut out) = (Runner::new(0, Spec { loads_when_absent: false, ..spec() }, false), Vec::new());
     r.call(0, 1, call("f"), &mut out);
     assert_eq!(answers(&out), [(1, Outcome::Miss, CopyMark::Untold, 0)]);
     out.clear();
     r.order(10, 9, ("f", 1), (100.0, 1), &mut out);
     r.call(20, 2, call("f"), &mut out);
-    r.fetched(30, 1, true, &mut out);
+    r.on_fetch_end(30, 1, true, &mut out);
     r.poll(100_030, &mut out);
     r.poll(150_030, &mut out);
-    assert!(out.contains(&Out::Ordered { order: 9, outcome: Outcome::Ok, copies: 1 }));
+    assert!(out.contains(&Action::Ordered { order: 9, outcome: Outcome::Ok, copies: 1 }));
     assert_eq!(answers(&out), [(2, Outcome::Ok, CopyMark::WaitedForLoad, 0)]);
 }
 
 #[test]
-fn queue_memory_and_failed_loads_turn_calls_away() {
+fn a_full_queue_lack_of_memory_and_failed_loads_reject_calls() {
     let (mut r, mut out) = (Runner::new(0, spec(), false), Vec::new());
     (1..=3).for_each(|n| r.call(0, n, call("f"), &mut out));
     assert_eq!(answers(&out), [(3, Outcome::Full, CopyMark::Untold, 2)], "two may wait");
     out.clear();
-    r.fetched(10, 1, false, &mut out);
+    r.on_fetch_end(10, 1, false, &mut out);
     let want = [(1, Outcome::Miss, CopyMark::LoadFailed, 0), (2, Outcome::Miss, CopyMark::LoadFailed, 1)];
     assert_eq!(answers(&out), want);
-    let big = CallIn { memory_mb: 300.0, ..call("g") };
+    let big = IncomingCall { memory_mb: 300.0, ..call("g") };
     out.clear();
     r.call(20, 4, big, &mut out);
     assert_eq!(answers(&out), [(4, Outcome::Full, CopyMark::Untold, 0)]);
 }
 
 #[test]
-fn idle_copies_make_room_and_those_at_work_do_not() {
+fn idle_copies_are_unloaded_for_memory_and_busy_ones_are_not() {
     let (mut r, mut out) = (Runner::new(0, spec(), false), Vec::new());
     for (n, f) in [(1, "f"), (2, "g")] {
         r.order(0, n, (f, 1), (100.0, 1), &mut out);
-        r.fetched(0, n, true, &mut out);
+        r.on_fetch_end(0, n, true, &mut out);
         r.poll(100_000 * n, &mut out);
     }
-    let long = CallIn { work: 1e9, ..call("f") };
+    let long = IncomingCall { work: 1e9, ..call("f") };
     r.call(200_000, 1, long, &mut out);
     r.order(200_000, 3, ("h", 1), (100.0, 1), &mut out);
     assert_eq!((r.copies("f"), r.copies("g")), (1, 0));
     out.clear();
     r.order(200_000, 4, ("g", 1), (100.0, 1), &mut out);
-    assert_eq!(out, [Out::Ordered { order: 4, outcome: Outcome::Full, copies: 0 }]);
+    assert_eq!(out, [Action::Ordered { order: 4, outcome: Outcome::Full, copies: 0 }]);
 }
 
 #[test]
-fn a_drain_turns_away_what_is_new_and_finishes_what_it_has() {
+fn a_draining_runner_rejects_new_calls_and_finishes_running_ones() {
     let (mut r, mut out) = (Runner::new(0, spec(), false), Vec::new());
     r.order(0, 1, ("f", 1), (100.0, 1), &mut out);
-    r.fetched(0, 1, true, &mut out);
+    r.on_fetch_end(0, 1, true, &mut out);
     r.poll(100_000, &mut out);
     r.call(100_000, 1, call("f"), &mut out);
-    r.drain(true);
+    r.set_draining(true);
     out.clear();
     r.call(110_000, 2, call("f"), &mut out);
     r.order(110_000, 2, ("g", 1), (100.0, 1), &mut out);
@@ -146,25 +146,25 @@
         answers(&out).iter().map(|a| (a.0, a.1)).collect::<Vec<_>>(),
         [(2, Outcome::Full), (1, Outcome::Ok)]
     );
-    assert!(out.contains(&Out::Ordered { order: 2, outcome: Outcome::Full, copies: 0 }));
+    assert!(out.contains(&Action::Ordered { order: 2, outcome: Outcome::Full, copies: 0 }));
 }
 
 #[test]
-fn faults_do_what_they_say_until_taken_back() {
+fn faults_act_until_they_are_ended() {
     let (mut r, mut out) = (Runner::new(0, Spec { queue: 100, ..spec() }, false), Vec::new());
     r.order(0, 1, ("f", 1), (100.0, 100), &mut out);
-    r.fetched(0, 1, true, &mut out);
+    r.on_fetch_end(0, 1, true, &mut out);
     r.poll(100_000, &mut out);
-    let f = || CallIn { lanes: 100, ..call("f") };
+    let f = || IncomingCall { lanes: 100, ..call("f") };
     let mut id = 0;
-    let mut try_it = |r: &mut Runner, now: u64, c: CallIn| {
+    let mut try_it = |r: &mut Runner, now: u64, c: IncomingCall| {
         let mut out = Vec::new();
         id += 1;
         r.call(now, id, c, &mut out);
         r.poll(now + 400_000, &mut out);
         let got = answers(&out).first().map(|a| a.1);
-        let broke = out.iter().any(|o| matches!(o, Out::Break { .. }));
-        r.leave(now + 400_000, id, &mut out);
+        let broke = out.iter().any(|o| matches!(o, Action::Break { .. }));
+        r.cancel(now + 400_000, id, &mut out);
         (got, broke)
     };
     let throttle = Fault::Throttle { tenant: "t".into() };
@@ -182,42 +182,42 @@
     .enumerate()
     {
         let now = 200_000 + 1_000_000 * n as u64;
-        r.fault(now, fault.clone(), true);
+        r.set_fault(now, fault.clone(), true);
         assert_eq!(try_it(&mut r, now, f()), want, "{fault:?}");
-        r.fault(now + 450_000, fault.clone(), false);
-        assert_eq!(try_it(&mut r, now + 450_000, f()), (Some(Outcome::Ok), false), "{fault:?} taken back");
+        r.set_fault(now + 450_000, fault.clone(), false);
+        assert_eq!(try_it(&mut r, now + 450_000, f()), (Some(Outcome::Ok), false), "{fault:?} ended");
     }
 }
 
 #[test]
-fn a_cold_runner_sent_too_much_falls_over() {
-    // 2.5 x 0.2 x 2 cores x 1 s is 1 s of work: twenty calls of 50 ms, and two for chance.
+fn a_cold_runner_fails_when_overloaded() {
+    // 2.5 x 0.2 x 2 cores x 1 s is 1 s of work: twenty calls of 50 ms, and two more are tolerated.
     let (mut r, mut out) = (Runner::new(0, Spec { queue: 100, ..spec() }, true), Vec::new());
     (1..=22).for_each(|n| r.call(0, n, call("f"), &mut out));
-    assert!(!r.is_down());
+    assert!(!r.has_failed());
     r.call(0, 23, call("f"), &mut out);
-    assert!(r.is_down() && out.contains(&Out::FellOver));
+    assert!(r.has_failed() && out.contains(&Action::Overloaded));
     let (mut r, mut out) = (Runner::new(0, Spec { queue: 100, ..spec() }, false), Vec::new());
     (1..=60).for_each(|n| r.call(0, n, call("f"), &mut out));
-    assert!(!r.is_down(), "a warm one does not");
+    assert!(!r.has_failed(), "a warm runner does not fail");
 }
 
 #[test]
-fn the_store_slows_when_crowded_and_turns_away_beyond_its_limit() {
-    let mut s = Store::new(store::Spec { fetch: 100, wide: 2.0, most: 4 });
+fn the_store_slows_under_load_and_rejects_fetches_beyond_its_limit() {
+    let mut s = Store::new(store::Spec { fetch: 100, full_rate_fetches: 2.0, max_fetches: 4 });
     assert!((0..4).all(|n| s.fetch(0, n)) && !s.fetch(0, 4));
-    assert_eq!(s.next(), Some(200), "four share the pace of two");
-    assert_eq!(s.done(200), [0, 1, 2, 3]);
-    s.slow(200, 4.0);
+    assert_eq!(s.next_completion(), Some(200), "four share the rate of two");
+    assert_eq!(s.take_completed(200), [0, 1, 2, 3]);
+    s.set_slowdown(200, 4.0);
     assert!(s.fetch(200, 5));
-    assert_eq!(s.next(), Some(600));
+    assert_eq!(s.next_completion(), Some(600));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever comes, each call has one answer at the most, work that finished was not answered as never run, and
-    /// memory stays within its bound.
+    /// For any sequence of inputs, each call has at most one answer, and finished work is not answered as
+    /// never run.
     #[test]
     fn calls_are_answered_once(steps in prop::collection::vec((0u8..6, 0u8..4, 0u64..200_000), 1..150), eager: bool, loads: bool) {
         let spec = Spec { eager, loads_when_absent: loads, queue: 4, ..spec() };
@@ -229,19 +229,19 @@
             let name = format!("f{f}");
             match what {
                 0..=2 => { id += 1; r.call(now, id, call(&name), &mut out); }
-                3 => { r.leave(now, id.saturating_sub(u64::from(f)), &mut out); }
+                3 => { r.cancel(now, id.saturating_sub(u64::from(f)), &mut out); }
                 4 => { id += 1; r.order(now, id, (&name, 2), (100.0, 1), &mut out); }
-                _ => if let Some(load) = fetches.pop() { r.fetched(now, load, f > 0, &mut out); }
+                _ => if let Some(load) = fetches.pop() { r.on_fetch_end(now, load, f > 0, &mut out); }
             }
             r.poll(now, &mut out);
             for o in out.drain(..) {
                 match o {
-                    Out::Answer { call, outcome, .. } => {
+                    Action::Answer { call, outcome, .. } => {
                         prop_assert!(answered.insert(call, outcome).is_none(), "{} answered twice", call);
                         prop_assert!(!finished.contains(&call) || outcome == Outcome::Ok);
                     }
-                    Out::Finished { call } => prop_assert!(finished.insert(call)),
-                    Out::Fetch { load, .. } => fetches.push(load),
+                    Action::Finished { call } => prop_assert!(finished.insert(call)),
+                    Action::Fetch { load, .. } => fetches.push(load),
                     _ => {}
                 }
             }
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_group_runs_a_key_once_and_gives_back_one_that_did_not_run() {
+fn a_group_runs_a_key_once_and_releases_one_that_did_not_run() {
     use badgerwind_standins::keys::{Claim, Keys};
     let mut k = Keys::new(100, 50);
     assert_eq!(
@@ -263,5 +263,5 @@
     k.release("b");
     assert_eq!([k.claim(109, "a"), k.claim(109, "b")], [Claim::Ran, Claim::Fresh]);
     assert_eq!([k.claim(110, "a"), k.claim(158, "b")], [Claim::Fresh, Claim::Busy]);
-    assert_eq!(k.claim(159, "b"), Claim::Fresh, "its runner never said how it ended");
+    assert_eq!(k.claim(159, "b"), Claim::Fresh, "the lease of the unreported call has ended");
 }
--- a/crates/badgerwind-standins/tests/relay.rs
+++ b/crates/badgerwind-standins/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Links between two processes, as a test makes them fare.
+//! Relays between two processes under faults.
 
 use badgerwind_standins::relay::{Flow, Link, Relay};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const SILENT: Link = Link { there: Flow::Silent, back: Flow::Silent, broken: false };
-/// A bound that only a hang reaches.
+const SILENT: Link = Link { forward: Flow::Silent, backward: Flow::Silent, broken: false };
+/// A timeout that only a hang reaches.
 const LONG: Duration = Duration::from_secs(20);
 
-/// Connections that a listener's process holds, those whose other side has closed among them.
+/// Connections accepted at a listener's address, including those that the other side has closed.
 fn held(listener: SocketAddr) -> usize {
     const ESTABLISHED: &str = "01";
     const CLOSE_WAIT: &str = "08";
@@ -26,43 +26,44 @@
 async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = std::time::Instant::now() + LONG;
     while !holds() {
-        assert!(std::time::Instant::now() < end, "it never came that {what}");
+        assert!(std::time::Instant::now() < end, "timed out waiting until {what}");
         smol::Timer::after(Duration::from_millis(2)).await;
     }
 }
 
-/// A caller that gives up under silence must not leave its connection behind: a long silence would use up all descriptors.
+/// A caller that gives up on a silent link must not leave its connection open: a long silence would exhaust
+/// the file descriptors.
 #[test]
-fn a_silent_link_lets_go_of_connections_whose_callers_have_left() {
+fn a_silent_link_closes_connections_whose_callers_have_disconnected() {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let relay = Relay::start(listener.local_addr().unwrap()).await.unwrap();
-        // One stands when silence falls, the others come up during it.
-        let mut standing = TcpStream::connect(relay.at).await.unwrap();
+        // One connection exists when the link falls silent, the others are made while it is silent.
+        let mut standing = TcpStream::connect(relay.address).await.unwrap();
         let (mut far, _) = listener.accept().await.unwrap();
         standing.write_all(b"ask").await.unwrap();
         far.read_exact(&mut [0; 3]).await.unwrap();
         relay.set(SILENT);
         let mut callers = vec![standing];
         for _ in 0..10 {
-            let mut caller = TcpStream::connect(relay.at).await.unwrap();
+            let mut caller = TcpStream::connect(relay.address).await.unwrap();
             caller.write_all(b"ask").await.unwrap();
             callers.push(caller);
         }
-        until("they are taken in", || held(relay.at) == callers.len()).await;
+        until("all connections are accepted", || held(relay.address) == callers.len()).await;
         drop(callers);
-        until("they are let go of", || held(relay.at) == 0).await;
+        until("all connections are closed", || held(relay.address) == 0).await;
     });
 }
 
-/// What was sent into silence arrives after it, as over a network that loses and repeats.
+/// Bytes sent while the link is silent arrive after it, as over a network that drops and retransmits.
 #[test]
-fn what_is_sent_into_silence_arrives_once_it_is_over() {
+fn bytes_sent_while_the_link_is_silent_arrive_afterwards() {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let relay = Relay::start(listener.local_addr().unwrap()).await.unwrap();
         relay.set(SILENT);
-        let mut caller = TcpStream::connect(relay.at).await.unwrap();
+        let mut caller = TcpStream::connect(relay.address).await.unwrap();
         caller.write_all(b"first").await.unwrap();
         relay.set(Link::default());
         let (mut far, _) = listener.accept().await.unwrap();
