--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -15,9 +15,9 @@
 use crate::trace::TraceParent;
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::*;
-use badgerwind_config::shadow::Recorded;
-use badgerwind_driver::{Call, Final, Lag};
-use badgerwind_guard::{forwarded, Budget, Guard, Permit, Source, Who};
+use badgerwind_config::shadow::RecordedCall;
+use badgerwind_driver::{Call, FinalAnswer, Lag};
+use badgerwind_guard::{forwarded_address, Budget, Claimant, Guard, Permit, Source};
 use badgerwind_http::{Conn, Limits, RequestHead, Response, ServerTls, Stream};
 use badgerwind_settings::{Settings, Target};
 use badgerwind_webhook::{
@@ -80,7 +80,7 @@
 pub(crate) struct Front {
     pub rules: RwLock<Arc<Rules>>,
     /// Calls of late, as a change is tried on.
-    pub recent: Mutex<VecDeque<Recorded>>,
+    pub recent: Mutex<VecDeque<RecordedCall>>,
     pub counts: Counts,
     /// Callbacks owed.
     pub owed: Arc<AtomicUsize>,
@@ -168,16 +168,16 @@
         let kept = remembers(class.effect, class.group, &answer, attempts);
         let overdue = front.clock.now() >= self.due;
         let (word, response, rest) = match answer {
-            Final::Served(Reply { content_type, body, rest }) => {
+            FinalAnswer::Served(Reply { content_type, body, rest }) => {
                 let kind = content_type.as_deref().unwrap_or("");
                 ("served", Response::new(200, kind, body), rest)
             }
-            Final::Refused { retry_after, .. } => {
+            FinalAnswer::Refused { retry_after, .. } => {
                 let retry_after = retry_after.filter(|&t| t > 0);
                 let text = "turned away before it ran";
                 ("refused", problem(&Away { retry_after, ..away(503, "refused", text) }), None)
             }
-            Final::Failed(why) => {
+            FinalAnswer::Failed(why) => {
                 let text = format!("no answer could be had ({why:?}); it may have run");
                 let status = if overdue { 504 } else { 502 };
                 ("failed", problem(&Away { harmless: false, ..away(status, "failed", text) }), None)
@@ -190,14 +190,14 @@
             _ => &front.counts.failed,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        front.record(Recorded {
-            at: front.clock.now().saturating_sub(lag),
+        front.record(RecordedCall {
+            arrived_at: front.clock.now().saturating_sub(lag),
             class: name.clone(),
             tenant: settings.tenants[settings.webhook.senders[self.sender].tenant].clone(),
             function: settings.functions[self.function].name.clone(),
-            waits: self.waits,
+            sender_timeout: self.waits,
             served: word == "served",
-            lag,
+            latency: lag,
         });
         front.metrics.answered(name, word, lag);
         tracing::info!(
@@ -236,13 +236,13 @@
 fn limits(settings: &Settings) -> Limits {
     let w = &settings.webhook;
     Limits {
-        head_bytes: w.head_bytes,
-        headers: w.headers,
-        head_time: w.head_time,
-        body_bytes: w.body_bytes,
-        body_time: w.body_time,
-        idle_time: w.idle_time,
-        write_time: w.write_time,
+        head_bytes: w.max_head_bytes,
+        headers: w.max_headers,
+        head_time: w.head_timeout,
+        body_bytes: w.max_body_bytes,
+        body_time: w.body_timeout,
+        idle_time: w.idle_timeout,
+        write_time: w.write_timeout,
     }
 }
 
@@ -250,20 +250,20 @@
 pub(crate) fn bounds(settings: &Settings) -> Bounds {
     let w = &settings.webhook;
     let longest = w.senders.iter().map(|s| Bounds::keep_for(s.tolerance)).max().unwrap_or(0);
-    let keep = w.remember.max(longest);
-    Bounds { count: w.remember_most, keep, waiters: w.waiters, bytes: w.remember_bytes }
+    let keep = w.answer_retention.max(longest);
+    Bounds { count: w.max_remembered_ids, keep, waiters: w.max_waiters, bytes: w.max_remembered_bytes }
 }
 
 /// The bounds of the budgets for failed signatures, from the settings.
-pub(crate) fn guard_bounds(settings: &Settings) -> badgerwind_guard::Bounds {
+pub(crate) fn guard_bounds(settings: &Settings) -> badgerwind_guard::Limits {
     let g = &settings.webhook.guard;
     let budget = |(burst, rate)| Budget { burst, rate };
-    badgerwind_guard::Bounds {
-        source: budget(g.source),
-        sender: budget(g.sender),
-        sources: g.sources,
-        known_for: g.known_for,
-        bytes: g.bytes,
+    badgerwind_guard::Limits {
+        source: budget(g.source_limit),
+        sender: budget(g.sender_limit),
+        max_sources: g.max_sources,
+        known_duration: g.known_source_time,
+        bytes_per_check: g.bytes_per_check,
     }
 }
 
@@ -308,9 +308,9 @@
         self.memory().set_bounds(bounds(&rules.settings));
         let names = |s: &Settings| s.webhook.senders.iter().map(|s| s.name.clone()).collect::<Vec<_>>();
         let mut guard = self.guard();
-        guard.set_bounds(guard_bounds(&rules.settings));
+        guard.set_limits(guard_bounds(&rules.settings));
         if names(&self.rules().settings) != names(&rules.settings) {
-            guard.senders_changed();
+            guard.reset_senders();
             let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
             *skews = vec![Skew::default(); rules.settings.webhook.senders.len()];
         }
@@ -319,10 +319,10 @@
         let _ = self.freed.try_send(());
     }
 
-    fn record(&self, call: Recorded) {
+    fn record(&self, call: RecordedCall) {
         let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let oldest = self.clock.now().saturating_sub(RECENT);
-        while recent.len() >= MOST_RECENT || recent.front().is_some_and(|c| c.at < oldest) {
+        while recent.len() >= MOST_RECENT || recent.front().is_some_and(|c| c.arrived_at < oldest) {
             recent.pop_front();
         }
         recent.push_back(call);
@@ -353,7 +353,7 @@
     pub(crate) async fn listen(self: Arc<Self>, listener: TcpListener) {
         loop {
             // The bound may change while connections are open; a place freed or a change wakes this.
-            while self.open.load(Ordering::Relaxed) >= self.rules().settings.webhook.connections {
+            while self.open.load(Ordering::Relaxed) >= self.rules().settings.webhook.max_connections {
                 let _ = self.free.recv().await;
             }
             let (stream, peer) = match listener.accept().await {
@@ -459,14 +459,14 @@
         let sender = w.routes[route].sender;
         let header = |name| head.headers.get(name);
         let lines: Vec<&str> = head.headers.all("x-forwarded-for").collect();
-        let source = forwarded(peer, &w.guard.balancers, &lines).unwrap_or(peer);
-        let who = Who { source: Source::of(source), sender };
+        let source = forwarded_address(peer, &w.guard.load_balancers, &lines).unwrap_or(peer);
+        let who = Claimant { source: Source::from_address(source), sender };
         let bytes = match head.framing {
-            badgerwind_http::Framing::Length(n) => n.min(w.body_bytes as u64),
-            _ => w.body_bytes as u64,
+            badgerwind_http::Framing::Length(n) => n.min(w.max_body_bytes as u64),
+            _ => w.max_body_bytes as u64,
         };
         let now = self.clock.now();
-        let permit = self.guard().enter(now, who, bytes).map_err(|turned| {
+        let permit = self.guard().admit(now, who, bytes).map_err(|turned| {
             let text = "too many signatures from there have failed; this message was not looked at";
             Away { retry_after: Some(turned.wait()), ..away(429, "failed-signatures", text) }
         })?;
@@ -475,7 +475,7 @@
         match rules.rings[sender].claim(self.wall(), id, time, signature) {
             Ok(claim) => Ok((permit, claim)),
             Err(e) => {
-                self.guard().failed(now, permit);
+                self.guard().record_invalid(now, permit);
                 Err(self.unverified(&w.senders[sender].name, who.source, &e))
             }
         }
@@ -501,7 +501,7 @@
         body: Vec<u8>,
     ) -> Result<Verified, Away> {
         let now = self.wall();
-        let (sent, of, source) = (claim.sent(), rules.clone(), permit.who().source);
+        let (sent, of, source) = (claim.sent(), rules.clone(), permit.claimant().source);
         let check = move || {
             let route = &of.settings.webhook.routes[route];
             let key = claim.check(&of.rings[route.sender], now, &body)?;
@@ -519,11 +519,11 @@
         let named = &rules.settings.webhook.senders[sender];
         let (at, mut guard) = (self.clock.now(), self.guard());
         match &checked {
-            Ok(_) => guard.good(at, permit),
-            Err(_) => guard.failed(at, permit),
+            Ok(_) => guard.record_valid(at, permit),
+            Err(_) => guard.record_invalid(at, permit),
         }
-        self.metrics.guard_sources.set(guard.watched() as i64);
-        self.metrics.guard_known.set(guard.known() as i64);
+        self.metrics.guard_sources.set(guard.tracked_sources() as i64);
+        self.metrics.guard_known.set(guard.known_pairs() as i64);
         drop(guard);
         let mut skews = self.skews.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Ok(_), Some(skew)) = (&checked, skews.get_mut(sender)) {
@@ -542,7 +542,7 @@
         (route, function): (usize, usize),
         (claimed, body, began): ((Permit, Claim), Vec<u8>, Time),
     ) -> Handled {
-        let source = claimed.0.who().source;
+        let source = claimed.0.claimant().source;
         let verified = self.verify(rules, route, claimed, body).await;
         let admitted = verified.and_then(|v| self.admit(rules, head, (route, function), (v, source), began));
         match admitted {
@@ -596,13 +596,13 @@
                     while waited_for() && !answer.is_closed() {
                         Timer::after(WAITED_FOR).await;
                     }
-                    let _ = self.inputs.send(Input::CallerLeft { id, keeps }).await;
+                    let _ = self.inputs.send(Input::CallerDisconnected { id, finish_started: keeps }).await;
                     return Handled::Gone;
                 };
                 if let Ok(Told { given, .. }) = &got {
                     let now = self.clock.now();
                     let waited = now.saturating_sub(*given);
-                    self.lag().see(now, waited);
+                    self.lag().observe(now, waited);
                     tracing::debug!(request = %id, waited_us = waited, "its answer goes out");
                 }
                 match got {
@@ -650,7 +650,7 @@
         let waits = {
             let lag = self.lag();
             self.metrics.lag.set(lag.get(began) as f64 / 1e6);
-            lag.promise(began, waits)
+            lag.usable_wait(began, waits)
         };
         let due = (began + waits).saturating_sub(2 * set.answer_slack);
         if due <= self.clock.now() + set.round {
@@ -679,7 +679,7 @@
             Some(n) => {
                 let c = &sender.callbacks[n];
                 let key = rules.callbacks[route.sender][n].clone();
-                let owed = Owed::take(&self.owed, w.callbacks, (&c.name, c.address, &c.path), key);
+                let owed = Owed::take(&self.owed, w.max_callbacks, (&c.name, c.address, &c.path), key);
                 let text = "no more callbacks can be owed now; nothing was started";
                 Some(owed.ok_or_else(|| away(503, "callbacks-full", text))?)
             }
@@ -770,7 +770,7 @@
     };
     let found = w.routes.iter().enumerate().find_map(|(n, r)| match r.target {
         Target::Function(f) => (r.path == path).then_some((n, f)),
-        Target::Named => named(&r.path).map(|f| (n, f)),
+        Target::FromPath => named(&r.path).map(|f| (n, f)),
     });
     let found = found.ok_or_else(|| away(404, "unknown-path", "no route leads there"))?;
     if head.method != "POST" {
--- a/crates/badgerwind-standins/src/fenced.rs
+++ b/crates/badgerwind-standins/src/fenced.rs
@@ -1,7 +1,7 @@
 //! A runner's access to its group's ledger, which is in this process or held by the store stand-in.
 
 use crate::record::now;
-use badgerwind_attempts::ledger::{Bounds, Ledger, Verdict};
+use badgerwind_attempts::ledger::{Admission, Ledger, Limits};
 use badgerwind_attempts::Fence;
 use badgerwind_http::{Exchange, Pool};
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Limits of the stand-ins' ledgers, in microseconds; longer than any of their tries.
-pub const LIMITS: Bounds = Bounds { keep: 600_000_000, lease: 20_000_000, calls: 1_000_000 };
+pub const LIMITS: Limits = Limits { retention: 600_000_000, lease: 20_000_000, max_calls: 1_000_000 };
 
 /// Answer of the ledger to a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,19 +52,19 @@
     pub fn apply(self, ledger: &mut Ledger<String>, now: u64) -> LedgerAnswer {
         match self.how {
             None => match ledger.admit(now, &self.key, self.fence) {
-                Verdict::Run => LedgerAnswer::Run,
-                Verdict::Ran(answer) => LedgerAnswer::Ran(answer),
-                Verdict::Busy => LedgerAnswer::Busy,
-                Verdict::Stale => LedgerAnswer::Stale,
-                Verdict::Doubt => LedgerAnswer::InDoubt,
-                Verdict::Full => LedgerAnswer::Full,
+                Admission::Run => LedgerAnswer::Run,
+                Admission::Ran(answer) => LedgerAnswer::Ran(answer),
+                Admission::Busy => LedgerAnswer::Busy,
+                Admission::Stale => LedgerAnswer::Stale,
+                Admission::InDoubt => LedgerAnswer::InDoubt,
+                Admission::Full => LedgerAnswer::Full,
             },
             Some(AttemptEnd::Ran(answer)) => {
-                ledger.ran(now, &self.key, self.fence, answer);
+                ledger.record_ran(now, &self.key, self.fence, answer);
                 LedgerAnswer::Run
             }
             Some(AttemptEnd::NeverRan) => {
-                ledger.never_ran(now, &self.key, self.fence);
+                ledger.record_never_ran(now, &self.key, self.fence);
                 LedgerAnswer::Run
             }
         }
--- a/crates/badgerwind-standins/src/platform/web.rs
+++ b/crates/badgerwind-standins/src/platform/web.rs
@@ -123,13 +123,13 @@
             };
             let mut rest = &buf[..n];
             while let Some(p) = self.decoder.next(&mut rest).map_err(io::Error::other)? {
-                let partial = self.partial.entry(p.head.number).or_default();
-                if p.head.kind == fcgi::STDOUT {
+                let partial = self.partial.entry(p.header.number).or_default();
+                if p.header.kind == fcgi::STDOUT {
                     partial.extend_from_slice(p.bytes);
-                } else if p.head.kind == fcgi::END_REQUEST && p.last {
+                } else if p.header.kind == fcgi::END_REQUEST && p.last {
                     let protocol_status = p.bytes.get(4).copied().unwrap_or(255);
-                    let text = self.partial.remove(&p.head.number).unwrap_or_default();
-                    self.ready.push(parse_answer(p.head.number, &text, protocol_status));
+                    let text = self.partial.remove(&p.header.number).unwrap_or_default();
+                    self.ready.push(parse_answer(p.header.number, &text, protocol_status));
                 }
             }
         }
