--- a/crates/badgerwind-rig/src/day.rs
+++ b/crates/badgerwind-rig/src/day.rs
@@ -1,4 +1,5 @@
-//! A day: members as processes, a relay for each way between two of them, faults, and what the records came to.
+//! A run of the register with random faults: members as processes, a relay for each direction between two of
+//! them, and the check of their records.
 
 use crate::member::{wall, Trial};
 use crate::RigError;
@@ -18,16 +19,16 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// How far lines of two processes may be apart in time, in microseconds: they read one clock of one machine.
-const FAIR: u64 = 2_000;
+/// Tolerated difference of the times of two processes' lines, in microseconds; they read the same clock.
+const CLOCK_TOLERANCE: u64 = 2_000;
 
-/// Arguments of a drawn day.
+/// Arguments of a run.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// Draws members, voters, clocks and faults
+    /// Seed of the members, voters, clocks and faults
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How long it lasts
+    /// Length of the run
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(4..=120))]
     seconds: u64,
     /// Keep records and logs in this folder, which must be new
@@ -35,25 +36,25 @@
     keep: Option<PathBuf>,
 }
 
-/// What befalls members.
+/// A fault or its end.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// These are killed outright.
+    /// Kills these members.
     Kill(Vec<usize>),
-    /// These start again, with their disks.
+    /// Starts these members again, with their disks.
     Start(Vec<usize>),
-    /// These are stopped in the middle of whatever they do.
+    /// Stops these members by `SIGSTOP`.
     Stop(Vec<usize>),
-    /// And go on.
-    Go(Vec<usize>),
-    /// Nothing passes from the first to the second, and nobody is told.
+    /// Continues these members.
+    Continue(Vec<usize>),
+    /// Silences the links from the first to the second.
     Cut(Vec<usize>, Vec<usize>),
-    /// All ways are open; what stood is broken, so that nothing old comes late.
+    /// Opens all links, and ends existing connections so that no old bytes arrive late.
     Heal,
 }
 
-/// A loopback address for each fleet of each process: members bind there, now and after each death, and nobody else draws
-/// ports from it.
+/// Returns a loopback address that is unique to each fleet of each process, so that nobody else is assigned
+/// its ports while a member is down.
 fn own_address() -> Ipv4Addr {
     static FLEETS: AtomicU32 = AtomicU32::new(0);
     let (pid, n) = (std::process::id().to_be_bytes(), FLEETS.fetch_add(1, Ordering::Relaxed));
@@ -72,43 +73,45 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = (self.0.kill(), self.0.wait()); // already gone is as good
+        let _ = (self.0.kill(), self.0.wait()); // it may have ended already
     }
 }
 
-/// Members as processes.
+/// Members that run as processes.
 pub struct Fleet {
     program: PathBuf,
     folder: PathBuf,
     listen: Vec<SocketAddr>,
     relays: BTreeMap<(usize, usize), Relay>,
     members: Vec<Option<Process>>,
-    fast: Vec<i64>,
+    clock_skews: Vec<i64>,
     voters: usize,
     starts: usize,
     /// Further arguments of each member.
     arguments: Vec<String>,
-    /// Members that ended though nobody killed them.
-    pub wrong: Vec<String>,
-    /// Where each logs in its present incarnation.
+    /// Descriptions of members that exited without being killed.
+    pub unexpected_exits: Vec<String>,
+    /// Log file of each member's present process.
     logs: Vec<PathBuf>,
 }
 
 impl Fleet {
-    /// Starts members of which the first so many vote, with a relay for each way between two. `program` is the rig's own.
+    /// Starts members, the first of which are the voters, with a relay for each direction between two of
+    /// them. `program` is the rig's own.
     pub fn start(
         program: &Path,
         folder: &Path,
         members: usize,
         trial: &Trial,
-        fast: Vec<i64>,
+        clock_skews: Vec<i64>,
     ) -> Result<Fleet, RigError> {
-        let mut fleet = Fleet::prepare(program, folder, members, trial, fast, true)?;
-        fleet.act(&Fault::Start((0..members).collect()))?;
+        let mut fleet = Fleet::prepare(program, folder, members, trial, clock_skews, true)?;
+        fleet.apply(&Fault::Start((0..members).collect()))?;
         Ok(fleet)
     }
 
-    /// The same without relays, and with further arguments for each member: nothing can be cut.
+    /// Like [`Fleet::start`], without relays, so that links cannot be cut, and with further arguments for
+    /// each member.
     pub fn start_direct(
         program: &Path,
         folder: &Path,
@@ -118,11 +121,11 @@
     ) -> Result<Fleet, RigError> {
         let mut fleet = Fleet::prepare(program, folder, members, trial, vec![0; members], false)?;
         fleet.arguments = arguments.iter().map(|a| (*a).to_owned()).collect();
-        fleet.act(&Fault::Start((0..members).collect()))?;
+        fleet.apply(&Fault::Start((0..members).collect()))?;
         Ok(fleet)
     }
 
-    /// Process numbers of members that run, each with its place.
+    /// Indices and process ids of the running members.
     pub fn processes(&self) -> Vec<(usize, u32)> {
         let running = self.members.iter().enumerate();
         running.filter_map(|(n, p)| p.as_ref().map(|p| (n, p.0.id()))).collect()
@@ -133,7 +136,7 @@
         folder: &Path,
         members: usize,
         trial: &Trial,
-        fast: Vec<i64>,
+        clock_skews: Vec<i64>,
         with_relays: bool,
     ) -> Result<Fleet, RigError> {
         let file = |name: &str| folder.join(name);
@@ -143,12 +146,12 @@
             new.and_then(|mut f| f.write_all(&text))
                 .map_err(|e| RigError::File(path.display().to_string(), e))
         };
-        let json = |what: serde_json::Result<Vec<u8>>| what.map_err(|e| RigError::Text("a trial".into(), e));
+        let json = |text: serde_json::Result<Vec<u8>>| text.map_err(|e| RigError::Text("a trial".into(), e));
         write("trial.json", json(serde_json::to_vec(trial))?)?;
         let key = Key::generate(KeyKind::Shared).map_err(|e| RigError::Member(e.to_string()))?;
         write("key", key.to_text().as_bytes().to_vec())?;
         let own = own_address();
-        // Held until all are drawn, so that no two are alike; members bind them next.
+        // Kept open until all ports are assigned, so that they differ; the members bind them next.
         let free: Vec<_> = (0..members)
             .map(|_| TcpListener::bind((own, 0)))
             .collect::<Result<_, _>>()
@@ -172,7 +175,7 @@
         }
         let voters = trial.voters.len();
         for v in 0..voters {
-            let made = badgerwind_fleet::member::create_disk(&file(&format!("disk-{v}")), &trial.terms());
+            let made = badgerwind_fleet::member::create_disk(&file(&format!("disk-{v}")), &trial.settings());
             made.map_err(|e| RigError::Member(e.to_string()))?;
         }
         let none = (0..members).map(|_| None).collect();
@@ -183,16 +186,16 @@
             listen,
             relays,
             members: none,
-            fast,
+            clock_skews,
             voters,
             starts: 0,
             arguments: Vec::new(),
             logs: vec![PathBuf::new(); members],
-            wrong: Vec::new(),
+            unexpected_exits: Vec::new(),
         })
     }
 
-    fn begin(&mut self, n: usize) -> Result<(), RigError> {
+    fn start_member(&mut self, n: usize) -> Result<(), RigError> {
         if self.members[n].is_some() {
             return Ok(());
         }
@@ -206,7 +209,7 @@
         command.arg("--trial").arg(file("trial.json".into())).arg("--key").arg(file("key".into()));
         command.arg("--peers").arg(file(format!("peers-{n}.json")));
         command.arg("--record").arg(file(format!("member-{n}-{}.jsonl", self.starts)));
-        command.args(["--clock-fast", &self.fast[n].to_string()]);
+        command.args(["--clock-fast", &self.clock_skews[n].to_string()]);
         if n < self.voters {
             command.arg("--disk").arg(file(format!("disk-{n}")));
         }
@@ -216,17 +219,17 @@
         Ok(())
     }
 
-    /// Lets something befall them.
-    pub fn act(&mut self, fault: &Fault) -> Result<(), RigError> {
-        self.look();
-        let signal = |who: &[usize], name: &str| -> Result<(), RigError> {
-            who.iter().filter_map(|n| self.members[*n].as_ref()).try_for_each(|p| p.signal(name))
+    /// Applies a fault or its end.
+    pub fn apply(&mut self, fault: &Fault) -> Result<(), RigError> {
+        self.check_exits();
+        let signal = |members: &[usize], name: &str| -> Result<(), RigError> {
+            members.iter().filter_map(|n| self.members[*n].as_ref()).try_for_each(|p| p.signal(name))
         };
         match fault {
             Fault::Kill(who) => who.iter().for_each(|n| self.members[*n] = None),
-            Fault::Start(who) => who.iter().try_for_each(|n| self.begin(*n))?,
+            Fault::Start(who) => who.iter().try_for_each(|n| self.start_member(*n))?,
             Fault::Stop(who) => signal(who, "-STOP")?,
-            Fault::Go(who) => signal(who, "-CONT")?,
+            Fault::Continue(who) => signal(who, "-CONT")?,
             Fault::Cut(from, to) => {
                 let cut = Link { forward: Flow::Silent, backward: Flow::Silent, broken: false };
                 let both = |a: &usize, b: &usize| self.relays.get(&(*a, *b));
@@ -235,7 +238,7 @@
             Fault::Heal => {
                 let all = |link: Link| self.relays.values().for_each(|r| r.set(link));
                 all(Link { broken: true, ..Link::default() });
-                // Each connection's task has its turn to see it; one that does not goes on where it was.
+                // Gives each connection's task time to notice; one that does not would keep its connection.
                 std::thread::sleep(Duration::from_millis(20));
                 all(Link::default());
             }
@@ -243,18 +246,18 @@
         Ok(())
     }
 
-    fn look(&mut self) {
+    fn check_exits(&mut self) {
         for (n, p) in self.members.iter_mut().enumerate() {
             if let Some(status) = p.as_mut().and_then(|p| p.0.try_wait().ok().flatten()) {
                 let logged = std::fs::read_to_string(&self.logs[n]).unwrap_or_default();
                 let last = logged.lines().last().unwrap_or("it logged nothing");
-                self.wrong.push(format!("member {n} ended by itself: {status}: {last}"));
+                self.unexpected_exits.push(format!("member {n} ended by itself: {status}: {last}"));
                 *p = None;
             }
         }
     }
 
-    /// All that members wrote so far.
+    /// All lines that members have recorded so far.
     pub fn lines(&self) -> Result<Vec<Line>, RigError> {
         let shown = self.folder.display().to_string();
         let failed = |e| RigError::File(shown.clone(), e);
@@ -265,7 +268,7 @@
                 continue;
             }
             let mut text = std::fs::read_to_string(&path).map_err(failed)?;
-            // A writer that was killed may have left half a line.
+            // A killed writer may have left a truncated line.
             text.truncate(text.rfind('\n').map_or(0, |at| at + 1));
             for line in text.lines() {
                 let line = serde_json::from_str(line);
@@ -275,29 +278,29 @@
         Ok(all)
     }
 
-    /// Waits until what members wrote holds something; false where it did not in time.
-    pub fn until(&mut self, most: Duration, holds: impl Fn(&[Line]) -> bool) -> Result<bool, RigError> {
-        let end = Instant::now() + most;
+    /// Waits until a condition on the recorded lines holds; returns false on a timeout or an unexpected exit.
+    pub fn until(&mut self, timeout: Duration, holds: impl Fn(&[Line]) -> bool) -> Result<bool, RigError> {
+        let end = Instant::now() + timeout;
         loop {
             if holds(&self.lines()?) {
                 return Ok(true);
             }
-            self.look();
-            if Instant::now() > end || !self.wrong.is_empty() {
+            self.check_exits();
+            if Instant::now() > end || !self.unexpected_exits.is_empty() {
                 return Ok(false);
             }
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// What the records come to.
+    /// Checks the records.
     pub fn judge(&mut self, lease: u64) -> Result<RegisterReport, RigError> {
-        self.look();
-        Ok(judge(&self.lines()?, FAIR, lease / 10))
+        self.check_exits();
+        Ok(judge(&self.lines()?, CLOCK_TOLERANCE, lease / 10))
     }
 }
 
-/// Whether members have acted since then.
+/// The members that have acted since a time, in microseconds.
 pub fn acting_since(lines: &[Line], since: u64) -> Vec<u16> {
     use badgerwind_check::register::Observation;
     let acts = lines.iter().filter(|l| l.at > since && matches!(l.observation, Observation::Acted { .. }));
@@ -307,14 +310,19 @@
     who
 }
 
-/// Draws members, voters, clocks and faults.
+/// Draws members, voters, clocks and faults from a seed.
 fn draw(seed: u64, ms: u64) -> (usize, Trial, Vec<i64>, Vec<(u64, Fault)>) {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x4e61);
     let voters: usize = [3, 3, 5][rng.random_range(0..3)];
     let members = voters + rng.random_range(1..5);
     let drift = [0, 10_000][rng.random_range(0..2)];
-    let trial = Trial { voters: (0..voters as u16).collect(), lease: 900_000, beat: 200_000, drift };
-    let fast = (0..members).map(|_| rng.random_range(-i64::from(drift)..=i64::from(drift))).collect();
+    let trial = Trial {
+        voters: (0..voters as u16).collect(),
+        lease: 900_000,
+        heartbeat_interval: 200_000,
+        drift_ppm: drift,
+    };
+    let clock_skews = (0..members).map(|_| rng.random_range(-i64::from(drift)..=i64::from(drift))).collect();
     let mut faults = Vec::new();
     for _ in 0..rng.random_range(2..=4) {
         let from = rng.random_range(ms * 25 / 100..ms * 50 / 100);
@@ -324,7 +332,7 @@
         let others = who.split_off([1, 1, members / 2, members * 7 / 10][rng.random_range(0..4)].max(1));
         match rng.random_range(0..5) {
             0 => faults.extend([(from, Fault::Kill(who.clone())), (to, Fault::Start(who))]),
-            1 => faults.extend([(from, Fault::Stop(who.clone())), (to, Fault::Go(who))]),
+            1 => faults.extend([(from, Fault::Stop(who.clone())), (to, Fault::Continue(who))]),
             2 => faults.extend([
                 (from, Fault::Cut(who.clone(), others.clone())),
                 (from, Fault::Cut(others, who)),
@@ -335,57 +343,57 @@
         }
     }
     faults.sort_by_key(|f| f.0);
-    (members, trial, fast, faults)
+    (members, trial, clock_skews, faults)
 }
 
-/// Plays a drawn day and prints what it came to; false where something is broken.
+/// Runs members with random faults and prints the result; false if a violation was found.
 pub fn run(args: &Args) -> Result<bool, RigError> {
     let ms = args.seconds * 1000;
-    let (members, trial, fast, faults) = draw(args.seed, ms);
-    let made;
+    let (members, trial, clock_skews, faults) = draw(args.seed, ms);
+    let temporary;
     let folder = match &args.keep {
         Some(folder) => {
             std::fs::create_dir(folder).map_err(|e| RigError::File(folder.display().to_string(), e))?;
             folder.as_path()
         }
         None => {
-            made = tempfile::tempdir().map_err(|e| RigError::File("a temporary folder".into(), e))?;
-            made.path()
+            temporary = tempfile::tempdir().map_err(|e| RigError::File("a temporary folder".into(), e))?;
+            temporary.path()
         }
     };
     let program = std::env::current_exe().map_err(RigError::Process)?;
-    let mut fleet = Fleet::start(&program, folder, members, &trial, fast)?;
-    let began = Instant::now();
+    let mut fleet = Fleet::start(&program, folder, members, &trial, clock_skews)?;
+    let started = Instant::now();
     for (at, fault) in &faults {
-        std::thread::sleep(Duration::from_millis(*at).saturating_sub(began.elapsed()));
-        fleet.act(fault)?;
+        std::thread::sleep(Duration::from_millis(*at).saturating_sub(started.elapsed()));
+        fleet.apply(fault)?;
     }
-    std::thread::sleep(Duration::from_millis(ms).saturating_sub(began.elapsed()));
-    let found = fleet.judge(trial.lease)?;
-    let back = acting_since(&fleet.lines()?, wall() - trial.lease).len();
+    std::thread::sleep(Duration::from_millis(ms).saturating_sub(started.elapsed()));
+    let report = fleet.judge(trial.lease)?;
+    let active = acting_since(&fleet.lines()?, wall() - trial.lease).len();
     println!(
-        "seed {}, {} s, {members} members ({} vote), clocks within {} millionths, {} troubles",
+        "seed {}, {} s, {members} members ({} vote), clocks within {} ppm, {} faults",
         args.seed,
         args.seconds,
         trial.voters.len(),
-        trial.drift,
+        trial.drift_ppm,
         faults.len()
     );
     println!(
-        "{} effects, {} of them shortly before their life's end was told; {back} of {members} act at the end",
-        found.acts, found.near_end
+        "{} effects, {} of them shortly before the delivered end of their incarnation; {active} of {members} act at the end",
+        report.acts, report.near_end
     );
-    fleet.wrong.iter().chain(found.violations.iter().take(10)).for_each(|w| println!("{w}"));
-    let broken = found.violations.len() + fleet.wrong.len();
-    if broken > 0 {
-        println!("register: BROKEN, {broken} times");
-    } else if found.ends == 0 {
-        println!("register: not exercised, {} lives and none ended", found.incarnations);
+    fleet.unexpected_exits.iter().chain(report.violations.iter().take(10)).for_each(|w| println!("{w}"));
+    let violations = report.violations.len() + fleet.unexpected_exits.len();
+    if violations > 0 {
+        println!("register: BROKEN, {violations} times");
+    } else if report.ends == 0 {
+        println!("register: not exercised, {} lives and none ended", report.incarnations);
     } else {
         println!(
             "register: kept, {} lives, {} ends, {} words",
-            found.incarnations, found.ends, found.announcements
+            report.incarnations, report.ends, report.announcements
         );
     }
-    Ok(broken == 0)
+    Ok(violations == 0)
 }
--- a/crates/badgerwind-rig/src/lib.rs
+++ b/crates/badgerwind-rig/src/lib.rs
@@ -1,5 +1,5 @@
-//! Days on processes: members of the register between relays, faults put between and into them, and the judge's word of what
-//! they wrote down. A rig: the product's own path uses nothing of it.
+//! A test rig that runs members of the register as processes behind relays, injects faults, and checks the
+//! members' records with `badgerwind-check`. The gateway does not use this crate.
 
 #![warn(missing_docs)]
 
@@ -7,25 +7,25 @@
 pub mod member;
 pub mod steady;
 
-/// What went wrong in the rig itself.
+/// An error of the rig itself.
 #[derive(Debug, thiserror::Error)]
 pub enum RigError {
-    /// A file.
+    /// A file cannot be read or written.
     #[error("{0}: {1}")]
     File(String, std::io::Error),
-    /// A file's text.
+    /// A JSON text is invalid.
     #[error("{0}: {1}")]
     Text(String, serde_json::Error),
-    /// A member or its key.
+    /// A member or its key failed.
     #[error("{0}")]
     Member(String),
-    /// A process.
+    /// A process cannot be started or signalled.
     #[error("cannot run a member: {0}")]
     Process(std::io::Error),
-    /// A program of the system that counts for the rig.
-    #[error("cannot run {0}: {1}; it counts what connections carry, and comes with iproute2")]
+    /// The system program that reads connection counters cannot be run.
+    #[error("cannot run {0}: {1}; it reads the counters of connections, and is part of iproute2")]
     Counter(&'static str, std::io::Error),
-    /// The network between them.
-    #[error("no network between members: {0}")]
+    /// The network between the members cannot be set up.
+    #[error("cannot set up the network between members: {0}")]
     Network(std::io::Error),
 }
--- a/crates/badgerwind-rig/src/member.rs
+++ b/crates/badgerwind-rig/src/member.rs
@@ -1,7 +1,8 @@
-//! One member as a process: acts as often as it may, says words, and writes down what it did and what it was told.
+//! One member as a process: acts as often as it may, makes announcements, and records what it did and
+//! received.
 
 use crate::RigError;
-use badgerwind_check::register::{Event as Told, Line, Observation};
+use badgerwind_check::register::{Event as RecordedEvent, Line, Observation};
 use badgerwind_fleet::member::{EmptyStateMachine, EventListener, MemberOptions, RegisterMember};
 use badgerwind_register::{Event, Index, Member, Settings, Time};
 use badgerwind_webhook::Key;
@@ -17,72 +18,74 @@
 /// Arguments of a member.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// Its number
+    /// Number of the member
     #[arg(long)]
     number: Member,
-    /// What all members go by
+    /// File of the settings that all members share
     #[arg(long)]
     trial: PathBuf,
-    /// Where it hears the others
+    /// Address on which it listens for the others
     #[arg(long)]
     listen: SocketAddr,
-    /// Where it reaches the others, as JSON
+    /// File of the addresses of the others, as JSON
     #[arg(long)]
     peers: PathBuf,
-    /// The file of the key by which members prove themselves
+    /// File of the key by which members authenticate each other
     #[arg(long)]
     key: PathBuf,
-    /// Where it writes what it did
+    /// File to which it writes its record
     #[arg(long)]
     record: PathBuf,
-    /// A voter's disk
+    /// Folder of a voter's disk
     #[arg(long)]
     disk: Option<PathBuf>,
-    /// Millionths by which its clock runs fast
-    #[arg(long, default_value_t = 0, allow_hyphen_values = true)]
-    clock_fast: i64,
-    /// Milliseconds between two looks at whether it may act
-    #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=60_000))]
-    look_every: u64,
-    /// Looks between two records that it writes to the register; 0 for none
+    /// Parts per million by which its clock runs fast
+    #[arg(long = "clock-fast", value_name = "CLOCK_FAST", default_value_t = 0, allow_hyphen_values = true)]
+    clock_skew_ppm: i64,
+    /// Milliseconds between two checks of whether it may act
+    #[arg(long = "look-every", value_name = "LOOK_EVERY", default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=60_000))]
+    check_interval_ms: u64,
+    /// Checks between two records that it writes to the register; 0 for none
     #[arg(long, default_value_t = 8)]
     record_every: u32,
     /// Bytes of such a record
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u32).range(4..=1024))]
     record_bytes: u32,
-    /// Does not write down what the log tells it: what is measured then is the member alone
+    /// Does not record the events of the log, so that only the member itself is measured
     #[arg(long)]
     without_events: bool,
 }
 
-/// What all members of a day go by.
+/// Settings that all members of a run share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Trial {
-    /// Who votes.
+    /// The voters.
     pub voters: Vec<Member>,
-    /// Microseconds.
+    /// Length of the lease, in microseconds.
     pub lease: u64,
-    /// Microseconds.
-    pub beat: u64,
-    /// Millionths.
-    pub drift: u32,
+    /// Heartbeat interval, in microseconds.
+    #[serde(rename = "beat")]
+    pub heartbeat_interval: u64,
+    /// Largest drift of the clocks, in parts per million.
+    #[serde(rename = "drift")]
+    pub drift_ppm: u32,
 }
 
 impl Trial {
-    /// As the register has them.
-    pub fn terms(&self) -> Settings {
-        let Trial { voters, lease, beat, drift } = self.clone();
+    /// Returns them as settings of the register.
+    pub fn settings(&self) -> Settings {
+        let Trial { voters, lease, heartbeat_interval, drift_ppm } = self.clone();
         Settings {
             lease,
-            heartbeat_interval: beat,
-            drift_ppm: drift,
+            heartbeat_interval,
+            drift_ppm,
             retained_entries: 256,
             ..Settings::for_voters(voters)
         }
     }
 }
 
-/// Wall time in microseconds: one clock for all processes of a machine, for records alone.
+/// Wall-clock time in microseconds: the clock that all processes of a machine share; used in records only.
 pub fn wall() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
 }
@@ -93,28 +96,27 @@
     serde_json::from_slice(&text).map_err(|e| RigError::Text(shown(), e))
 }
 
-/// Writes whole lines, so that a writer that is killed leaves no more than one half.
+/// Writes complete lines, so that a killed writer leaves at most one truncated line.
 struct Record {
     file: Mutex<File>,
     member: Member,
     run: u64,
-    /// The wall's time at the member's own time 0.
+    /// Wall-clock time at the member's own time 0.
     start: Mutex<u64>,
-    fast: i64,
+    clock_skew_ppm: i64,
 }
 
 impl Record {
-    fn write(&self, at: Time, what: Observation) {
-        let fast = 1_000_000 + i128::from(self.fast);
+    fn write(&self, at: Time, observation: Observation) {
+        let rate = 1_000_000 + i128::from(self.clock_skew_ppm);
         let start = *self.start.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = start + (i128::from(at) * 1_000_000 / fast.max(1)) as u64;
-        let Ok(mut text) =
-            serde_json::to_vec(&Line { at, member: self.member, run: self.run, observation: what })
+        let at = start + (i128::from(at) * 1_000_000 / rate.max(1)) as u64;
+        let Ok(mut text) = serde_json::to_vec(&Line { at, member: self.member, run: self.run, observation })
         else {
             return;
         };
         text.push(b'\n');
-        // A rig without its record has nothing to show: it ends.
+        // Without a complete record the run is worthless, so the process exits.
         let mut file = self.file.lock().unwrap_or_else(PoisonError::into_inner);
         if file.write_all(&text).is_err() {
             std::process::exit(3);
@@ -122,20 +124,22 @@
     }
 }
 
-struct Writes {
+struct RecordWriter {
     record: Arc<Record>,
     events: bool,
 }
 
-impl EventListener<EmptyStateMachine> for Writes {
+impl EventListener<EmptyStateMachine> for RecordWriter {
     fn on_event(&mut self, at: Time, entry: Index, event: &Event) {
         if !self.events {
             return;
         }
         let event = match *event {
-            Event::Began(of, life) => Told::Began { member: of, incarnation: life },
-            Event::Ended(of, life) => Told::Ended { member: of, incarnation: life },
-            Event::Announced(of, life, serial) => Told::Announced { member: of, incarnation: life, serial },
+            Event::Began(member, incarnation) => RecordedEvent::Began { member, incarnation },
+            Event::Ended(member, incarnation) => RecordedEvent::Ended { member, incarnation },
+            Event::Announced(member, incarnation, serial) => {
+                RecordedEvent::Announced { member, incarnation, serial }
+            }
         };
         self.record.write(at, Observation::Received { entry, event });
     }
@@ -156,42 +160,43 @@
         member: args.number,
         run: wall(),
         start: Mutex::new(0),
-        fast: args.clock_fast,
+        clock_skew_ppm: args.clock_skew_ppm,
     };
     let record = Arc::new(record);
     let options = MemberOptions {
         me: args.number,
         zone: (args.number % 3) as u8,
-        settings: trial.terms(),
+        settings: trial.settings(),
         listen: args.listen,
         peers,
         key,
         disk: args.disk.clone(),
-        clock_skew_ppm: args.clock_fast,
+        clock_skew_ppm: args.clock_skew_ppm,
     };
-    let writes = Writes { record: record.clone(), events: !args.without_events };
-    // Held until the start is known: what the member's thread is told meanwhile waits for it.
+    let writer = RecordWriter { record: record.clone(), events: !args.without_events };
+    // Held until the start is known: events that the member's thread receives meanwhile wait for it.
     let mut start = record.start.lock().unwrap_or_else(PoisonError::into_inner);
-    let started = RegisterMember::start(options, EmptyStateMachine, writes);
+    let started = RegisterMember::start(options, EmptyStateMachine, writer);
     let (member, ended) = started.map_err(|e| RigError::Member(e.to_string()))?;
-    let own = i128::from(member.now()) * 1_000_000 / (1_000_000 + i128::from(args.clock_fast)).max(1);
-    *start = wall() - own as u64;
+    let own_time =
+        i128::from(member.now()) * 1_000_000 / (1_000_000 + i128::from(args.clock_skew_ppm)).max(1);
+    *start = wall() - own_time as u64;
     drop(start);
     for turn in 0u32.. {
         if let Ok(why) = ended.try_recv() {
             return Err(RigError::Member(why.to_string()));
         }
-        // The effect is this line; what it bears was looked at at that moment.
-        if let (Some(life), at) = member.live_incarnation_at() {
-            record.write(at, Observation::Acted { incarnation: life });
+        // The recorded line is the effect; the incarnation was checked at its time.
+        if let (Some(incarnation), at) = member.live_incarnation_at() {
+            record.write(at, Observation::Acted { incarnation });
             if args.record_every > 0 && turn % args.record_every == 0 {
-                // Refused where the lease ran out in between, or too many wait: there is a next time.
+                // Fails if the lease has just expired or too many are pending; the next one is tried anyway.
                 let mut bytes = turn.to_be_bytes().to_vec();
                 bytes.resize(args.record_bytes as usize, 0);
                 let _ = smol::block_on(member.announce(bytes));
             }
         }
-        std::thread::sleep(Duration::from_millis(args.look_every));
+        std::thread::sleep(Duration::from_millis(args.check_interval_ms));
     }
     Ok(())
 }
--- a/crates/badgerwind-rig/src/steady.rs
+++ b/crates/badgerwind-rig/src/steady.rs
@@ -1,5 +1,6 @@
-//! What a quiet member costs as a real process: bytes and segments of its connections as the kernel counts them (`ss` of
-//! iproute2), processor time and resident memory from `/proc`. The figures beside those of hollow members.
+//! Measures the resource use of idle members as real processes: bytes and segments of their connections as
+//! counted by the kernel (`ss` of iproute2), and processor time and resident memory from `/proc`. The figures
+//! are comparable with those of simulated members.
 
 use crate::day::{acting_since, Fleet};
 use crate::member::{wall, Trial};
@@ -10,11 +11,12 @@
 use std::time::{Duration, Instant};
 
 /// Longest time until all members act.
-const SETTLE: Duration = Duration::from_secs(60);
-/// Time after that before anything is counted.
-const QUIET: Duration = Duration::from_secs(3);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time from then until the measurement starts.
+const WARM_UP: Duration = Duration::from_secs(3);
 
-/// Places of the two in `/proc/PID/stat`, counted from the first after the name, and the length of a tick on Linux.
+// Indices of the two fields in `/proc/PID/stat`, counted from the first after the name, and the length of a
+// tick on Linux.
 const UTIME: usize = 11;
 const STIME: usize = 12;
 const TICK_US: u64 = 10_000;
@@ -28,7 +30,7 @@
     /// Voters: 1, 3, 5 or 7, and no more than members
     #[arg(long, default_value_t = 5)]
     voters: u16,
-    /// How long it is measured
+    /// Length of the measurement
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=300))]
     seconds: u64,
     /// Each member writes one record of 32 bytes a second; without it members only renew their leases
@@ -36,9 +38,9 @@
     records: bool,
 }
 
-/// What a process has used so far.
+/// Resources that a process has used so far.
 #[derive(Clone, Copy, Debug, Default)]
-struct Used {
+struct Usage {
     bytes: u64,
     segments: u64,
     connections: u64,
@@ -46,11 +48,16 @@
     resident: u64,
 }
 
-/// Measures and prints a table; false where a member ended by itself or not all acted.
+/// Measures and prints a table; false if a member exited by itself or not all acted.
 pub fn run(args: &Args) -> Result<bool, RigError> {
     let voters = args.voters.min(args.members);
-    let trial = Trial { voters: (0..voters).collect(), lease: 2_000_000, beat: 400_000, drift: 1_000 };
-    trial.terms().validate().map_err(|e| RigError::Member(e.to_string()))?;
+    let trial = Trial {
+        voters: (0..voters).collect(),
+        lease: 2_000_000,
+        heartbeat_interval: 400_000,
+        drift_ppm: 1_000,
+    };
+    trial.settings().validate().map_err(|e| RigError::Member(e.to_string()))?;
     let folder = tempfile::tempdir().map_err(|e| RigError::File("a temporary folder".into(), e))?;
     let program = std::env::current_exe().map_err(RigError::Process)?;
     let record_every = if args.records { "1" } else { "0" };
@@ -58,32 +65,33 @@
         ["--look-every", "1000", "--record-every", record_every, "--record-bytes", "32", "--without-events"];
     let members = usize::from(args.members);
     let mut fleet = Fleet::start_direct(&program, folder.path(), members, &trial, &arguments)?;
-    let all_act = fleet.until(SETTLE, |lines| acting_since(lines, wall() - 3_000_000).len() == members)?;
+    let all_act =
+        fleet.until(START_TIMEOUT, |lines| acting_since(lines, wall() - 3_000_000).len() == members)?;
     if !all_act {
         println!(
             "not measured: not all of {members} members act after {} s; {:?}",
-            SETTLE.as_secs(),
-            fleet.wrong
+            START_TIMEOUT.as_secs(),
+            fleet.unexpected_exits
         );
         return Ok(false);
     }
-    std::thread::sleep(QUIET);
-    let (began, before) = (Instant::now(), used(&fleet)?);
+    std::thread::sleep(WARM_UP);
+    let (began, before) = (Instant::now(), usage(&fleet)?);
     std::thread::sleep(Duration::from_secs(args.seconds));
-    let (seconds, after) = (began.elapsed().as_secs_f64(), used(&fleet)?);
+    let (seconds, after) = (began.elapsed().as_secs_f64(), usage(&fleet)?);
     print_table(args, usize::from(voters), seconds, &before, &after);
-    Ok(fleet.wrong.is_empty())
+    Ok(fleet.unexpected_exits.is_empty())
 }
 
 fn print_table(
     args: &Args,
     voters: usize,
     seconds: f64,
-    before: &BTreeMap<usize, Used>,
-    after: &BTreeMap<usize, Used>,
+    before: &BTreeMap<usize, Usage>,
+    after: &BTreeMap<usize, Usage>,
 ) {
     let bytes = |n: &usize| after[n].bytes.saturating_sub(before.get(n).map_or(0, |b| b.bytes));
-    // Whoever leads hears and answers all: of the voters it has the most traffic.
+    // The leader exchanges messages with all members, so it is the voter with the most traffic.
     let leader = (0..voters).filter(|n| after.contains_key(n)).max_by_key(bytes);
     let of_role = |role: &str| -> Vec<usize> {
         let all = after.keys().copied().filter(|n| before.contains_key(n));
@@ -101,7 +109,7 @@
     for role in ["follower", "voter", "leader"] {
         let who = of_role(role);
         let mean = |of: &dyn Fn(&usize) -> f64| who.iter().map(of).sum::<f64>() / who.len().max(1) as f64;
-        let rate = |part: fn(&Used) -> u64| {
+        let rate = |part: fn(&Usage) -> u64| {
             mean(&|n| (part(&after[n]) - part(&before[n]).min(part(&after[n]))) as f64) / seconds
         };
         println!(
@@ -116,25 +124,25 @@
     }
 }
 
-fn used(fleet: &Fleet) -> Result<BTreeMap<usize, Used>, RigError> {
+fn usage(fleet: &Fleet) -> Result<BTreeMap<usize, Usage>, RigError> {
     let processes = fleet.processes();
-    let mut all: BTreeMap<usize, Used> = BTreeMap::new();
+    let mut all: BTreeMap<usize, Usage> = BTreeMap::new();
     let text = sockets()?;
     for (member, process) in processes {
-        let mut used =
-            Used { processor_us: processor_us(process)?, resident: resident(process)?, ..Used::default() };
+        let mut usage =
+            Usage { processor_us: processor_us(process)?, resident: resident(process)?, ..Usage::default() };
         let owner = format!("pid={process},");
         for line in text.lines().filter(|line| line.contains(&owner)) {
-            used.bytes += field(line, "bytes_sent:") + field(line, "bytes_received:");
-            used.segments += field(line, "data_segs_out:") + field(line, "data_segs_in:");
-            used.connections += 1;
+            usage.bytes += field(line, "bytes_sent:") + field(line, "bytes_received:");
+            usage.segments += field(line, "data_segs_out:") + field(line, "data_segs_in:");
+            usage.connections += 1;
         }
-        all.insert(member, used);
+        all.insert(member, usage);
     }
     Ok(all)
 }
 
-/// All established TCP connections, a line each, with owners and counters.
+/// All established TCP connections, one per line, with owners and counters.
 fn sockets() -> Result<String, RigError> {
     let output = Command::new("ss")
         .args(["-tinpOH", "state", "established"])
@@ -143,7 +151,7 @@
     Ok(String::from_utf8_lossy(&output.stdout).into_owned())
 }
 
-/// A counter of a line; 0 where it is not there.
+/// A counter of a line; 0 if it is missing.
 fn field(line: &str, name: &str) -> u64 {
     let word = line.split_whitespace().find_map(|word| word.strip_prefix(name));
     word.and_then(|digits| digits.parse().ok()).unwrap_or(0)
@@ -153,11 +161,11 @@
     std::fs::read_to_string(path).map_err(|e| RigError::File(path.display().to_string(), e))
 }
 
-/// Processor time of all threads, ended ones too, in microseconds: `utime` and `stime` of `/proc/PID/stat`, which come in
-/// ticks of a hundredth of a second.
+/// Processor time of all threads, including ended ones, in microseconds: `utime` and `stime` of
+/// `/proc/PID/stat`, which come in ticks of a hundredth of a second.
 fn processor_us(process: u32) -> Result<u64, RigError> {
     let text = read(Path::new(&format!("/proc/{process}/stat")))?;
-    // The program's name stands in brackets and may hold spaces: fields are counted after it.
+    // The program's name is in parentheses and may contain spaces, so fields are counted after it.
     let after_name = text.rsplit_once(')').map_or("", |(_, rest)| rest);
     let fields: Vec<u64> = after_name.split_whitespace().map(|word| word.parse().unwrap_or(0)).collect();
     let ticks = fields.get(UTIME).unwrap_or(&0) + fields.get(STIME).unwrap_or(&0);
--- a/crates/badgerwind-rig/tests/steady.rs
+++ b/crates/badgerwind-rig/tests/steady.rs
@@ -1,4 +1,4 @@
-//! The figures of real processes: printed by role, and refused with a reason where the request makes no sense.
+//! The measurement of real processes: a table by role, and an error for invalid arguments.
 
 use std::process::{Command, Output};
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn three_quiet_members_are_measured_by_role() {
+fn idle_members_are_measured_by_role() {
     let output = steady(&["--members", "4", "--voters", "3", "--seconds", "2", "--records"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
@@ -16,12 +16,12 @@
         let line =
             text.lines().find_map(|line| line.strip_prefix(&start)).unwrap_or_else(|| panic!("{text}"));
         let bytes: f64 = line.split(' ').next().unwrap().parse().unwrap();
-        assert!(bytes > 100.0, "{role}s say and hear something: {text}");
+        assert!(bytes > 100.0, "{role}s exchange bytes: {text}");
     }
 }
 
 #[test]
-fn a_request_that_makes_no_sense_is_refused_with_a_reason() {
+fn invalid_arguments_are_rejected_with_a_reason() {
     for (arguments, reason) in [
         (["--members", "0", "--voters", "1"], "--members"),
         (["--members", "4", "--voters", "2"], "2 voters; give 1, 3, 5 or 7"),
