--- a/crates/badgerwind/src/maintenance.rs
+++ b/crates/badgerwind/src/maintenance.rs
@@ -56,24 +56,22 @@
         let (now, pause) = (self.now, self.interval * BACKOFF + self.rng.u64(0..=self.interval * BACKOFF));
         for open in self.state.open.values_mut() {
             let kinds = open.kinds();
-            let overdue = |a: &&mut Attempt| a.in_flight && !a.overdue && now > a.sent + a.expected;
-            for attempt in open.attempts.iter_mut().filter(overdue) {
-                attempt.overdue = true;
-                let Some(worker) = self.state.workers.get_mut(&attempt.worker) else { continue };
+            let is_overdue = |a: &&mut Attempt| a.in_flight && !a.overdue && now > a.sent + a.expected;
+            for Attempt { worker: id, sent, overdue, .. } in open.attempts.iter_mut().filter(is_overdue) {
+                *overdue = true;
+                let Some(worker) = self.state.workers.get_mut(id) else { continue };
                 for kind in kinds {
                     let health = worker.kind_health.entry(kind).or_default();
-                    if health.last_seen <= attempt.sent {
+                    if health.last_seen <= *sent {
                         health.fail(2.0, now, self.settings.keep_alive / KIND_PAUSE);
                     }
                 }
                 self.state.totals.exclude(worker);
-                let newly = worker.health.last_seen <= attempt.sent && worker.health.fail(1.0, now, pause);
+                let newly = worker.health.last_seen <= *sent && worker.health.fail(1.0, now, pause);
                 self.state.totals.include(worker);
                 if newly && now > self.state.logged_at + self.settings.keep_alive / 4 {
                     self.state.logged_at = now;
-                    actions.push(Action::Log {
-                        text: format!("worker {} answers nothing: taken out", attempt.worker),
-                    });
+                    actions.push(Action::Log { text: format!("worker {id} answers nothing: taken out") });
                 }
             }
         }
