--- a/crates/badgerwind-cli/tests/rig/mod.rs
+++ b/crates/badgerwind-cli/tests/rig/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod process;
 
-use badgerwind_check::{Line, What};
+use badgerwind_check::{Event, Line};
 use badgerwind_cli::send::{post, Message};
 use badgerwind_config::parts::compose;
 use badgerwind_config::Report;
@@ -214,7 +214,7 @@
         let ring = RingKey { name: "gateway".into(), key: runners_key, not_before: None, not_after: None };
         let keys = Arc::new(std::sync::Mutex::new(Keys::new(60_000_000, 60_000_000)));
         let group = runner::Group { classes: vec!["amend".into()], keys };
-        let ledger = Fenced::here(vec!["lodge".into()]);
+        let ledger = Fenced::local(vec!["lodge".into()]);
         let (mut tasks, mut runners) = (Vec::new(), Vec::new());
         for address in plan.played {
             runners.push(listed(runners.len() as u32 + 1, address, State::Ready));
@@ -371,16 +371,16 @@
     /// What the stand-ins have seen of calls so far: `Arrived`, and whether each finished.
     pub fn lines(&self) -> Vec<Line> {
         let lines = self.recorder.take();
-        lines.iter().for_each(|l| self.recorder.add_at(l.at, l.what.clone()));
+        lines.iter().for_each(|l| self.recorder.add_at(l.at, l.event.clone()));
         lines
     }
 
     pub fn arrived(&self) -> usize {
-        self.lines().iter().filter(|l| matches!(l.what, What::Arrived { .. })).count()
+        self.lines().iter().filter(|l| matches!(l.event, Event::Arrived { .. })).count()
     }
 
     pub fn finished(&self) -> usize {
-        self.lines().iter().filter(|l| matches!(l.what, What::Finished { .. })).count()
+        self.lines().iter().filter(|l| matches!(l.event, Event::Finished { .. })).count()
     }
 
     pub async fn tell_list(&self, runner: &Runner) {
