--- a/crates/badgerwind-cli/tests/connect_floods.rs
+++ b/crates/badgerwind-cli/tests/connect_floods.rs
@@ -68,7 +68,7 @@
     fn start(open: usize) -> Flooded {
         let (first, last) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
         let scripts = (0..3).map(|_| holding(&first, &last)).collect();
-        let rig = Rig::with(scripts, |config| {
+        let rig = Rig::start_with(scripts, |config| {
             config["limits"]["sockets"] = json!(SOCKETS);
             // What is held is not called off for its executor's silence.
             config["settings"]["allowed"]["mayCancel"] = json!(false);
@@ -126,12 +126,12 @@
         f.during("an executor's answer was passed on");
 
         let (new, newer) = (Executor::start(well).unwrap(), Executor::start(well).unwrap());
-        f.rig.board.tell(&[record(77, new.address, READY)]);
+        f.rig.discovery.tell(&[record(77, new.address, READY)]);
         f.comes_to(&new);
         f.during("a new executor was taken in");
 
-        f.rig.board.tell(&[record(77, new.address, DRAINING)]);
-        f.rig.board.tell(&[record(78, newer.address, READY)]);
+        f.rig.discovery.tell(&[record(77, new.address, DRAINING)]);
+        f.rig.discovery.tell(&[record(78, newer.address, READY)]);
         f.comes_to(&newer);
         let before = new.words("FN").len();
         (0..20).for_each(|_| f.call());
@@ -141,20 +141,20 @@
         let other = Board::start(4).unwrap();
         let mut moved = f.rig.config.clone();
         moved["board"] = json!(other.address);
-        f.rig.replace(&moved.to_string());
+        f.rig.replace_config(&moved.to_string());
         f.rig.signal("-HUP");
         assert!(until(|| !other.asked().is_empty()));
         f.during("SIGHUP was followed");
 
         f.rig.signal("-TERM");
-        assert!(f.rig.logs(&["stopping"]));
+        assert!(f.rig.wait_for_log(&["stopping"]));
         f.during("SIGTERM was heard");
         f.last.store(true, Ordering::Relaxed);
         for web in &mut f.webs {
             let answer = web.answer().unwrap();
             assert_eq!((answer.number, answer.status), (1, 200));
         }
-        assert_eq!(f.rig.ended(), Some(0));
+        assert_eq!(f.rig.wait_for_exit(), Some(0));
         f.during("it ended");
     }
 }
@@ -163,7 +163,7 @@
 #[test]
 fn with_an_open_call_in_each_place_a_newcomer_is_turned_away() {
     let (first, last) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-    let rig = Rig::with(vec![holding(&first, &last)], |config| {
+    let rig = Rig::start_with(vec![holding(&first, &last)], |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["settings"]["allowed"]["mayCancel"] = json!(false);
     });
--- a/crates/badgerwind-cli/tests/platform/questions.rs
+++ b/crates/badgerwind-cli/tests/platform/confirmations.rs
@@ -1,5 +1,5 @@
-//! A front end that has not been told anything by service discovery asks executors before it sends them work: each crossing held
-//! at its exact state by a scripted executor.
+//! A front end that has received nothing from service discovery asks each executor for confirmation before it
+//! sends it work. Scripted executors hold each race at the exact state under test.
 
 use crate::rig::{id, Rig, Script};
 use badgerwind_standins::platform::board::{Board, Mood};
@@ -11,25 +11,25 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// A front end whose discovery says nothing, from its start on.
-fn untold(scripts: Vec<Script>) -> Rig {
-    untold_with(scripts, |_| {})
+/// A front end whose service discovery is silent from the start.
+fn start_without_discovery(scripts: Vec<Script>) -> Rig {
+    start_without_discovery_with(scripts, |_| {})
 }
 
-fn untold_with(scripts: Vec<Script>, change: impl FnOnce(&mut Value)) -> Rig {
+fn start_without_discovery_with(scripts: Vec<Script>, change: impl FnOnce(&mut Value)) -> Rig {
     let silent = Board::start(2).unwrap();
     silent.mood(Mood::Silent);
-    let mut rig = Rig::with(scripts, |config| {
+    let mut rig = Rig::start_with(scripts, |config| {
         config["board"] = json!(silent.address);
         change(config);
     });
-    rig.board = silent;
+    rig.discovery = silent;
     rig
 }
 
-/// The same where answers are waited for, and worth something, for longer than a busy machine takes.
-fn untold_and_patient(scripts: Vec<Script>) -> Rig {
-    untold_with(scripts, |config| {
+/// The same with a longer timeout for answers and a longer validity of them than a busy machine needs.
+fn start_without_discovery_with_long_timeouts(scripts: Vec<Script>) -> Rig {
+    start_without_discovery_with(scripts, |config| {
         config["settings"]["allowed"]["connectTimeout"] = json!(20_000_000);
         config["settings"]["rules"]["stopSendingWithin"] = json!(60_000_000);
     })
@@ -39,6 +39,7 @@
     s.word == "HELO" || is_order_question(s)
 }
 
+/// An order for no copies, which asks whether the executor takes orders.
 fn is_order_question(s: &Seen) -> bool {
     s.word == "SPAWN" && s.line["meta"]["slots_up"].as_u64() == Some(0)
 }
@@ -47,7 +48,7 @@
     executor.seen().iter().filter(|s| is_question(s)).count()
 }
 
-/// Calls, and orders to load.
+/// The calls and the orders to load that an executor has received.
 fn work(executor: &Executor) -> Vec<Seen> {
     executor
         .seen()
@@ -56,7 +57,7 @@
         .collect()
 }
 
-/// It answers questions once the test says so.
+/// An executor that answers questions once the test sets `open`.
 fn answers_questions_once(open: &Arc<AtomicBool>) -> Script {
     let open = open.clone();
     Box::new(move |s: &Seen| {
@@ -67,9 +68,10 @@
     })
 }
 
-/// Executors answer an order for no copies well while they drain, and take orders to load; or they turn both away.
+/// A draining executor either denies work to probes alone, while it accepts an order for no copies and orders
+/// to load, or it refuses both kinds of orders.
 #[test]
-fn one_that_drains_is_asked_and_sent_neither_calls_nor_orders_to_load() {
+fn a_draining_executor_is_asked_and_gets_neither_calls_nor_orders_to_load() {
     let by_probe = |s: &Seen| match s.word.as_str() {
         "HELO" => vec![Do::Write(say("SICK", s))],
         "FN" => vec![Do::Write(say("SHED", s))],
@@ -81,10 +83,11 @@
     };
     let scripts: [Script; 2] = [Box::new(by_probe), Box::new(by_order)];
     for script in scripts {
-        let rig = untold(vec![script]);
-        // The first question goes over a new connection, where a refusal may be for want of room.
+        let rig = start_without_discovery(vec![script]);
+        // The first question goes over a new connection, where a refusal may mean that the connection table
+        // is full.
         (0..4).for_each(|n| _ = rig.call(&Ask { wait_ms: 400, ..Ask::new(n) }));
-        assert!(rig.logs(&["takes no new work", "s-a0000000"]), "{:?}", rig.lines());
+        assert!(rig.wait_for_log(&["takes no new work", "s-a0000000"]), "{:?}", rig.log_lines());
         let work = work(&rig.executors[0]);
         assert!(questions(&rig.executors[0]) >= 2 && work.is_empty(), "{work:?}");
     }
@@ -93,11 +96,11 @@
 #[test]
 fn many_calls_share_one_question() {
     let open = Arc::<AtomicBool>::default();
-    let rig = untold_and_patient(vec![answers_questions_once(&open)]);
+    let rig = start_without_discovery_with_long_timeouts(vec![answers_questions_once(&open)]);
     let mut web = rig.web();
     (1..=20).for_each(|n| web.ask(n, &Ask::new(n.into())).unwrap());
     assert!(until(|| questions(&rig.executors[0]) == 2));
-    // Another call has come and gone by the time at which all of them wait.
+    // Once this later request is answered, all calls have been read and wait.
     assert_eq!(rig.health(), 200);
     open.store(true, Ordering::Relaxed);
     let served = (1..=20).filter(|_| web.answer().unwrap().status == 200).count();
@@ -106,9 +109,9 @@
 }
 
 #[test]
-fn a_call_whose_client_leaves_while_the_question_is_out_never_begins() {
+fn a_call_aborted_while_its_question_is_open_never_starts() {
     let open = Arc::<AtomicBool>::default();
-    let rig = untold_and_patient(vec![answers_questions_once(&open)]);
+    let rig = start_without_discovery_with_long_timeouts(vec![answers_questions_once(&open)]);
     let (mut leaves, mut stays) = (rig.web(), rig.web());
     let left = Ask::new(1);
     leaves.ask(1, &left).unwrap();
@@ -121,9 +124,10 @@
     assert!(rig.executors[0].words("FN").iter().all(|s| s.req != left.id));
 }
 
-/// The call whose turn it was to ask has left, and the connection ends under its question: whoever waits on another one asks anew.
+/// The call that asked the question is aborted, and the connection with the question ends. A call that waits
+/// on another connection must then ask again.
 #[test]
-fn work_on_another_connection_does_not_wait_for_a_question_that_ended_with_its_connection() {
+fn calls_on_another_connection_do_not_wait_for_a_question_whose_connection_has_ended() {
     let open = Arc::<AtomicBool>::default();
     let closes = open.clone();
     let script: Script = Box::new(move |s| match (s.word.as_str(), s.connection) {
@@ -133,7 +137,7 @@
         }
         _ => well(s),
     });
-    let rig = untold_and_patient(vec![script]);
+    let rig = start_without_discovery_with_long_timeouts(vec![script]);
     let book = |n| Ask { class: "book".into(), key: format!("{n:016x}"), wait_ms: 20_000, ..Ask::new(n) };
     let (mut leaves, mut stays) = (rig.web(), rig.web());
     leaves.ask(1, &book(1)).unwrap();
@@ -147,31 +151,36 @@
     assert_eq!(work(&rig.executors[0]).len(), 1);
 }
 
-/// The executor ends while nothing is out there, and another process has its address before anything is called again.
+/// An executor ends while nothing is open at it, and another process takes its address before the next call.
 #[test]
-fn nothing_goes_to_whoever_listens_at_the_address_of_one_that_has_gone() {
-    let rig = untold(vec![Box::new(well), Box::new(well)]);
+fn nothing_is_sent_to_another_process_at_the_address_of_an_ended_executor() {
+    let rig = start_without_discovery(vec![Box::new(well), Box::new(well)]);
     let call = |n: u64| rig.call(&Ask { key: format!("{n:016x}"), ..Ask::new(n) }).status;
     assert!((0..40).all(|n| call(n) == 200));
     assert!(!rig.executors[0].words("FN").is_empty());
     rig.executors[0].stop();
-    assert!(rig.logs(&["nobody listens there", &format!("s-{:08x}", id(0))]), "{:?}", rig.lines());
+    assert!(
+        rig.wait_for_log(&["nobody listens there", &format!("s-{:08x}", id(0))]),
+        "{:?}",
+        rig.log_lines()
+    );
     let mut listener = None;
     assert!(until(|| {
         listener = TcpListener::bind(rig.executors[0].address).ok();
         listener.is_some()
     }));
     let newcomer = Executor::on(listener.unwrap(), usize::MAX, well).unwrap();
-    assert!((40..80).all(|n| call(n) == 200), "the other one serves");
+    assert!((40..80).all(|n| call(n) == 200), "the other executor serves");
     assert!(newcomer.seen().is_empty(), "{:?}", newcomer.seen());
 }
 
-/// An executor that hangs answers no question: what waited for it goes another way, or is refused in time.
+/// A hanging executor answers no question. The calls that waited for its answer are served elsewhere or
+/// refused in time.
 #[test]
-fn one_that_answers_no_question_holds_up_nobody() {
-    // Also where the module may call nothing off.
+fn an_executor_that_answers_no_question_delays_nobody() {
+    // Also if the decision module may not cancel attempts.
     for may_cancel in [true, false] {
-        let rig = untold_with(vec![Box::new(well), Box::new(|_| vec![])], |config| {
+        let rig = start_without_discovery_with(vec![Box::new(well), Box::new(|_| vec![])], |config| {
             config["settings"]["allowed"]["mayCancel"] = json!(may_cancel);
         });
         let served = (0..40).filter(|&n| {
@@ -185,30 +194,30 @@
 }
 
 #[test]
-fn a_stop_in_an_outage_answers_all_that_was_taken() {
+fn a_stop_during_an_outage_answers_all_accepted_calls() {
     let open = Arc::<AtomicBool>::default();
-    let mut rig = untold_and_patient(vec![answers_questions_once(&open)]);
+    let mut rig = start_without_discovery_with_long_timeouts(vec![answers_questions_once(&open)]);
     let mut web = rig.web();
     web.ask(1, &Ask::new(1)).unwrap();
     assert!(until(|| questions(&rig.executors[0]) == 2));
     rig.signal("-TERM");
-    assert!(rig.logs(&["stopping"]));
+    assert!(rig.wait_for_log(&["stopping"]));
     web.ask(2, &Ask::new(2)).unwrap();
     open.store(true, Ordering::Relaxed);
     let answers = [web.answer(), web.answer()].map(|a| a.map(|a| a.status).ok());
     assert!(answers.iter().all(|a| matches!(a, Some(200 | 503))), "{answers:?}");
-    assert_eq!(rig.ended(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
-/// Discovery's first word ends the questions.
+/// The first event of service discovery makes the list fresh and ends the questions.
 #[test]
-fn once_discovery_vouches_nobody_is_asked_any_more() {
-    let rig = untold(vec![Box::new(well)]);
+fn no_questions_are_asked_once_the_list_is_fresh() {
+    let rig = start_without_discovery(vec![Box::new(well)]);
     assert_eq!(rig.call(&Ask::new(1)).status, 200);
     let asked = questions(&rig.executors[0]);
     assert!(asked > 0);
-    rig.board.mood(Mood::Well);
-    assert!(rig.logs(&["fresh again"]));
+    rig.discovery.mood(Mood::Well);
+    assert!(rig.wait_for_log(&["fresh again"]));
     assert!((2..40).all(|n| rig.call(&Ask::new(n)).status == 200));
     assert_eq!(questions(&rig.executors[0]), asked);
 }
--- a/crates/badgerwind-cli/tests/platform/executors.rs
+++ b/crates/badgerwind-cli/tests/platform/executors.rs
@@ -1,4 +1,4 @@
-//! What executors do, and what that means for a call.
+//! What becomes of calls when executors answer, refuse, fail or send malformed data.
 
 use crate::rig::*;
 use badgerwind_standins::platform::executor::{hit, say, well, Do, Seen};
@@ -8,18 +8,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// A call that must not run twice.
 fn book(n: u64) -> Ask {
     Ask { class: "book".into(), ..Ask::new(n) }
 }
 
-/// Does something else with calls only.
-fn calls(with: impl Fn(&Seen) -> Vec<Do> + Send + Sync + 'static) -> Script {
-    Box::new(move |s| if s.word == "FN" { with(s) } else { well(s) })
+/// Handles calls with this function and everything else as a working executor does.
+fn on_call(handler: impl Fn(&Seen) -> Vec<Do> + Send + Sync + 'static) -> Script {
+    Box::new(move |s| if s.word == "FN" { handler(s) } else { well(s) })
 }
 
 #[test]
-fn a_call_goes_through_unchanged_and_comes_back_as_it_was_given() {
-    let rig = Rig::well();
+fn calls_and_answers_pass_through_unchanged() {
+    let rig = Rig::start_well();
     assert_eq!(rig.health(), 200);
     let ask = Ask { body: (0..=255).cycle().take(16 * 1024).collect(), ..Ask::new(7) };
     let answer = rig.call(&ask);
@@ -34,11 +35,12 @@
     assert_eq!((rig.call(&empty).status, rig.call(&empty).body.len()), (200, 0));
 }
 
-/// The module gives up what may have run and must not run twice: the client hears of it then, not near its deadline.
+/// The decision module gives up a call that may have run and must not run twice. The client is told at once,
+/// not near its deadline.
 #[test]
-fn a_call_that_was_given_up_is_answered_at_once() {
+fn an_abandoned_call_is_answered_at_once() {
     let first = AtomicUsize::new(0);
-    let rig = Rig::start(vec![calls(move |s| match first.fetch_add(1, Ordering::Relaxed) {
+    let rig = Rig::start(vec![on_call(move |s| match first.fetch_add(1, Ordering::Relaxed) {
         0 => vec![Do::Write(hit(s))],
         _ => vec![Do::Write(say("FAULT", s))],
     })]);
@@ -47,17 +49,17 @@
     let wait_ms = 20_000;
     assert_eq!(rig.call(&Ask { wait_ms, ..book(1) }).status, 502);
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
-    assert_eq!(rig.executors[0].words("FN").len(), 2, "it is never tried again");
-    // One that may be repeated uses up its attempts, and is refused then.
+    assert_eq!(rig.executors[0].words("FN").len(), 2, "the call is not tried again");
+    // A call that may be repeated is refused once its attempts are used up.
     let refused = rig.call(&Ask { wait_ms, ..Ask::new(2) });
     assert_eq!((refused.status, rig.executors[0].words("FN").len()), (503, 6));
     assert!(began.elapsed() < Duration::from_secs(15), "{:?}", began.elapsed());
 }
 
 #[test]
-fn what_never_ran_is_tried_again_even_where_it_must_not_run_twice() {
+fn calls_that_never_ran_are_tried_again_even_if_they_must_not_run_twice() {
     let tried = AtomicUsize::new(0);
-    let rig = Rig::start(vec![calls(move |s| match tried.fetch_add(1, Ordering::Relaxed) {
+    let rig = Rig::start(vec![on_call(move |s| match tried.fetch_add(1, Ordering::Relaxed) {
         0 => vec![Do::Write(say("SHED", s))],
         1 => vec![Do::Write(say("NONE", s))],
         _ => vec![Do::Write(hit(s))],
@@ -67,17 +69,17 @@
 }
 
 #[test]
-fn a_connection_reset_under_a_call_leaves_open_whether_it_ran() {
-    let rig = Rig::start(vec![calls(|_| vec![Do::Close])]);
+fn a_call_whose_connection_is_reset_may_have_run() {
+    let rig = Rig::start(vec![on_call(|_| vec![Do::Close])]);
     assert_eq!(rig.call(&book(1)).status, 502);
     assert_eq!(rig.executors[0].words("FN").len(), 1);
 }
 
 #[test]
-fn spoilt_answers_cost_their_own_call_and_no_other() {
+fn malformed_answers_fail_their_own_call_only() {
     for junk in [&b"noise\n"[..], b"{\"type\":\"HIT\",\"req\":\"", b"\xff\xfe\n", b"{\"type\":\"HIT\"}\n"] {
         let slow = b"5lowa5lowa";
-        let rig = Rig::start(vec![calls(move |s| match s.line["data"].as_str() {
+        let rig = Rig::start(vec![on_call(move |s| match s.line["data"].as_str() {
             Some("c2xvdw==") => vec![Do::Wait(Duration::from_millis(400)), Do::Write(hit(s))],
             _ => vec![Do::Write(junk.to_vec()), Do::Write(slow.to_vec()), Do::Close],
         })]);
@@ -91,16 +93,16 @@
 }
 
 #[test]
-fn an_answer_without_end_is_given_up_and_takes_no_memory() {
-    let rig = Rig::start(vec![calls(|_| vec![Do::Write(vec![b'x'; 1_000_000]); 60])]);
+fn an_endless_answer_is_abandoned_and_uses_no_memory() {
+    let rig = Rig::start(vec![on_call(|_| vec![Do::Write(vec![b'x'; 1_000_000]); 60])]);
     let before = rig.memory();
     assert_eq!(rig.call(&book(1)).status, 502);
     assert!(rig.memory() < before + 4096, "{} {before}", rig.memory());
 }
 
 #[test]
-fn an_answer_to_nothing_ahead_of_the_good_one_is_passed_over() {
-    let rig = Rig::start(vec![calls(|s| {
+fn an_answer_to_an_unknown_call_before_the_right_one_is_ignored() {
+    let rig = Rig::start(vec![on_call(|s| {
         let mut other = s.clone();
         other.req = "0123456789abcdef".into();
         vec![Do::Write([hit(&other), hit(s), hit(s)].concat())]
@@ -111,12 +113,12 @@
     }
     let connections: std::collections::BTreeSet<_> =
         rig.executors[0].words("FN").iter().map(|s| s.connection).collect();
-    assert_eq!(connections.len(), 5, "a connection that says too much takes nothing new");
+    assert_eq!(connections.len(), 5, "a connection with surplus answers is not used again");
 }
 
 #[test]
-fn a_client_that_withdraws_has_its_attempt_killed_and_its_number_free() {
-    let rig = Rig::start(vec![calls(|s| match s.line["data"].as_str() {
+fn an_abort_kills_the_attempt_and_frees_the_request_number() {
+    let rig = Rig::start(vec![on_call(|s| match s.line["data"].as_str() {
         Some("c2xvdw==") => vec![Do::Wait(Duration::from_secs(2)), Do::Write(hit(s))],
         _ => vec![Do::Write(hit(s))],
     })]);
@@ -131,21 +133,23 @@
     assert_eq!((answer.number, answer.status, &answer.body[..]), (1, 200, &b"body 2"[..]));
 }
 
-/// Hundreds of front ends with a call now and then would fill the executors' tables if each call opened a connection.
+/// Hundreds of front ends with occasional calls would fill the executors' connection tables if each call
+/// opened a connection.
 #[test]
-fn one_that_was_not_asked_for_long_is_asked_over_its_standing_connection() {
-    let rig = Rig::well();
+fn an_idle_connection_is_reused() {
+    let rig = Rig::start_well();
     assert_eq!(rig.call(&book(1)).status, 200);
-    std::thread::sleep(Duration::from_millis(700)); // longer than silence under a call would be borne
+    std::thread::sleep(Duration::from_millis(700)); // longer than silence is tolerated while a call is open
     assert_eq!(rig.call(&book(2)).status, 200);
     let seen = rig.executors[0].words("FN");
     assert_eq!(seen[0].connection, seen[1].connection);
 }
 
-/// A vanished machine leaves its connections open and silent: what it had not answered for long, nobody asks there again.
+/// A machine that vanishes leaves its connections open and silent. A connection on which a call has had no
+/// answer for long is therefore not used for another one.
 #[test]
-fn one_that_left_a_call_without_a_word_is_asked_over_a_new_connection() {
-    let rig = Rig::start(vec![calls(|s| match s.line["data"].as_str() {
+fn a_connection_with_an_unanswered_call_is_replaced() {
+    let rig = Rig::start(vec![on_call(|s| match s.line["data"].as_str() {
         Some("bG9zdA==") => vec![],
         _ => vec![Do::Write(hit(s))],
     })]);
@@ -157,24 +161,27 @@
     assert_eq!(rig.call(&book(3)).status, 200);
     let seen = rig.executors[0].words("FN");
     assert_eq!((seen[0].connection, seen[1].connection), (0, 0));
-    assert_ne!(seen[2].connection, 0, "silence on the old one would have proved nothing");
+    assert_ne!(seen[2].connection, 0, "silence on the old connection would have proved nothing");
 }
 
-/// An executor whose table is full lets a connection come up, turns its first call away and closes it.
+/// An executor whose connection table is full accepts a connection, refuses its first call and closes it. The
+/// call must then be served on an established connection.
 #[test]
-fn a_full_table_turns_new_connections_away_and_not_the_calls() {
+fn calls_refused_by_a_full_connection_table_are_served_on_an_established_connection() {
     let script: Script = Box::new(|s: &Seen| match (s.connection, s.word.as_str()) {
         (0, "FN") => vec![Do::Wait(Duration::from_millis(300)), Do::Write(hit(s))],
         (0, _) => well(s),
         _ => vec![Do::Write(say("SHED", s)), Do::Close],
     });
-    // Calls that are called off for silence on a starved machine would use up their attempts.
-    let rig = Rig::with(vec![script], |config| config["settings"]["allowed"]["mayCancel"] = false.into());
+    // On a starved machine, calls cancelled for silence would use up their attempts.
+    let rig =
+        Rig::start_with(vec![script], |config| config["settings"]["allowed"]["mayCancel"] = false.into());
     let ask = |n: u64| Ask { wait_ms: 20_000, ..Ask::new(n) };
     let mut web = rig.web();
     web.ask(1, &ask(1)).unwrap();
     assert!(until(|| rig.executors[0].words("FN").len() == 1));
-    // Ten more while it works: one of them finds the door shut, and goes over the standing connection with the others.
+    // Sends ten more calls while the first one runs. At least one of them is refused on a new connection and
+    // goes over the established one with the others.
     for n in 2..12 {
         web.ask(n, &ask(u64::from(n))).unwrap();
     }
@@ -184,11 +191,12 @@
     assert!((1..=10).contains(&turned_away), "{turned_away}");
 }
 
-/// Hundreds of front ends that each take a connection a call fill the executors' tables, and pay for each. But what breaks
-/// under one call costs all that share its connection.
+/// If each call took a connection of its own, hundreds of front ends would fill the executors' connection
+/// tables. But when a connection breaks, all calls that share it fail. So calls stop sharing connections to
+/// an executor whose connections break.
 #[test]
-fn calls_share_connections_while_these_hold_and_keep_apart_once_they_break() {
-    let rig = Rig::start(vec![calls(|s| match s.line["data"].as_str() {
+fn calls_share_connections_until_connections_break() {
+    let rig = Rig::start(vec![on_call(|s| match s.line["data"].as_str() {
         Some("YnJlYWs=") => vec![Do::Close],
         _ => vec![Do::Wait(Duration::from_millis(100)), Do::Write(hit(s))],
     })]);
@@ -206,27 +214,27 @@
     }
     assert_eq!(round(30), 4);
     let opened = rig.executors[0].doors.opened.load(Ordering::Relaxed);
-    assert!(opened <= 12, "{opened} connections for 12 calls, three of which broke theirs");
+    assert!(opened <= 12, "{opened} connections for 12 calls, three of which broke their connection");
 }
 
-/// A call that may not run twice would be lost by another's trouble: it has its connection for itself.
+/// A call that must not run twice could not be repeated if another call broke its connection. So it has a
+/// connection of its own.
 #[test]
-fn what_may_not_run_twice_shares_no_connection() {
+fn calls_that_must_not_run_twice_share_no_connection() {
     let asked = [Ask::new(1), book(2), Ask::new(3), book(4), Ask::new(5)];
-    let (all, come) = (asked.len(), Arc::new(AtomicUsize::new(0)));
-    let come_now = come.clone();
-    // None is answered before all are there, so that all are out at once.
-    let rig = Rig::start(vec![calls(move |s| {
-        let come = come_now.clone();
-        come.fetch_add(1, Ordering::Relaxed);
-        vec![Do::Until(Arc::new(move || come.load(Ordering::Relaxed) >= all)), Do::Write(hit(s))]
+    let (call_count, arrived) = (asked.len(), Arc::new(AtomicUsize::new(0)));
+    // None is answered before all have arrived, so that all are open at once.
+    let rig = Rig::start(vec![on_call(move |s| {
+        let arrived = arrived.clone();
+        arrived.fetch_add(1, Ordering::Relaxed);
+        vec![Do::Until(Arc::new(move || arrived.load(Ordering::Relaxed) >= call_count)), Do::Write(hit(s))]
     })]);
     let mut web = rig.web();
     asked.iter().zip(1..).for_each(|(ask, n)| web.ask(n, ask).unwrap());
     asked.iter().for_each(|_| assert_eq!(web.answer().unwrap().status, 200));
     let seen = rig.executors[0].words("FN");
-    let of = |ask: &Ask| seen.iter().find(|s| s.req == ask.id).unwrap().connection;
-    let ways: Vec<_> = asked.iter().map(of).collect();
-    let alone = |n: usize| ways.iter().filter(|w| **w == ways[n]).count() == 1;
-    assert!(alone(1) && alone(3), "{ways:?}");
+    let connection_of = |ask: &Ask| seen.iter().find(|s| s.req == ask.id).unwrap().connection;
+    let connections: Vec<_> = asked.iter().map(connection_of).collect();
+    let alone = |n: usize| connections.iter().filter(|c| **c == connections[n]).count() == 1;
+    assert!(alone(1) && alone(3), "{connections:?}");
 }
--- a/crates/badgerwind-cli/tests/platform/fleet.rs
+++ b/crates/badgerwind-cli/tests/platform/fleet.rs
@@ -1,7 +1,8 @@
-//! Two dozen front ends at once: what is harmless in one of them may not be in all together. Each has few calls; executors
-//! hold few connections and turn away the rest. All verdicts are on counts, most of them taken at the executors.
+//! Two dozen front ends at once, since what is harmless in one of them may not be in all together. Each has
+//! few calls, and executors hold few connections and refuse the rest. All checks are on counts, most of them
+//! taken at the executors.
 
-use crate::rig::{id, Front, Script};
+use crate::rig::{id, FrontEnd, Script};
 use badgerwind_standins::platform::board::{record, Board};
 use badgerwind_standins::platform::executor::{hit, well, Do, Executor, Seen};
 use badgerwind_standins::platform::web::{Answer, Ask, Web};
@@ -13,46 +14,49 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const FRONTS: usize = 24;
+const FRONT_ENDS: usize = 24;
 const EXECUTORS: usize = 8;
-/// Room for each front end's one connection, and few more.
+/// Connections that an executor holds: one for each front end, and few more.
 const TABLE: usize = 32;
-/// Between two calls of a front end: an executor hears from it about once in `EXECUTORS` times this.
-const PACE: Duration = Duration::from_millis(100);
+/// Pause between two calls of a front end. An executor gets a call from it about once in `EXECUTORS` times
+/// this.
+const PAUSE: Duration = Duration::from_millis(100);
 const READY: u8 = 0;
 const GONE: u8 = 2;
 
-/// Works for 20 ms, and answers.
-fn works(s: &Seen) -> Vec<Do> {
+/// Answers a call after 20 ms.
+fn answer_slowly(s: &Seen) -> Vec<Do> {
     match s.word.as_str() {
         "FN" => vec![Do::Wait(Duration::from_millis(20)), Do::Write(hit(s))],
         _ => well(s),
     }
 }
 
-/// Bytes of each datagram between front ends, by sender and receiver.
-type Told = Mutex<Vec<(usize, usize, usize)>>;
+/// The datagrams between front ends: sender, receiver and bytes of each.
+type Datagrams = Mutex<Vec<(usize, usize, usize)>>;
 
-/// Leads datagrams between front ends, as a network does: each is known to the others by its relay's address, and what it
-/// sends to another's comes from its own. Those that listen, and those relays.
-fn relays(told: &Arc<Told>) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
-    // Front ends bind these next, and again after each death: on an address that nobody else draws ports from.
+/// Relays datagrams between front ends and records them. Each front end is known to the others by the address
+/// of its relay, and what it sends to another relay arrives from its own. Returns the addresses to listen at
+/// and those of the relays.
+fn relays(datagrams: &Arc<Datagrams>) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+    // Front ends bind these ports next, and again after each restart. They are on a loopback address of this
+    // fleet alone, so that nobody else is given one of them.
     static FLEETS: AtomicU8 = AtomicU8::new(1);
     let pid = std::process::id().to_be_bytes();
     let own = Ipv4Addr::new(127, 150 + (pid[2] & 0x3f), pid[3], FLEETS.fetch_add(1, Ordering::Relaxed));
-    let free: Vec<_> = (0..FRONTS).map(|_| UdpSocket::bind((own, 0)).unwrap()).collect();
+    let free: Vec<_> = (0..FRONT_ENDS).map(|_| UdpSocket::bind((own, 0)).unwrap()).collect();
     let listen: Vec<_> = free.iter().map(|s| s.local_addr().unwrap()).collect();
-    let ways: Vec<_> = (0..FRONTS).map(|_| Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap())).collect();
-    let known = ways.iter().map(|s| s.local_addr().unwrap()).collect();
-    for to in 0..FRONTS {
-        let (ways, listen, told) = (ways.clone(), listen.clone(), told.clone());
+    let relays: Vec<_> = (0..FRONT_ENDS).map(|_| Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap())).collect();
+    let known = relays.iter().map(|s| s.local_addr().unwrap()).collect();
+    for to in 0..FRONT_ENDS {
+        let (relays, listen, datagrams) = (relays.clone(), listen.clone(), datagrams.clone());
         std::thread::spawn(move || {
             let mut buf = [0u8; 2048];
-            while let Ok((n, address)) = ways[to].recv_from(&mut buf) {
+            while let Ok((n, address)) = relays[to].recv_from(&mut buf) {
                 let Some(from) = listen.iter().position(|a| *a == address) else { continue };
-                told.lock().unwrap().push((from, to, n));
-                // Nobody may listen there just now: then it is lost.
-                let _ = ways[from].send_to(&buf[..n], listen[to]);
+                datagrams.lock().unwrap().push((from, to, n));
+                // If no front end listens there at the moment, the datagram is lost.
+                let _ = relays[from].send_to(&buf[..n], listen[to]);
             }
         });
     }
@@ -60,81 +64,83 @@
 }
 
 struct Fleet {
-    board: Board,
+    discovery: Board,
     executors: Vec<Executor>,
-    fronts: Vec<Option<Front>>,
+    front_ends: Vec<Option<FrontEnd>>,
     peers: Vec<SocketAddr>,
-    told: Arc<Told>,
-    began: Instant,
+    datagrams: Arc<Datagrams>,
+    started: Instant,
     config: Value,
+    /// The number of the next call.
     next: u64,
 }
 
 impl Fleet {
     fn start() -> Fleet {
-        let board = Board::start(2).unwrap();
-        let executors: Vec<_> = (0..EXECUTORS).map(|_| Executor::with_table(TABLE, works).unwrap()).collect();
+        let discovery = Board::start(2).unwrap();
+        let executors: Vec<_> =
+            (0..EXECUTORS).map(|_| Executor::with_table(TABLE, answer_slowly).unwrap()).collect();
         let listed = executors.iter().enumerate().map(|(n, e)| member(id(n), e.address, "in_service"));
         let mut config =
-            configuration("127.0.0.1:0".parse().unwrap(), board.address, &listed.collect::<Vec<_>>());
-        let told = Arc::<Told>::default();
-        let (peers, known) = relays(&told);
+            configuration("127.0.0.1:0".parse().unwrap(), discovery.address, &listed.collect::<Vec<_>>());
+        let datagrams = Arc::<Datagrams>::default();
+        let (peers, known) = relays(&datagrams);
         config["settings"]["allowed"]["peers"] = json!(true);
-        config["settings"]["peersTotal"] = json!(FRONTS);
+        config["settings"]["peersTotal"] = json!(FRONT_ENDS);
         config["peers"] = json!(known);
-        // Nobody is there: what goes to all at once would be priced at each of them.
+        // Nobody listens here: a datagram to all at once would count at each of them.
         let nobody = UdpSocket::bind("127.0.0.1:0").unwrap();
         config["peers_all"] = json!(nobody.local_addr().unwrap());
         let mut fleet = Fleet {
-            board,
+            discovery,
             executors,
-            fronts: (0..FRONTS).map(|_| None).collect(),
+            front_ends: (0..FRONT_ENDS).map(|_| None).collect(),
             peers,
-            told,
-            began: Instant::now(),
+            datagrams,
+            started: Instant::now(),
             config,
             next: 1,
         };
-        fleet.start_those(&(0..FRONTS).collect::<Vec<_>>());
+        fleet.start_all(&(0..FRONT_ENDS).collect::<Vec<_>>());
         fleet
     }
 
-    /// Starts these together, from nothing.
-    fn start_those(&mut self, which: &[usize]) {
+    /// Starts these front ends at the same time, with empty state.
+    fn start_all(&mut self, which: &[usize]) {
         let started: Vec<_> = std::thread::scope(|scope| {
             let (config, peers) = (&self.config, &self.peers);
             let start = |&n: &usize| {
                 let mut own = config.clone();
                 own["peer_listen"] = json!(peers[n]);
                 own["settings"]["myNumber"] = json!(n);
-                scope.spawn(move || (n, Front::start(own)))
+                scope.spawn(move || (n, FrontEnd::start(own)))
             };
             let all: Vec<_> = which.iter().map(start).collect();
             all.into_iter().map(|t| t.join().unwrap()).collect()
         });
         for (n, front) in started {
-            assert!(until(|| front.health() == 200), "front end {n} says that it serves");
-            self.fronts[n] = Some(front);
+            assert!(until(|| front.health() == 200), "front end {n} is not healthy");
+            self.front_ends[n] = Some(front);
         }
     }
 
-    /// So many calls at each of these, one after another at the fleet's pace; each tenth may not run twice. What came of
-    /// each, by its id.
+    /// Makes `each` calls at each of these front ends, one after another with pauses. Every tenth call must
+    /// not run twice. Returns the answers by the ids of the calls.
     fn calls(&mut self, at: &[usize], each: u64) -> BTreeMap<String, Answer> {
         let from = self.next;
-        self.next += FRONTS as u64 * each;
-        let fronts = &self.fronts;
+        self.next += FRONT_ENDS as u64 * each;
+        let front_ends = &self.front_ends;
         std::thread::scope(|scope| {
             let one = |&n: &usize| {
-                let front = fronts[n].as_ref().unwrap();
+                let front = front_ends[n].as_ref().unwrap();
                 scope.spawn(move || {
                     let mut web = front.web();
                     let call = |k| {
                         let ask = ask(from + n as u64 * each + k);
                         web.ask(1 + k as u16, &ask).unwrap();
                         let answer = web.answer().unwrap();
-                        assert_eq!(answer.number, 1 + k as u16, "one answer, and to what was asked");
-                        std::thread::sleep(PACE);
+                        assert_eq!(answer.number, 1 + k as u16, "the answer is to another request");
+                        std::thread::sleep(PAUSE);
                         (ask.id, answer)
                     };
                     (0..each).map(call).collect::<Vec<_>>()
@@ -145,17 +151,18 @@
         })
     }
 
-    fn living(&self) -> Vec<usize> {
-        (0..FRONTS).filter(|n| self.fronts[*n].is_some()).collect()
+    /// The front ends that run.
+    fn running(&self) -> Vec<usize> {
+        (0..FRONT_ENDS).filter(|n| self.front_ends[*n].is_some()).collect()
     }
 
-    /// What an executor has been sent, by the front ends' connections that came up and by words.
+    /// The number of connections that each executor has accepted.
     fn opened(&self) -> Vec<usize> {
         self.executors.iter().map(|e| e.doors.opened.load(Ordering::Relaxed)).collect()
     }
 
-    /// Nothing that may run once ran twice, and nothing at all at two places at once.
-    fn effects_kept(&self) {
+    /// Checks that no call that must not run twice ran twice.
+    fn assert_no_duplicate_runs(&self) {
         let mut ran: BTreeMap<String, usize> = BTreeMap::new();
         for s in self.executors.iter().flat_map(|e| e.words("FN")) {
             if s.line["meta"]["kind"] == "book" {
@@ -166,9 +173,9 @@
         assert!(!ran.is_empty() && twice.is_empty(), "{twice:?}");
     }
 
-    /// Each process within its limits: descriptors and memory as its configuration has them.
-    fn limits_kept(&self) {
-        for front in self.fronts.iter().flatten() {
+    /// Checks that each process stays within the descriptors and the memory of its configuration.
+    fn assert_within_limits(&self) {
+        for front in self.front_ends.iter().flatten() {
             let limits = &front.config["limits"];
             let (sockets, mb) = (limits["sockets"].as_u64().unwrap(), limits["memory_mb"].as_u64().unwrap());
             assert!(front.descriptors() as u64 <= sockets, "{} descriptors", front.descriptors());
@@ -176,26 +183,28 @@
         }
     }
 
-    /// Datagrams are short and few, in sum and at each receiver.
-    fn datagrams_kept(&self) {
-        let told = self.told.lock().unwrap();
-        let seconds = self.began.elapsed().as_secs_f64();
-        let mut heard = [0usize; FRONTS];
-        let mut tells = [0usize; FRONTS];
-        for (from, to, bytes) in told.iter() {
+    /// Checks that datagrams are short and few, in sum and at each receiver.
+    fn assert_few_datagrams(&self) {
+        let datagrams = self.datagrams.lock().unwrap();
+        let seconds = self.started.elapsed().as_secs_f64();
+        let mut received = [0usize; FRONT_ENDS];
+        let mut sent = [0usize; FRONT_ENDS];
+        for (from, to, bytes) in datagrams.iter() {
             assert!(from != to && *bytes <= 256, "{bytes} bytes from {from} to {to}");
-            heard[*to] += 1;
-            tells[*from] += 1;
+            received[*to] += 1;
+            sent[*from] += 1;
         }
-        assert!(tells.iter().all(|n| *n > 0), "front ends tell each other: {tells:?}");
-        // Sixteen in a keep-alive of eight seconds, each to one; a receiver is drawn as often as any other, by chance.
+        assert!(sent.iter().all(|n| *n > 0), "front ends without any datagram sent: {sent:?}");
+        // Each sends sixteen in a keep-alive of eight seconds, each to one receiver, which is chosen at
+        // random.
         let each = 2.0 * (seconds + 1.0) + 4.0;
-        assert!(tells.iter().all(|n| *n as f64 <= each), "{tells:?} in {seconds:.1} s");
-        assert!(heard.iter().all(|n| *n as f64 <= 3.0 * each), "{heard:?} in {seconds:.1} s");
+        assert!(sent.iter().all(|n| *n as f64 <= each), "{sent:?} in {seconds:.1} s");
+        assert!(received.iter().all(|n| *n as f64 <= 3.0 * each), "{received:?} in {seconds:.1} s");
     }
 }
 
-/// `look` most times, `book` each tenth time; functions differ, so that they are at home at different executors.
+/// Call `n`: every tenth is of class `book`, the others of class `look`. The functions differ in their
+/// preferred executors.
 fn ask(n: u64) -> Ask {
     let class = if n % 10 == 0 { "book" } else { "look" };
     Ask {
@@ -205,130 +214,142 @@
     }
 }
 
-/// Calls seldom enough that no front end hears from an executor within a connect's time: opening a connection for each of
-/// them fills the executors' tables, which turn calls away, which are tried elsewhere over yet another connection.
+/// Calls are so rare that an executor has no traffic from a front end for longer than a connect takes. If
+/// each call opened a connection, the executors' tables would fill, and refused calls would be tried
+/// elsewhere over yet another connection.
 #[test]
-fn many_front_ends_with_few_calls_each_do_not_fill_the_executors_tables() {
+fn many_front_ends_with_few_calls_each_do_not_fill_the_connection_tables() {
     let mut fleet = Fleet::start();
-    let all = fleet.living();
+    let all = fleet.running();
     let answers = fleet.calls(&all, 24);
-    assert_eq!(answers.len(), FRONTS * 24);
+    assert_eq!(answers.len(), FRONT_ENDS * 24);
     let refused = answers.values().filter(|a| a.status != 200).count();
-    let turned: usize = fleet.executors.iter().map(|e| e.doors.turned_away.load(Ordering::Relaxed)).sum();
+    let turned_away: usize =
+        fleet.executors.iter().map(|e| e.doors.turned_away.load(Ordering::Relaxed)).sum();
     let opened = fleet.opened();
-    println!("opened {opened:?}, turned away {turned}, refused {refused} of {}", answers.len());
-    assert!(opened.iter().all(|n| *n <= 2 * FRONTS), "connections: {opened:?}");
-    assert!(turned * 50 <= answers.len(), "turned away at the door: {turned}");
-    assert!(refused * 100 <= answers.len(), "refused with no fault at all: {refused}");
-    fleet.effects_kept();
-    fleet.limits_kept();
-    fleet.datagrams_kept();
-    // What all of them ask for beside calls is no multiple of the calls.
+    println!("opened {opened:?}, turned away {turned_away}, refused {refused} of {}", answers.len());
+    assert!(opened.iter().all(|n| *n <= 2 * FRONT_ENDS), "connections: {opened:?}");
+    assert!(turned_away * 50 <= answers.len(), "connections turned away: {turned_away}");
+    assert!(refused * 100 <= answers.len(), "refused without any fault: {refused}");
+    fleet.assert_no_duplicate_runs();
+    fleet.assert_within_limits();
+    fleet.assert_few_datagrams();
+    // Probes and load orders are not more than the calls justify.
     for e in &fleet.executors {
         let (calls, probes, orders) =
             (e.words("FN"), e.words("HELO").len() + e.words("TOP").len(), e.words("SPAWN"));
-        assert!(probes <= calls.len() / 2 + FRONTS, "{probes} probes for {} calls", calls.len());
-        assert!(orders.len() <= calls.len() + FRONTS, "{} orders for {} calls", orders.len(), calls.len());
+        assert!(probes <= calls.len() / 2 + FRONT_ENDS, "{probes} probes for {} calls", calls.len());
+        assert!(
+            orders.len() <= calls.len() + FRONT_ENDS,
+            "{} orders for {} calls",
+            orders.len(),
+            calls.len()
+        );
     }
 }
 
-/// Ten are killed under their calls, and start again from nothing, twice.
+/// Twice, ten front ends are killed while they have calls, and restart with empty state.
 #[test]
-fn ten_killed_at_once_cost_the_others_nothing_and_come_back() {
+fn ten_front_ends_killed_at_once_do_not_harm_the_others_and_serve_after_a_restart() {
     let mut fleet = Fleet::start();
     for round in 0..2 {
-        let dying: Vec<_> = (0..FRONTS).filter(|n| (n + round) % 12 < 5).collect();
-        let staying: Vec<_> = (0..FRONTS).filter(|n| !dying.contains(n)).collect();
-        assert_eq!(dying.len(), 10);
-        // Each of the dying has a call under way that nobody will answer.
-        let cut: Vec<Web> = dying
+        let killed: Vec<_> = (0..FRONT_ENDS).filter(|n| (n + round) % 12 < 5).collect();
+        let staying: Vec<_> = (0..FRONT_ENDS).filter(|n| !killed.contains(n)).collect();
+        assert_eq!(killed.len(), 10);
+        // Each of them has an open call that will not be answered.
+        let cut: Vec<Web> = killed
             .iter()
             .map(|n| {
-                let mut web = fleet.fronts[*n].as_ref().unwrap().web();
-                let call = Ask { class: "book".into(), ..ask(900_000 + (round * FRONTS + n) as u64) };
+                let mut web = fleet.front_ends[*n].as_ref().unwrap().web();
+                let call = Ask { class: "book".into(), ..ask(900_000 + (round * FRONT_ENDS + n) as u64) };
                 web.ask(1, &call).unwrap();
                 web
             })
             .collect();
-        dying.iter().for_each(|n| fleet.fronts[*n].as_mut().unwrap().kill());
-        dying.iter().for_each(|n| fleet.fronts[*n] = None);
+        killed.iter().for_each(|n| fleet.front_ends[*n].as_mut().unwrap().kill());
+        killed.iter().for_each(|n| fleet.front_ends[*n] = None);
         drop(cut);
         let answers = fleet.calls(&staying, 12);
         let refused = answers.values().filter(|a| a.status != 200).count();
-        assert!(refused * 50 <= answers.len(), "{refused} of {} with ten dead", answers.len());
-        fleet.start_those(&dying);
-        let all = fleet.living();
+        assert!(refused * 50 <= answers.len(), "{refused} of {} with ten killed", answers.len());
+        fleet.start_all(&killed);
+        let all = fleet.running();
         let answers = fleet.calls(&all, 6);
         let refused = answers.values().filter(|a| a.status != 200).count();
-        assert!(refused * 50 <= answers.len(), "{refused} of {} with ten new", answers.len());
+        assert!(refused * 50 <= answers.len(), "{refused} of {} with ten restarted", answers.len());
     }
-    fleet.effects_kept();
-    fleet.limits_kept();
-    fleet.datagrams_kept();
-    let most: Vec<_> = fleet.executors.iter().map(|e| e.doors.most.load(Ordering::Relaxed)).collect();
-    assert!(most.iter().all(|n| *n <= TABLE), "{most:?}");
+    fleet.assert_no_duplicate_runs();
+    fleet.assert_within_limits();
+    fleet.assert_few_datagrams();
+    let max_connections: Vec<_> =
+        fleet.executors.iter().map(|e| e.doors.most.load(Ordering::Relaxed)).collect();
+    assert!(max_connections.iter().all(|n| *n <= TABLE), "{max_connections:?}");
 }
 
-/// All are replaced, a tenth at a time, each with a call taken before and one that comes while it stops.
+/// All front ends are replaced, a tenth at a time, each with an open call.
 #[test]
-fn stopped_a_tenth_at_a_time_they_answer_what_they_took() {
+fn front_ends_stopped_a_tenth_at_a_time_answer_their_calls() {
     let mut fleet = Fleet::start();
-    for tenth in (0..FRONTS).collect::<Vec<_>>().chunks(FRONTS.div_ceil(10)) {
+    for tenth in (0..FRONT_ENDS).collect::<Vec<_>>().chunks(FRONT_ENDS.div_ceil(10)) {
         let mut open = Vec::new();
         for &n in tenth {
-            let front = fleet.fronts[n].as_ref().unwrap();
+            let front = fleet.front_ends[n].as_ref().unwrap();
             let mut web = front.web();
             web.ask(1, &ask(fleet.next)).unwrap();
             fleet.next += 1;
             open.push(web);
         }
-        // Some calls are read only after the signal: connections that stand are served to their end all the same.
-        tenth.iter().for_each(|n| fleet.fronts[*n].as_ref().unwrap().signal("-TERM"));
+        // Some calls are read only after the signal. Calls on established connections are served all the
+        // same.
+        tenth.iter().for_each(|n| fleet.front_ends[*n].as_ref().unwrap().signal("-TERM"));
         for (web, &n) in open.iter_mut().zip(tenth) {
-            let answer = web.answer().unwrap_or_else(|e| panic!("front end {n} took a call: {e}"));
+            let answer = web.answer().unwrap_or_else(|e| panic!("front end {n} did not answer a call: {e}"));
             assert_eq!(answer.status, 200);
         }
         for &n in tenth {
-            assert_eq!(fleet.fronts[n].as_mut().unwrap().ended(), Some(0), "front end {n}");
-            fleet.fronts[n] = None;
+            assert_eq!(fleet.front_ends[n].as_mut().unwrap().wait_for_exit(), Some(0), "front end {n}");
+            fleet.front_ends[n] = None;
         }
-        let others = fleet.living();
+        let others = fleet.running();
         let answers = fleet.calls(&others, 1);
         assert!(answers.values().all(|a| a.status == 200), "{answers:?}");
-        fleet.start_those(tenth);
+        fleet.start_all(tenth);
     }
-    fleet.effects_kept();
-    fleet.limits_kept();
+    fleet.assert_no_duplicate_runs();
+    fleet.assert_within_limits();
 }
 
-/// The board moves, and tells on its new place that an executor has gone and another, cold one has come.
+/// Service discovery moves to another address, and announces there that an executor has been removed and a
+/// cold one added.
 #[test]
-fn all_follow_a_board_that_moves_and_share_a_cold_executor() {
+fn all_front_ends_follow_discovery_to_another_address_and_share_a_cold_executor() {
     let mut fleet = Fleet::start();
-    assert!(until(|| fleet.board.asked().len() == FRONTS));
+    assert!(until(|| fleet.discovery.asked().len() == FRONT_ENDS));
     let moved = Board::start(2).unwrap();
-    for front in fleet.fronts.iter().flatten() {
+    for front in fleet.front_ends.iter().flatten() {
         let mut config = front.config.clone();
         config["board"] = moved.address.to_string().into();
-        front.replace(&config.to_string());
+        front.replace_config(&config.to_string());
         front.signal("-HUP");
     }
-    assert!(until(|| moved.asked().len() >= FRONTS), "{} have come", moved.asked().len());
-    let holds = Arc::new(Mutex::new((0usize, 0usize, None::<Instant>)));
+    assert!(until(|| moved.asked().len() >= FRONT_ENDS), "{} have connected", moved.asked().len());
+    // Calls at the cold executor: open now, most at once during its first second, and when the first one
+    // came.
+    let load = Arc::new(Mutex::new((0usize, 0usize, None::<Instant>)));
     let script: Script = {
-        let holds = holds.clone();
+        let load = load.clone();
         Box::new(move |s| {
             if s.word == "FN" {
-                let mut h = holds.lock().unwrap();
-                let first = *h.2.get_or_insert_with(Instant::now);
-                h.0 += 1;
-                // Cold for its first second.
+                let mut counts = load.lock().unwrap();
+                let first = *counts.2.get_or_insert_with(Instant::now);
+                counts.0 += 1;
+                // The executor is cold for its first second.
                 if first.elapsed() < Duration::from_secs(1) {
-                    h.1 = h.1.max(h.0);
+                    counts.1 = counts.1.max(counts.0);
                 }
-                drop(h);
+                drop(counts);
                 std::thread::sleep(Duration::from_millis(40));
-                holds.lock().unwrap().0 -= 1;
+                load.lock().unwrap().0 -= 1;
             }
             well(s)
         })
@@ -336,7 +357,7 @@
     let cold = Executor::with_table(TABLE, script).unwrap();
     let gone = fleet.executors[0].address;
     moved.tell(&[record(id(0), gone, GONE), record(id(90), cold.address, READY)]);
-    let all = fleet.living();
+    let all = fleet.running();
     let mut answers = BTreeMap::new();
     assert!(until(|| {
         answers.extend(fleet.calls(&all, 4));
@@ -344,15 +365,15 @@
     }));
     let before = fleet.executors[0].words("FN").len();
     answers.extend(fleet.calls(&all, 8));
-    assert_eq!(fleet.executors[0].words("FN").len(), before, "nobody sends to one that has gone");
+    assert_eq!(fleet.executors[0].words("FN").len(), before, "a removed executor got calls");
     let refused = answers.values().filter(|a| a.status != 200).count();
     assert!(refused * 50 <= answers.len(), "{refused} of {}", answers.len());
-    // A size of four, and two and a half times that is its fall.
-    let most = holds.lock().unwrap().1;
-    assert!(most <= 10, "{most} calls at once at a cold executor, from all front ends");
+    // Its size is four. At two and a half times that many calls it collapses.
+    let max_concurrent = load.lock().unwrap().1;
+    assert!(max_concurrent <= 10, "{max_concurrent} calls at once at a cold executor, from all front ends");
     let orders = cold.words("SPAWN").len();
-    assert!(orders <= cold.words("FN").len() + 2 * FRONTS, "{orders} orders");
-    assert!(cold.doors.opened.load(Ordering::Relaxed) <= 2 * FRONTS);
-    fleet.effects_kept();
-    fleet.limits_kept();
+    assert!(orders <= cold.words("FN").len() + 2 * FRONT_ENDS, "{orders} orders");
+    assert!(cold.doors.opened.load(Ordering::Relaxed) <= 2 * FRONT_ENDS);
+    fleet.assert_no_duplicate_runs();
+    fleet.assert_within_limits();
 }
--- a/crates/badgerwind-cli/tests/platform/hostile.rs
+++ b/crates/badgerwind-cli/tests/platform/hostile.rs
@@ -1,4 +1,4 @@
-//! Clients that nobody wants, beside one that is served.
+//! Clients that send malformed data, stay silent, flood or do not read, while others are served.
 
 use crate::rig::*;
 use badgerwind_platform::fcgi;
@@ -9,18 +9,19 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// An answer or a close is owed within this, and what the test itself takes.
-const OWED: Duration = Duration::from_secs(3);
+/// A client gets an answer or a close within this time, plus what the test itself takes.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-fn begun(number: u16) -> Vec<u8> {
+/// The record that begins a request.
+fn begin_request(number: u16) -> Vec<u8> {
     let mut out = Vec::new();
     fcgi::record(&mut out, fcgi::BEGIN_REQUEST, number, &[0, 1, 1, 0, 0, 0, 0, 0]);
     out
 }
 
 #[test]
-fn requests_that_cannot_be_used_fail_and_never_reach_an_executor() {
-    let rig = Rig::well();
+fn invalid_requests_fail_and_reach_no_executor() {
+    let rig = Rig::start_well();
     let good = Ask::new(1);
     for bad in [
         Ask { id: "".into(), ..good.clone() },
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_harms_only_the_newcomer() {
+fn a_second_call_with_an_id_in_use_is_rejected_and_the_first_one_is_served() {
     let rig = Rig::start(vec![Box::new(|s| match s.word.as_str() {
         "FN" => vec![Do::Wait(Duration::from_millis(300)), Do::Write(hit(s))],
         _ => well(s),
@@ -54,34 +55,34 @@
 }
 
 #[test]
-fn endless_wrong_and_half_messages_are_answered_or_closed_while_others_are_served() {
-    let rig = Rig::well();
+fn endless_malformed_and_truncated_messages_are_answered_or_closed_while_others_are_served() {
+    let rig = Rig::start_well();
     let mut params = Vec::new();
     fcgi::record(&mut params, fcgi::PARAMS, 1, &[b'x'; 60_000]);
     let mut stray = Vec::new();
     fcgi::record(&mut stray, fcgi::STDIN, 9, &[b'x'; 60_000]);
     let whole = Ask::new(5).records(1);
     let cases: Vec<(&str, Vec<u8>)> = vec![
-        ("no FastCGI", b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec()),
-        ("parameters without end", [begun(1), params.repeat(20)].concat()),
-        ("records of nothing", stray.repeat(20)),
+        ("not FastCGI", b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec()),
+        ("endless parameters", [begin_request(1), params.repeat(20)].concat()),
+        ("records of no request", stray.repeat(20)),
         ("half a request", whole[..whole.len() / 2].to_vec()),
         ("half a header", vec![1, 1, 0]),
         ("nothing", vec![]),
-        ("a length that lies", vec![1, 5, 0, 1, 0xff, 0xff, 0, 0, b'x']),
+        ("a wrong length", vec![1, 5, 0, 1, 0xff, 0xff, 0, 0, b'x']),
         ("a body of megabytes", {
             let mut body = Vec::new();
             fcgi::record(&mut body, fcgi::STDIN, 1, &[b'x'; 60_000]);
             let mut none = Vec::new();
             fcgi::stream(&mut none, fcgi::PARAMS, 1, b"");
-            [begun(1), none, body.repeat(100)].concat()
+            [begin_request(1), none, body.repeat(100)].concat()
         }),
     ];
     let before = rig.memory();
     let mut bad: Vec<(&str, Web, Instant)> = Vec::new();
     for (name, bytes) in &cases {
         let mut web = rig.web();
-        // Broken off in the middle of writing is an answer, too.
+        // The front end may close the connection while the test still writes.
         let _ = web.write(bytes);
         bad.push((*name, web, Instant::now()));
     }
@@ -90,20 +91,20 @@
     }
     for (name, mut web, since) in bad {
         assert!(web.closed(), "{name}");
-        assert!(since.elapsed() < OWED + Duration::from_secs(2), "{name}: {:?}", since.elapsed());
+        assert!(since.elapsed() < CLOSE_TIMEOUT + Duration::from_secs(2), "{name}: {:?}", since.elapsed());
     }
     assert!(rig.memory() < before + 8192, "{} {before}", rig.memory());
 }
 
 #[test]
-fn hundreds_of_silent_connections_take_no_place_from_those_that_ask() {
-    let rig = Rig::well();
+fn hundreds_of_silent_connections_do_not_displace_active_ones() {
+    let rig = Rig::start_well();
     let mut own = rig.web();
     own.ask(1, &Ask::new(1)).unwrap();
     assert_eq!(own.answer().unwrap().status, 200);
     let silent: Vec<Web> = (0..300).map(|_| rig.web()).collect();
     own.ask(1, &Ask::new(2)).unwrap();
-    assert_eq!(own.answer().unwrap().status, 200, "one that asked before keeps its connection");
+    assert_eq!(own.answer().unwrap().status, 200, "a connection that has made a call is kept");
     for n in 0..20 {
         assert_eq!(rig.call(&Ask::new(10 + n)).status, 200);
     }
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn many_at_once_and_as_many_withdrawn_leave_nothing_behind() {
+fn many_concurrent_calls_and_aborts_leave_nothing_behind() {
     let rig = Rig::start(vec![Box::new(|s| match s.word.as_str() {
         "FN" => vec![Do::Wait(Duration::from_millis(50)), Do::Write(hit(s))],
         _ => well(s),
@@ -128,35 +129,37 @@
         }
     }
     for web in &mut webs {
-        assert_eq!(web.answer().unwrap().number, 32, "what was not withdrawn has its one answer");
+        assert_eq!(web.answer().unwrap().number, 32, "the call that was not aborted has its one answer");
     }
     assert_eq!(rig.call(&Ask::new(9999)).status, 200);
 }
 
-/// A reader that takes none of its answers is bounded; others do not notice.
+/// The answers buffered for a client that reads none of them are bounded, and other clients are served
+/// meanwhile.
 #[test]
-fn one_that_reads_nothing_is_closed_in_the_end() {
+fn a_client_that_reads_nothing_is_disconnected() {
     let large = |s: &Seen| Seen { line: json!({"data": "eHh4".repeat(40_000)}), ..s.clone() };
     let rig = Rig::start(vec![Box::new(move |s| match s.word.as_str() {
         "FN" => vec![Do::Write(hit(&large(s)))],
         _ => well(s),
     })]);
-    let mut deaf = rig.web();
+    let mut unread = rig.web();
     let before = rig.memory();
     let mut n = 0;
-    let taken = until(|| {
+    let disconnected = until(|| {
         n += 1;
-        deaf.ask(n as u16, &Ask::new(n)).is_err()
+        unread.ask(n as u16, &Ask::new(n)).is_err()
     });
-    assert!(taken, "it is broken off");
+    assert!(disconnected, "the connection is still open");
     assert!(rig.memory() < before + 16 * 1024, "{} {before}", rig.memory());
     assert_eq!(rig.call(&Ask::new(1_000_000)).status, 200);
 }
 
-/// While the front end has no core, hundreds that connect take nobody's place in the queue: the 129th waited a second.
+/// While the process is not scheduled, connections wait in the listen queue. With a backlog of 128 the 129th
+/// waited a second.
 #[test]
-fn hundreds_connect_at_once_while_the_front_end_stands_still() {
-    let rig = Rig::well();
+fn hundreds_can_connect_at_once_while_the_front_end_is_stopped() {
+    let rig = Rig::start_well();
     rig.signal("-STOP");
     let connect = || TcpStream::connect_timeout(&rig.address, Duration::from_millis(900));
     let waiting: Vec<_> = (0..400).map(|_| connect()).collect();
--- a/crates/badgerwind-cli/tests/platform/life.rs
+++ b/crates/badgerwind-cli/tests/platform/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts, stops, another configuration, and news of the executors.
+//! Start, stop, reload of the configuration, and changes of the list of executors.
 
 use crate::rig::*;
 use badgerwind_standins::platform::board::{record, Board, Mood};
@@ -12,8 +12,8 @@
 const DRAINING: u8 = 1;
 const GONE: u8 = 2;
 
-/// Asks until one is served by this executor, which the front end may still have to hear of.
-fn comes_to(rig: &Rig, executor: &Executor) -> bool {
+/// Makes calls until one reaches this executor, of which the front end may not know yet.
+fn eventually_calls(rig: &Rig, executor: &Executor) -> bool {
     let mut n = executor.address.port().into();
     until(|| {
         n += 100_000;
@@ -23,38 +23,38 @@
 }
 
 #[test]
-fn news_of_an_executor_brings_it_calls_whatever_the_boards_mood() {
+fn a_new_executor_gets_calls_even_if_discovery_repeats_events_or_breaks_connections() {
     for mood in [Mood::Well, Mood::Twice, Mood::Breaks] {
         let rig = Rig::start(vec![]);
-        assert!(until(|| !rig.board.asked().is_empty()));
+        assert!(until(|| !rig.discovery.asked().is_empty()));
         let new = Executor::start(well).unwrap();
-        rig.board.mood(mood);
-        rig.board.tell(&[record(77, new.address, READY)]);
-        assert!(comes_to(&rig, &new), "{mood:?}");
-        let asked = rig.board.asked();
-        assert!(asked.iter().all(|n| *n == 1), "asked for what was missed, not for what was had: {asked:?}");
+        rig.discovery.mood(mood);
+        rig.discovery.tell(&[record(77, new.address, READY)]);
+        assert!(eventually_calls(&rig, &new), "{mood:?}");
+        let asked = rig.discovery.asked();
+        assert!(asked.iter().all(|n| *n == 1), "events were requested again: {asked:?}");
         assert_eq!(asked.len(), if mood == Mood::Breaks { 2 } else { 1 });
     }
 }
 
 #[test]
-fn a_board_that_falls_silent_is_asked_anew() {
+fn discovery_that_falls_silent_is_queried_again() {
     let rig = Rig::start(vec![]);
-    assert!(until(|| !rig.board.asked().is_empty()));
-    rig.board.mood(Mood::Silent);
+    assert!(until(|| !rig.discovery.asked().is_empty()));
+    rig.discovery.mood(Mood::Silent);
     let since = Instant::now();
-    assert!(until(|| rig.board.asked().len() > 1));
+    assert!(until(|| rig.discovery.asked().len() > 1));
     assert!(since.elapsed() < Duration::from_secs(5), "{:?}", since.elapsed());
 }
 
 #[test]
-fn one_that_drains_or_is_gone_takes_nothing_new_and_another_at_its_address_does() {
-    let rig = Rig::well();
+fn a_draining_or_removed_executor_gets_no_new_calls_and_its_successor_at_the_address_does() {
+    let rig = Rig::start_well();
     assert_eq!(rig.call(&Ask::new(1)).status, 200);
     let address = rig.executors[0].address;
-    rig.board.tell(&[record(id(0), address, DRAINING)]);
-    rig.board.tell(&[record(id(0), address, GONE)]);
-    // Refused or failed from some moment on: nobody else is there.
+    rig.discovery.tell(&[record(id(0), address, DRAINING)]);
+    rig.discovery.tell(&[record(id(0), address, GONE)]);
+    // Calls fail or are refused once the front end knows, since there is no other executor.
     let mut n = 10;
     assert!(until(|| {
         n += 1;
@@ -63,7 +63,7 @@
     let before = rig.executors[0].words("FN").len();
     rig.call(&Ask { wait_ms: 700, ..Ask::new(2) });
     assert_eq!(rig.executors[0].words("FN").len(), before);
-    rig.board.tell(&[record(99, address, READY)]);
+    rig.discovery.tell(&[record(99, address, READY)]);
     assert!(until(|| {
         n += 1;
         rig.call(&Ask { wait_ms: 300, ..Ask::new(n) }).status == 200
@@ -71,27 +71,27 @@
 }
 
 #[test]
-fn another_board_is_followed_after_sighup_and_a_file_that_cannot_be_read_changes_nothing() {
-    let mut rig = Rig::well();
-    assert!(until(|| rig.board.asked().len() == 1));
-    rig.replace("{ not json");
+fn discovery_is_followed_to_another_address_after_sighup_and_an_invalid_file_changes_nothing() {
+    let mut rig = Rig::start_well();
+    assert!(until(|| rig.discovery.asked().len() == 1));
+    rig.replace_config("{ not json");
     rig.signal("-HUP");
     assert_eq!(rig.call(&Ask::new(1)).status, 200);
-    rig.board.tell(&[record(50, rig.executors[0].address, READY)]);
+    rig.discovery.tell(&[record(50, rig.executors[0].address, READY)]);
     let other = Board::start(3).unwrap();
     let mut config = rig.config.clone();
     config["board"] = other.address.to_string().into();
-    // The event of before is had when the new one is asked: its numbers go on.
+    // The earlier event has been received by then, so the new address is asked for the events after it.
     std::thread::sleep(Duration::from_millis(200));
-    rig.replace(&config.to_string());
+    rig.replace_config(&config.to_string());
     rig.signal("-HUP");
     assert!(until(|| other.asked() == [2]), "{:?}", other.asked());
-    assert!(rig.runs());
+    assert!(rig.is_running());
     assert_eq!(rig.call(&Ask::new(2)).status, 200);
 }
 
 #[test]
-fn sigterm_ends_it_once_all_that_was_taken_is_answered() {
+fn sigterm_ends_the_process_once_all_accepted_calls_are_answered() {
     let mut rig = Rig::start(vec![Box::new(|s| match s.word.as_str() {
         "FN" => vec![Do::Wait(Duration::from_millis(600)), Do::Write(hit(s))],
         _ => well(s),
@@ -100,22 +100,23 @@
     before.ask(1, &Ask::new(1)).unwrap();
     assert!(until(|| rig.executors[0].words("FN").len() == 1));
     rig.signal("-TERM");
-    assert!(until(|| rig.health() == 503), "it says that it stops");
+    assert!(until(|| rig.health() == 503), "health does not report the stop");
     let late = rig.call(&Ask::new(2));
     assert_eq!((late.status, before.answer().unwrap().status), (200, 200));
-    assert_eq!(rig.ended(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
-/// The web servers notice late: for up to 0.4 s they still connect, and for 0.2 s more they ask on what is open.
+/// The web servers notice a stop late: for up to 0.4 s they still connect, and for 0.2 s more they send
+/// requests on open connections.
 #[test]
-fn what_still_comes_after_sigterm_is_taken_and_answered() {
+fn requests_that_arrive_shortly_after_sigterm_are_answered() {
     let slow = Duration::from_millis(700);
     let script: Script = Box::new(move |s| match s.word.as_str() {
         "FN" => vec![Do::Wait(slow), Do::Write(hit(s))],
         _ => well(s),
     });
-    // By itself it would give up at 700 ms what this executor has not answered, and the work takes as long.
-    let mut rig = Rig::with(vec![script], patient);
+    // With the usual aims, the front end would give up an attempt at 700 ms, and the work takes as long.
+    let mut rig = Rig::start_with(vec![script], raise_aims);
     let mut before = rig.web();
     before.ask(1, &Ask::new(1)).unwrap();
     assert!(until(|| rig.executors[0].words("FN").len() == 1));
@@ -128,36 +129,37 @@
     let mut new = rig.web();
     new.ask(1, &Ask::new(3)).unwrap();
     at(550);
-    // On a machine so busy that this came later than requests still come, nothing is owed.
-    let owed = since.elapsed() < Duration::from_millis(700);
+    // On a machine so busy that this request came too late, it need not be answered.
+    let in_time = since.elapsed() < Duration::from_millis(700);
     new.ask(2, &Ask::new(4)).unwrap();
     let answered = [before.answer(), before.answer(), new.answer()].map(|a| a.unwrap().status);
     assert_eq!(answered, [200; 3]);
     let last = new.answer().map(|a| a.status);
-    assert!(matches!(last, Ok(200)) || !owed, "{last:?}");
-    assert_eq!(rig.ended(), Some(0));
+    assert!(matches!(last, Ok(200)) || !in_time, "{last:?}");
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
-/// What the board would have told while it is silent counts as told 4 s later: it must have been asked anew by then.
+/// An event that service discovery would have sent while it is silent counts as received 4 s later. The front
+/// end must have reconnected by then.
 #[test]
-fn a_drain_told_while_the_board_is_silent_is_kept_four_seconds_later() {
+fn a_drain_announced_while_discovery_is_silent_is_effective_four_seconds_later() {
     let rig = Rig::start(vec![Box::new(well), Box::new(well)]);
-    assert!(until(|| !rig.board.asked().is_empty()));
-    rig.board.mood(Mood::Silent);
-    rig.board.tell(&[record(id(0), rig.executors[0].address, DRAINING)]);
-    assert!(until(|| rig.board.asked().len() > 1), "silence is noticed");
-    // The connection that was made anew is served, as the network page has it.
-    rig.board.mood(Mood::Well);
+    assert!(until(|| !rig.discovery.asked().is_empty()));
+    rig.discovery.mood(Mood::Silent);
+    rig.discovery.tell(&[record(id(0), rig.executors[0].address, DRAINING)]);
+    assert!(until(|| rig.discovery.asked().len() > 1), "the silence is not detected");
+    // As the description of the network requires, the new connection is served.
+    rig.discovery.mood(Mood::Well);
     std::thread::sleep(Duration::from_millis(4000));
     let before = rig.executors[0].words("FN").len();
     for n in 0..60 {
         assert_eq!(rig.call(&Ask { key: format!("{n:016x}"), ..Ask::new(100 + n) }).status, 200);
     }
-    assert_eq!(rig.executors[0].words("FN").len(), before, "nothing goes to one that drains");
+    assert_eq!(rig.executors[0].words("FN").len(), before, "a draining executor got calls");
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_told_by_its_place() {
+fn an_invalid_configuration_is_reported_with_the_location_of_the_error() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
     let run = || {
@@ -167,7 +169,7 @@
     };
     let (code, text) = run();
     assert!(code == Some(2) && text.contains("config.json"), "{code:?} {text}");
-    let rig = Rig::well();
+    let rig = Rig::start_well();
     let mut config = rig.config.clone();
     config["known"]["notices"][0]["pool"]["members"][0]["phase"] = "asleep".into();
     std::fs::write(&path, config.to_string()).unwrap();
@@ -176,23 +178,23 @@
     assert!(text.contains("notices[0]") && text.contains("asleep"), "{text}");
 }
 
-/// Nothing is kept of executors and connections that have gone.
+/// Memory and descriptors of removed executors and of closed connections are freed.
 #[test]
-fn executors_and_connections_that_come_and_go_leave_nothing() {
-    let rig = Rig::well();
+fn executors_and_connections_that_come_and_go_leave_nothing_behind() {
+    let rig = Rig::start_well();
     let address = rig.executors[0].address;
-    rig.board.tell(&[record(id(0), address, GONE)]);
-    let turn = |from: u32| {
+    rig.discovery.tell(&[record(id(0), address, GONE)]);
+    let replace_forty = |from: u32| {
         for n in from..from + 40 {
             let gone = (n > 1).then(|| record(n - 1, address, GONE));
-            rig.board.tell(&[gone.into_iter().collect::<Vec<_>>().concat(), record(n, address, READY)]);
+            rig.discovery.tell(&[gone.into_iter().collect::<Vec<_>>().concat(), record(n, address, READY)]);
             rig.call(&Ask { wait_ms: 200, ..Ask::new(n.into()) });
         }
     };
-    turn(1);
+    replace_forty(1);
     let (memory, descriptors) = (rig.memory(), rig.descriptors());
-    turn(1000);
-    turn(2000);
+    replace_forty(1000);
+    replace_forty(2000);
     assert!(rig.memory() < memory + 1024, "{} {memory}", rig.memory());
     assert!(rig.descriptors() <= descriptors + 10, "{} {descriptors}", rig.descriptors());
 }
--- a/crates/badgerwind-cli/tests/platform/main.rs
+++ b/crates/badgerwind-cli/tests/platform/main.rs
@@ -1,14 +1,14 @@
-//! The platform front as a program of its own, between scripted web servers, executors and a notice board.
+//! The platform front as a program of its own, between scripted web servers, executors and service discovery.
 
-mod crossings;
-mod endings;
+mod address_reuse;
+mod confirmations;
+mod deployment;
 mod executors;
 mod fleet;
 mod hostile;
-mod life;
-mod newcomers;
+mod lifecycle;
 mod outages;
 mod peers;
-mod questions;
+mod races;
 mod rig;
-mod terms;
+mod shutdown;
--- a/crates/badgerwind-cli/tests/platform/outages.rs
+++ b/crates/badgerwind-cli/tests/platform/outages.rs
@@ -1,16 +1,13 @@
-//! Service discovery out of reach for longer than the protocol's clocks, while busy executors drain.
+//! Executors drain while service discovery is unreachable for longer than the deadlines of its protocol.
 //!
-//! What users saw: executors that drained went on being sent calls and orders to load, by every front end, until discovery
-//! was back; the calls were turned away and served elsewhere, so that no client noticed, and the drain rule was broken.
-//! Order of events: discovery goes out of reach; two busy executors begin to drain and stay up; 2 s after a break or 4 s
-//! after silence began the drain counts as told; 0.3 s of grace later sends go on as before; both go, and another process
-//! listens at their addresses.
-//! Cause: the list of executors had no age. Discovery tells changes only, so that its silence read as "nothing changed".
-//! Evidence: sends to the draining executors go on until these are gone, though discovery is asked again and again; most are
-//! turned away, and the next call goes there all the same (`World::play` counts them). docs/incidents/discovery-outage.md has
-//! the figures.
-
-use crate::rig::{id, Front};
+//! A drain counts as announced 2 s after a broken connection to discovery, or 4 s after its silence began,
+//! and takes effect after a grace of 0.3 s. Discovery sends changes only. When the list of executors had no
+//! age, every front end read silence as "nothing changed" and went on sending calls and load orders to
+//! executors that drained, until discovery was back. Most were refused and served elsewhere, so no client
+//! noticed, but the drain rule was broken. The tests also put other executors at the addresses of the removed
+//! ones. docs/incidents/discovery-outage.md has the figures.
+
+use crate::rig::{id, FrontEnd};
 use badgerwind_standins::platform::board::{record, Board, Mood};
 use badgerwind_standins::platform::executor::{hit, say, well, Do, Executor, Seen};
 use badgerwind_standins::platform::web::{Ask, Web};
@@ -27,139 +24,158 @@
 const GONE: u8 = 2;
 
 const EXECUTORS: usize = 8;
-/// Functions that are called; all executors are in use.
+/// Number of functions called, enough to use all executors.
 const FUNCTIONS: u64 = 24;
-/// Senders at each front end, and the pause between two calls of one: 40 calls a second.
+/// Senders at each front end, and the pause between two calls of a sender: 40 calls a second for each front
+/// end.
 const SENDERS: usize = 4;
 const PAUSE: Duration = Duration::from_millis(80);
-/// Time of a call at an executor.
+/// Time that an executor takes for a call.
 const WORK: Duration = Duration::from_millis(20);
-/// Calls before the outage.
+/// How long calls are made before the outage.
 const WARM_UP: Duration = Duration::from_millis(2_500);
-/// What counts as told 2 s after a break, and 4 s after silence began.
+/// An event counts as announced this long after a connection broke, or after silence began.
 const AFTER_BREAK: Duration = Duration::from_secs(2);
 const AFTER_SILENCE: Duration = Duration::from_secs(4);
-/// The protocol's slack, and what a busy machine may add between a first byte and its being read here.
+/// The slack of the protocol, and the delay that a busy machine may add between a first byte and its being
+/// read by the test.
 const SLACK: Duration = Duration::from_millis(50);
 const READ_LATE: Duration = Duration::from_millis(250);
-/// Discovery's events are taken in by then, and the list is relied on: an empty frame comes each second. With what a busy
-/// machine adds.
-const RELIED_ON: Duration = Duration::from_millis(4_000);
-const TAKEN_IN: Duration = Duration::from_millis(1_500);
-
-/// What front ends log when events come, and when they rely on the list again. They do the latter after their start as well.
-const TELLS_EVENTS: &str = "tells events while the list of executors is stale";
+/// Within these times of the return of discovery, the list is fresh again and its events are applied. An
+/// empty frame comes each second; the rest is what a busy machine adds.
+const FRESH_TIMEOUT: Duration = Duration::from_millis(4_000);
+const EVENTS_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// What front ends log when events arrive, and when the list is fresh again. The latter is logged after a
+/// start as well.
+const EVENTS_ARRIVE: &str = "tells events while the list of executors is stale";
 const FRESH_AGAIN: &str = "fresh again";
-/// Between two ends of connections, where these go on.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Interval between closes of connections, in outages with repeated ones.
+const CLOSE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How discovery goes out of reach.
+/// How discovery becomes unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
-    /// Connections stay open and say nothing, as do new ones.
+enum OutageKind {
+    /// Connections stay open but are silent, as are new ones.
     Silent,
-    /// Connections end, new ones are refused.
+    /// Connections are closed, new ones are refused.
     Refuses,
-    /// Connections end, new ones come up and say nothing.
+    /// Connections are closed, new ones are accepted but silent.
     EndsAndIsSilent,
-    /// The same again and again.
+    /// The same repeatedly.
     Flaps,
-    /// SIGHUP names an address where nobody listens.
+    /// A reload changes the address to one where nobody listens.
     Moves,
 }
 
-/// By which of the questions an executor that drains denies to take work; it answers the other one well.
+/// The question by which a draining executor denies that it takes work. It answers the other one like a ready
+/// executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Denial {
     Probe,
     Order,
 }
 
-/// What else fails meanwhile.
+/// What else fails during the outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Beside {
+enum OtherFault {
     Nothing,
-    /// A front end is killed, and started with the configuration of before.
+    /// A front end is killed and restarted with its earlier configuration.
     Restart,
-    /// An executor that does not drain answers nothing any more.
+    /// An executor that does not drain stops answering.
     Hang,
-    /// Executors end all of their connections twice a second.
+    /// Executors close all of their connections twice a second.
     Disconnects,
 }
 
-impl Kind {
-    fn told_after(self) -> Duration {
+impl OutageKind {
+    /// The time after which an event counts as announced.
+    fn announced_after(self) -> Duration {
         match self {
-            Kind::Silent | Kind::Moves => AFTER_SILENCE,
-            Kind::Refuses | Kind::EndsAndIsSilent | Kind::Flaps => AFTER_BREAK,
+            OutageKind::Silent | OutageKind::Moves => AFTER_SILENCE,
+            OutageKind::Refuses | OutageKind::EndsAndIsSilent | OutageKind::Flaps => AFTER_BREAK,
         }
     }
 }
 
-/// An outage in which the two busiest executors drain and are replaced, and what else fails in it. Times from its start.
+/// An outage in which the two busiest executors drain and are replaced. All times are from its start.
 #[derive(Clone, Copy, Debug)]
 struct Plan {
-    fronts: usize,
-    kind: Kind,
-    beside: Beside,
+    front_ends: usize,
+    kind: OutageKind,
+    other_fault: OtherFault,
     denial: Denial,
-    /// They begin to drain, are gone, and others have their addresses.
+    /// When the two executors begin to drain, when they stop, and when others start at their addresses.
     drains: Duration,
-    go: Duration,
+    stops: Duration,
     replaced: Duration,
-    /// Discovery is back.
+    /// When discovery is back.
     returns: Duration,
     /// `rules.stopSendingWithin`.
     grace: Duration,
-    /// How long clients wait.
+    /// The deadline of the calls.
     wait: Duration,
 }
 
 impl Plan {
-    fn new(fronts: usize, kind: Kind, beside: Beside) -> Plan {
+    fn new(front_ends: usize, kind: OutageKind, other_fault: OtherFault) -> Plan {
         let ms = Duration::from_millis;
-        let (drains, go, replaced, returns) = (ms(300), ms(7_000), ms(8_000), ms(10_000));
+        let (drains, stops, replaced, returns) = (ms(300), ms(7_000), ms(8_000), ms(10_000));
         let (grace, wait) = (ms(300), ms(2_000));
-        Plan { fronts, kind, beside, denial: Denial::Probe, drains, go, replaced, returns, grace, wait }
+        Plan {
+            front_ends,
+            kind,
+            other_fault,
+            denial: Denial::Probe,
+            drains,
+            stops,
+            replaced,
+            returns,
+            grace,
+            wait,
+        }
     }
 
-    /// One that follows from a seed.
-    fn drawn(seed: u64) -> Plan {
+    /// A random outage, determined by a seed.
+    fn random(seed: u64) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let kinds = [Kind::Silent, Kind::Refuses, Kind::EndsAndIsSilent, Kind::Flaps, Kind::Moves];
-        let besides = [Beside::Nothing, Beside::Restart, Beside::Hang, Beside::Disconnects];
+        use OtherFault::{Disconnects, Hang, Nothing, Restart};
+        use OutageKind::{EndsAndIsSilent, Flaps, Moves, Refuses, Silent};
+        let kinds = [Silent, Refuses, EndsAndIsSilent, Flaps, Moves];
+        let other_faults = [Nothing, Restart, Hang, Disconnects];
         let kind = kinds[rng.usize(..kinds.len())];
-        let beside = besides[rng.usize(..besides.len())];
+        let other_fault = other_faults[rng.usize(..other_faults.len())];
         let denial = if rng.bool() { Denial::Probe } else { Denial::Order };
         let mut ms = |range: std::ops::Range<u64>| Duration::from_millis(rng.u64(range));
         let drains = ms(0..5_000);
-        let go = drains + Duration::from_secs(5) + ms(0..4_000);
-        let replaced = go + ms(1_000..3_000);
+        let stops = drains + Duration::from_secs(5) + ms(0..4_000);
+        let replaced = stops + ms(1_000..3_000);
         let returns = replaced + ms(1_000..4_000);
         let (grace, wait) = (ms(100..1_000), ms(322..3_000));
-        let fronts = 1 + rng.usize(..4);
-        Plan { fronts, kind, beside, denial, drains, go, replaced, returns, grace, wait }
+        let front_ends = 1 + rng.usize(..4);
+        Plan { front_ends, kind, other_fault, denial, drains, stops, replaced, returns, grace, wait }
     }
 
-    /// From then on nothing goes to those that drain.
+    /// The time after which nothing may be sent to the draining executors.
     fn forbidden_after(&self) -> Duration {
-        self.kind.told_after().max(self.drains) + self.grace + SLACK + READ_LATE
+        self.kind.announced_after().max(self.drains) + self.grace + SLACK + READ_LATE
     }
 
-    /// Two for each executor of each front end and half of a grace, through the outage.
-    fn most_questions(&self) -> usize {
+    /// The limit of questions in an outage: two for each executor, each front end and each half of a grace.
+    fn max_questions(&self) -> usize {
         let graces = self.returns.as_millis() / (self.grace.as_millis() / 2);
-        2 * self.fronts * EXECUTORS * graces as usize
+        2 * self.front_ends * EXECUTORS * graces as usize
     }
 }
 
-/// An executor that turns work away once it drains.
+/// An executor that refuses work once it drains.
 struct Server {
     executor: Executor,
     port: Arc<ReservedPort>,
     drains: Arc<AtomicBool>,
     hangs: Arc<AtomicBool>,
-    connections_ended: AtomicUsize,
+    /// Number of connections closed so far.
+    connections_closed: AtomicUsize,
 }
 
 impl Server {
@@ -177,13 +193,13 @@
             _ => well(s),
         };
         let executor = Executor::on(listener, usize::MAX, script).unwrap();
-        Server { executor, port, drains, hangs, connections_ended: AtomicUsize::new(0) }
+        Server { executor, port, drains, hangs, connections_closed: AtomicUsize::new(0) }
     }
 
-    /// Ends all connections that have come up since the last time.
-    fn end_connections(&self) {
+    /// Closes all connections that were accepted since the last call.
+    fn close_connections(&self) {
         let up_to = self.executor.doors.opened.load(Ordering::Relaxed);
-        for connection in self.connections_ended.swap(up_to, Ordering::Relaxed)..up_to {
+        for connection in self.connections_closed.swap(up_to, Ordering::Relaxed)..up_to {
             self.executor.close(connection);
         }
     }
@@ -194,45 +210,52 @@
         Server::on(port, listener, denial)
     }
 
-    /// What the drain rule forbids that has come since a moment.
+    /// The number of calls and load orders that have arrived since then: what a draining executor must not
+    /// get.
     fn sends_since(&self, since: Instant) -> usize {
-        let binds =
+        let is_work =
             |s: &Seen| s.word == "FN" || s.word == "SPAWN" && s.line["meta"]["slots_up"].as_u64() != Some(0);
-        self.executor.seen().iter().filter(|s| s.at > since && binds(s)).count()
+        self.executor.seen().iter().filter(|s| s.at > since && is_work(s)).count()
     }
 }
 
-/// Calls as they ended: when sent, and whether served.
-type Ended = Mutex<Vec<(Instant, bool)>>;
+/// The calls that have ended: when each was sent, and whether it was served.
+type EndedCalls = Mutex<Vec<(Instant, bool)>>;
 
-/// Calls a front end at the test's pace until told otherwise.
+/// Senders that call a front end until they are stopped.
 struct Load {
-    ended: Arc<Ended>,
-    over: Arc<AtomicBool>,
+    ended: Arc<EndedCalls>,
+    stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
 impl Load {
-    fn begin(front: &Front, ids: &Arc<AtomicU64>, wait: Duration) -> Load {
-        let (ended, over) = (Arc::<Ended>::default(), Arc::<AtomicBool>::default());
+    fn start(front: &FrontEnd, ids: &Arc<AtomicU64>, wait: Duration) -> Load {
+        let (ended, stop) = (Arc::<EndedCalls>::default(), Arc::<AtomicBool>::default());
         let sender = |_| {
-            let (ended, over, ids, address) = (ended.clone(), over.clone(), ids.clone(), front.address);
-            std::thread::spawn(move || call_until(&over, &ended, &ids, (address, wait)))
+            let (ended, stop, ids, address) = (ended.clone(), stop.clone(), ids.clone(), front.address);
+            std::thread::spawn(move || call_until(&stop, &ended, &ids, (address, wait)))
         };
         let threads = (0..SENDERS).map(sender).collect();
-        Load { ended, over, threads }
+        Load { ended, stop, threads }
     }
 
-    fn end(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+    fn finish(&mut self) {
+        self.stop.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|t| t.join().unwrap());
     }
 }
 
-fn call_until(over: &AtomicBool, ended: &Ended, ids: &AtomicU64, (address, wait): (SocketAddr, Duration)) {
+/// Makes calls one after another until `stop` is set.
+fn call_until(
+    stop: &AtomicBool,
+    ended: &EndedCalls,
+    ids: &AtomicU64,
+    (address, wait): (SocketAddr, Duration),
+) {
     let connect = || Web::connect(address).ok();
     let mut web = connect();
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         let n = ids.fetch_add(1, Ordering::Relaxed);
         let ask =
             Ask { key: format!("{:016x}", n % FUNCTIONS), wait_ms: wait.as_millis() as u64, ..Ask::new(n) };
@@ -248,111 +271,113 @@
 }
 
 /// Front ends, executors and discovery on one machine.
-struct World {
-    board: Board,
+struct Fleet {
+    discovery: Board,
     servers: Vec<Server>,
-    fronts: Vec<Front>,
+    front_ends: Vec<FrontEnd>,
     loads: Vec<Load>,
     ids: Arc<AtomicU64>,
     config: Value,
     plan: Plan,
 }
 
-/// What an outage led to.
+/// What was measured in an outage.
 #[derive(Clone, Copy, Debug)]
-struct Verdict {
-    /// Sends past clock and grace to executors that drain.
+struct Outcome {
+    /// Calls and load orders that draining executors got after the grace.
     past_grace: usize,
-    /// Sends to newcomers at the addresses of the gone, while nobody had told of them.
-    to_newcomers: usize,
+    /// Calls and load orders that successors at the addresses of removed executors got before they were
+    /// announced.
+    to_successors: usize,
     /// Share of the calls sent in the outage that was served.
     served: f64,
-    /// Questions that executors were asked in it.
+    /// Number of questions that executors were asked during the outage.
     questions: usize,
-    /// From discovery's return until all front ends have taken its events in, and until they rely on it again.
-    taken_in: Duration,
-    relied_on: Duration,
+    /// From the return of discovery until all front ends have received its events, and until their lists are
+    /// fresh.
+    events_after: Duration,
+    fresh_after: Duration,
 }
 
-impl World {
-    fn start(plan: Plan) -> World {
-        let board = Board::start(2).unwrap();
+impl Fleet {
+    fn start(plan: Plan) -> Fleet {
+        let discovery = Board::start(2).unwrap();
         let servers: Vec<_> = (0..EXECUTORS).map(|_| Server::start(plan.denial)).collect();
         let listed = servers.iter().enumerate().map(|(n, s)| member(id(n), s.executor.address, "in_service"));
         let mut config =
-            configuration("127.0.0.1:0".parse().unwrap(), board.address, &listed.collect::<Vec<_>>());
+            configuration("127.0.0.1:0".parse().unwrap(), discovery.address, &listed.collect::<Vec<_>>());
         config["settings"]["rules"]["stopSendingWithin"] = json!(plan.grace.as_micros() as u64);
-        let fronts: Vec<_> = (0..plan.fronts).map(|_| Front::start(config.clone())).collect();
+        let front_ends: Vec<_> = (0..plan.front_ends).map(|_| FrontEnd::start(config.clone())).collect();
         let ids = Arc::new(AtomicU64::new(1));
-        let loads = fronts.iter().map(|f| Load::begin(f, &ids, plan.wait)).collect();
-        World { board, servers, fronts, loads, ids, config, plan }
+        let loads = front_ends.iter().map(|f| Load::start(f, &ids, plan.wait)).collect();
+        Fleet { discovery, servers, front_ends, loads, ids, config, plan }
     }
 
-    /// Kills a front end and starts it again with the configuration of before.
+    /// Kills a front end and restarts it with its earlier configuration.
     fn restart(&mut self, n: usize) {
-        self.loads[n].end();
-        self.fronts[n].kill();
-        self.fronts[n] = Front::start(self.config.clone());
-        self.loads[n] = Load::begin(&self.fronts[n], &self.ids, self.plan.wait);
+        self.loads[n].finish();
+        self.front_ends[n].kill();
+        self.front_ends[n] = FrontEnd::start(self.config.clone());
+        self.loads[n] = Load::start(&self.front_ends[n], &self.ids, self.plan.wait);
     }
 
-    /// The executors that served most, busiest first.
+    /// All executors, those with the most calls first.
     fn busiest(&self) -> Vec<usize> {
         let mut all: Vec<usize> = (0..EXECUTORS).collect();
         all.sort_by_key(|n| std::cmp::Reverse(self.servers[*n].executor.words("FN").len()));
         all
     }
 
-    fn begin_outage(&self, kind: Kind) {
+    fn begin_outage(&self, kind: OutageKind) {
         match kind {
-            Kind::Silent => self.board.mood(Mood::Silent),
-            Kind::Refuses => self.board.refuse(true),
-            Kind::EndsAndIsSilent | Kind::Flaps => {
-                self.board.mood(Mood::Silent);
-                self.board.cut();
+            OutageKind::Silent => self.discovery.mood(Mood::Silent),
+            OutageKind::Refuses => self.discovery.refuse(true),
+            OutageKind::EndsAndIsSilent | OutageKind::Flaps => {
+                self.discovery.mood(Mood::Silent);
+                self.discovery.cut();
             }
-            Kind::Moves => {
+            OutageKind::Moves => {
                 self.follow(unused_address());
-                self.board.mood(Mood::Silent);
+                self.discovery.mood(Mood::Silent);
             }
         }
     }
 
-    fn end_outage(&self, kind: Kind) {
-        self.board.mood(Mood::Well);
-        self.board.refuse(false);
-        if kind == Kind::Moves {
-            self.follow(self.board.address);
+    fn end_outage(&self, kind: OutageKind) {
+        self.discovery.mood(Mood::Well);
+        self.discovery.refuse(false);
+        if kind == OutageKind::Moves {
+            self.follow(self.discovery.address);
         }
     }
 
     /// Has all front ends follow discovery at another address.
-    fn follow(&self, board: SocketAddr) {
+    fn follow(&self, discovery: SocketAddr) {
         let mut config = self.config.clone();
-        config["board"] = json!(board);
-        for front in &self.fronts {
+        config["board"] = json!(discovery);
+        for front in &self.front_ends {
             let mut own = config.clone();
             own["listen"] = front.config["listen"].clone();
-            front.replace(&own.to_string());
+            front.replace_config(&own.to_string());
             front.signal("-HUP");
         }
     }
 
-    /// Waits until so long after the outage began; meanwhile goes wrong what does so again and again.
+    /// Waits until a moment and repeats meanwhile the faults that are repeated.
     fn wait_until(&self, end: Instant) {
         while Instant::now() < end {
-            std::thread::sleep(end.saturating_duration_since(Instant::now()).min(AGAIN));
-            if self.plan.kind == Kind::Flaps {
-                self.board.cut();
+            std::thread::sleep(end.saturating_duration_since(Instant::now()).min(CLOSE_INTERVAL));
+            if self.plan.kind == OutageKind::Flaps {
+                self.discovery.cut();
             }
-            if self.plan.beside == Beside::Disconnects {
-                self.servers.iter().for_each(Server::end_connections);
+            if self.plan.other_fault == OtherFault::Disconnects {
+                self.servers.iter().for_each(Server::close_connections);
             }
         }
     }
 
-    /// Plays the outage.
-    fn play(mut self) -> Verdict {
+    /// Runs the outage and measures its effects.
+    fn run(mut self) -> Outcome {
         let plan = self.plan;
         std::thread::sleep(WARM_UP);
         let busiest = self.busiest();
@@ -363,64 +388,65 @@
         for &n in &leaving {
             self.servers[n].drains.store(true, Ordering::Relaxed);
         }
-        self.tell(&leaving, DRAINING);
+        self.announce(&leaving, DRAINING);
         self.wait_until(began + plan.drains + AFTER_BREAK);
-        match plan.beside {
-            Beside::Restart => self.restart(0),
-            Beside::Hang => self.servers[busiest[2]].hangs.store(true, Ordering::Relaxed),
-            Beside::Nothing | Beside::Disconnects => {}
+        match plan.other_fault {
+            OtherFault::Restart => self.restart(0),
+            OtherFault::Hang => self.servers[busiest[2]].hangs.store(true, Ordering::Relaxed),
+            OtherFault::Nothing | OtherFault::Disconnects => {}
         }
-        self.wait_until(began + plan.go);
+        self.wait_until(began + plan.stops);
         let forbidden = began + plan.forbidden_after();
         let past_grace = leaving.iter().map(|&n| self.servers[n].sends_since(forbidden)).sum();
         leaving.iter().for_each(|&n| self.servers[n].executor.stop());
-        self.tell(&leaving, GONE);
+        self.announce(&leaving, GONE);
         self.wait_until(began + plan.replaced);
-        let newcomers: Vec<_> = leaving.iter().map(|&n| self.replace(n)).collect();
+        let successors: Vec<_> = leaving.iter().map(|&n| self.replace(n)).collect();
         self.wait_until(began + plan.returns);
-        let to_newcomers = newcomers.iter().map(|s| s.sends_since(began)).sum();
-        let questions = self.questions_since(began) + newcomers.iter().map(questions).sum::<usize>();
+        let to_successors = successors.iter().map(|s| s.sends_since(began)).sum();
+        let questions = self.questions_since(began) + successors.iter().map(questions).sum::<usize>();
         let ended = Instant::now();
         let count = |words: &str| {
-            let of = |front: &Front| front.lines().iter().filter(|line| line.contains(words)).count();
-            self.fronts.iter().map(of).collect::<Vec<_>>()
+            let lines_of =
+                |front: &FrontEnd| front.log_lines().iter().filter(|line| line.contains(words)).count();
+            self.front_ends.iter().map(lines_of).collect::<Vec<_>>()
         };
-        let (events_before, fresh_before) = (count(TELLS_EVENTS), count(FRESH_AGAIN));
-        // What else failed ends with it: the calls to come are about discovery's return alone.
+        let (events_before, fresh_before) = (count(EVENTS_ARRIVE), count(FRESH_AGAIN));
+        // The other fault ends with the outage, since the following calls test the return of discovery alone.
         self.servers.iter().for_each(|server| server.hangs.store(false, Ordering::Relaxed));
         self.end_outage(plan.kind);
         let all = |words: &str, before: &[usize]| {
             until(|| count(words).iter().zip(before).all(|(now, before)| now > before))
         };
-        assert!(all(TELLS_EVENTS, &events_before), "{:?}", self.fronts[0].lines());
-        let taken_in = ended.elapsed();
-        assert!(all(FRESH_AGAIN, &fresh_before), "{:?}", self.fronts[0].lines());
-        let relied_on = ended.elapsed();
+        assert!(all(EVENTS_ARRIVE, &events_before), "{:?}", self.front_ends[0].log_lines());
+        let events_after = ended.elapsed();
+        assert!(all(FRESH_AGAIN, &fresh_before), "{:?}", self.front_ends[0].log_lines());
+        let fresh_after = ended.elapsed();
         self.call_new_functions();
-        assert!(newcomers.iter().any(|s| s.sends_since(ended) > 0), "newcomers are taken in");
-        self.loads.iter_mut().for_each(Load::end);
+        assert!(successors.iter().any(|s| s.sends_since(ended) > 0), "announced successors got no work");
+        self.loads.iter_mut().for_each(Load::finish);
         let mut all: Vec<(Instant, bool)> = Vec::new();
         self.loads.iter().for_each(|load| all.extend(load.ended.lock().unwrap().iter()));
         all.retain(|(sent, _)| (began..ended).contains(sent));
         let served = all.iter().filter(|(_, served)| *served).count() as f64 / all.len() as f64;
-        Verdict { past_grace, to_newcomers, served, questions, taken_in, relied_on }
+        Outcome { past_grace, to_successors, served, questions, events_after, fresh_after }
     }
 
-    /// Functions that nobody has called before go to newcomers too.
+    /// Calls functions that were not called before, which are assigned to the successors too.
     fn call_new_functions(&self) {
         for n in 0..4 * EXECUTORS as u64 {
             let key = format!("{:016x}", 1_000 + n);
-            let answer = self.fronts[0].call(&Ask { key, ..Ask::new(1 << 32 | n) });
+            let answer = self.front_ends[0].call(&Ask { key, ..Ask::new(1 << 32 | n) });
             assert_eq!(answer.status, 200, "new function {n}");
         }
     }
 
-    fn tell(&self, leaving: &[usize], state: u8) {
+    fn announce(&self, leaving: &[usize], state: u8) {
         let of = |&n: &usize| record(id(n), self.servers[n].executor.address, state);
-        self.board.tell(&leaving.iter().map(of).collect::<Vec<_>>());
+        self.discovery.tell(&leaving.iter().map(of).collect::<Vec<_>>());
     }
 
-    /// Another executor at the address of one that has gone, under an id of its own.
+    /// Starts another executor, with an id of its own, at the address of a removed one.
     fn replace(&self, n: usize) -> Server {
         let port = self.servers[n].port.clone();
         let mut listener = None;
@@ -428,7 +454,7 @@
             listener = port.listen().ok();
             listener.is_some()
         }));
-        self.board.tell(&[record(id(n + EXECUTORS), port.address(), READY)]);
+        self.discovery.tell(&[record(id(n + EXECUTORS), port.address(), READY)]);
         Server::on(port, listener.unwrap(), self.plan.denial)
     }
 
@@ -447,62 +473,69 @@
     server.executor.seen().iter().filter(|s| is_question(s)).count()
 }
 
-/// No rule is broken, and those executors that are ready go on serving.
-fn kept(plan: &Plan, verdict: &Verdict) {
-    let text = format!("{plan:?}: {verdict:?}");
-    assert_eq!((verdict.past_grace, verdict.to_newcomers), (0, 0), "{text}");
-    assert!(verdict.served >= 0.9, "{text}");
-    assert!(verdict.questions < plan.most_questions(), "{text}");
-    assert!(verdict.taken_in < TAKEN_IN && verdict.relied_on < RELIED_ON, "{text}");
+/// Checks that the drain rule was kept and that ready executors went on serving.
+fn check(plan: &Plan, outcome: &Outcome) {
+    let text = format!("{plan:?}: {outcome:?}");
+    assert_eq!((outcome.past_grace, outcome.to_successors), (0, 0), "{text}");
+    assert!(outcome.served >= 0.9, "{text}");
+    assert!(outcome.questions < plan.max_questions(), "{text}");
+    assert!(outcome.events_after < EVENTS_TIMEOUT && outcome.fresh_after < FRESH_TIMEOUT, "{text}");
 }
 
-/// Plays outages side by side.
-fn play(plans: &[Plan]) {
-    let verdicts: Vec<Verdict> = std::thread::scope(|scope| {
-        let play = |&plan| scope.spawn(move || World::start(plan).play());
-        let threads: Vec<_> = plans.iter().map(play).collect();
+/// Runs these outages at the same time and checks their outcomes.
+fn run_and_check(plans: &[Plan]) {
+    let outcomes: Vec<Outcome> = std::thread::scope(|scope| {
+        let run = |&plan| scope.spawn(move || Fleet::start(plan).run());
+        let threads: Vec<_> = plans.iter().map(run).collect();
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
-    for (plan, verdict) in plans.iter().zip(&verdicts) {
-        println!("{plan:?}: {verdict:?}");
+    for (plan, outcome) in plans.iter().zip(&outcomes) {
+        println!("{plan:?}: {outcome:?}");
     }
-    plans.iter().zip(&verdicts).for_each(|(plan, verdict)| kept(plan, verdict));
+    plans.iter().zip(&outcomes).for_each(|(plan, outcome)| check(plan, outcome));
 }
 
-/// However discovery goes out of reach, and however many front ends it is out of reach for.
 #[test]
-fn drains_are_kept_while_discovery_is_out_of_reach() {
-    let plan = |fronts, kind| Plan::new(fronts, kind, Beside::Nothing);
-    play(&[plan(2, Kind::Silent), plan(2, Kind::Refuses), plan(4, Kind::EndsAndIsSilent)]);
+fn drains_are_respected_while_discovery_is_unreachable() {
+    let plan = |front_ends, kind| Plan::new(front_ends, kind, OtherFault::Nothing);
+    run_and_check(&[
+        plan(2, OutageKind::Silent),
+        plan(2, OutageKind::Refuses),
+        plan(4, OutageKind::EndsAndIsSilent),
+    ]);
 }
 
-/// The outage did not begin anew with its start: the list that it is given may be as old as the outage.
+/// The outage of a front end that starts meanwhile does not begin with its start: its initial list may be as
+/// old as the outage.
 #[test]
-fn drains_are_kept_by_a_front_end_that_starts_while_discovery_is_out_of_reach() {
-    play(&[Plan::new(2, Kind::Silent, Beside::Restart)]);
+fn drains_are_respected_by_a_front_end_that_starts_while_discovery_is_unreachable() {
+    run_and_check(&[Plan::new(2, OutageKind::Silent, OtherFault::Restart)]);
 }
 
 #[test]
-fn drains_are_kept_while_discovery_flaps_and_where_it_moves_to_nowhere() {
-    let plan = |kind, denial| Plan { denial, ..Plan::new(2, kind, Beside::Nothing) };
-    play(&[plan(Kind::Flaps, Denial::Order), plan(Kind::Moves, Denial::Probe)]);
+fn drains_are_respected_while_discovery_flaps_or_its_new_address_is_wrong() {
+    let plan = |kind, denial| Plan { denial, ..Plan::new(2, kind, OtherFault::Nothing) };
+    run_and_check(&[plan(OutageKind::Flaps, Denial::Order), plan(OutageKind::Moves, Denial::Probe)]);
 }
 
 #[test]
-fn drains_are_kept_while_executors_fail_in_an_outage() {
-    play(&[Plan::new(2, Kind::Silent, Beside::Hang), Plan::new(2, Kind::Refuses, Beside::Disconnects)]);
+fn drains_are_respected_while_executors_fail_in_an_outage() {
+    run_and_check(&[
+        Plan::new(2, OutageKind::Silent, OtherFault::Hang),
+        Plan::new(2, OutageKind::Refuses, OtherFault::Disconnects),
+    ]);
 }
 
-/// Seeds played by default; `OUTAGE_SEEDS=1-50` plays more, four at a time.
+/// Seeds that are run by default. `OUTAGE_SEEDS=1-50` runs more, four at a time.
 const SEEDS: &str = "1-4";
 
 #[test]
-fn drains_are_kept_in_outages_drawn_from_seeds() {
+fn drains_are_respected_in_random_outages() {
     let seeds = std::env::var("OUTAGE_SEEDS").unwrap_or(SEEDS.into());
     let (first, last) = seeds.split_once('-').expect("OUTAGE_SEEDS is FIRST-LAST");
     let all: Vec<u64> = (first.parse().unwrap()..=last.parse().unwrap()).collect();
     for seeds in all.chunks(4) {
         println!("seeds {seeds:?}");
-        play(&seeds.iter().map(|seed| Plan::drawn(*seed)).collect::<Vec<_>>());
+        run_and_check(&seeds.iter().map(|seed| Plan::random(*seed)).collect::<Vec<_>>());
     }
 }
--- a/crates/badgerwind-cli/tests/platform/peers.rs
+++ b/crates/badgerwind-cli/tests/platform/peers.rs
@@ -8,15 +8,16 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-/// It tells another in few bytes from its own address, and what comes from strangers or is too long harms nothing.
+/// A front end sends its peers short datagrams from its own address. Datagrams from other senders, and
+/// malformed or too long ones, do not disturb it.
 #[test]
-fn front_ends_are_told_in_short_datagrams_and_strangers_are_passed_over() {
+fn peers_get_short_datagrams_and_those_of_other_senders_are_ignored() {
     let all = UdpSocket::bind("127.0.0.1:0").unwrap();
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = unused_address();
-    let mut rig = Rig::with(vec![Box::new(well)], |c| {
+    let mut rig = Rig::start_with(vec![Box::new(well)], |c| {
         c["settings"]["allowed"]["peers"] = json!(true);
         c["settings"]["peersTotal"] = json!(2);
         c["peer_listen"] = json!(own);
@@ -32,8 +33,8 @@
     let mut buf = [0u8; 2048];
     for _ in 0..2 {
         let (n, from) =
-            peer.recv_from(&mut buf).expect("it tells its tenants' rates and its executors' loads");
+            peer.recv_from(&mut buf).expect("a datagram with rates of tenants and loads of executors");
         assert_eq!((n, from), (1 + 4 + 4, own), "one tenant, one executor");
     }
-    assert!(rig.runs());
+    assert!(rig.is_running());
 }
--- a/crates/badgerwind-cli/tests/platform/rig.rs
+++ b/crates/badgerwind-cli/tests/platform/rig.rs
@@ -1,4 +1,5 @@
-//! A front end's process with its configuration, and what stands around it.
+//! Test harness: a process of the platform front with its configuration, and stand-ins for service discovery
+//! and executors.
 
 use badgerwind_standins::platform::board::Board;
 use badgerwind_standins::platform::executor::{well, Do, Executor, Seen};
@@ -12,11 +13,11 @@
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::Duration;
 
-/// What an executor does with a line.
+/// What an executor does on a line that it receives.
 pub type Script = Box<dyn Fn(&Seen) -> Vec<Do> + Send + Sync>;
 
-/// A front end's process.
-pub struct Front {
+/// A front end that runs as a process of its own.
+pub struct FrontEnd {
     pub address: SocketAddr,
     pub config: Value,
     child: Child,
@@ -25,175 +26,179 @@
     _folder: tempfile::TempDir,
 }
 
+/// A front end with its service discovery and its executors.
 pub struct Rig {
-    pub board: Board,
+    pub discovery: Board,
     pub executors: Vec<Executor>,
-    front: Front,
+    front: FrontEnd,
 }
 
 impl std::ops::Deref for Rig {
-    type Target = Front;
-    fn deref(&self) -> &Front {
+    type Target = FrontEnd;
+    fn deref(&self) -> &FrontEnd {
         &self.front
     }
 }
 
 impl std::ops::DerefMut for Rig {
-    fn deref_mut(&mut self) -> &mut Front {
+    fn deref_mut(&mut self) -> &mut FrontEnd {
         &mut self.front
     }
 }
 
-/// Has the front end wait longer for an executor's word than a starved machine takes: what is silent for six fifths of its class's
-/// aim is given up by the front end's own decision, and tried elsewhere.
-pub fn patient(config: &mut Value) {
+/// Raises the aims of all classes. The front end gives up an attempt that has had no answer for six fifths of
+/// the class's aim and tries the call elsewhere, which a starved machine could trigger.
+pub fn raise_aims(config: &mut Value) {
     for class in config["settings"]["classes"].as_array_mut().unwrap() {
         class["aim"] = 5_000_000.into();
     }
 }
 
-/// The id under which an executor of the rig is listed.
+/// The id under which executor `n` of the rig is listed.
 pub fn id(n: usize) -> u32 {
     0xa000_0000 + n as u32
 }
 
 impl Rig {
-    /// A front end with executors that do what these scripts say.
+    /// Starts a front end with an executor for each of these scripts.
     pub fn start(scripts: Vec<Script>) -> Rig {
-        Rig::with(scripts, |_| {})
+        Rig::start_with(scripts, |_| {})
     }
 
-    /// The same, with a configuration changed before it starts.
-    pub fn with(scripts: Vec<Script>, change: impl FnOnce(&mut Value)) -> Rig {
-        let board = Board::start(2).unwrap();
+    /// The same, with changes of the configuration.
+    pub fn start_with(scripts: Vec<Script>, change: impl FnOnce(&mut Value)) -> Rig {
+        let discovery = Board::start(2).unwrap();
         let executors: Vec<_> = scripts.into_iter().map(|s| Executor::start(s).unwrap()).collect();
         let listed = executors.iter().enumerate().map(|(n, e)| member(id(n), e.address, "in_service"));
         let mut config =
-            configuration("127.0.0.1:0".parse().unwrap(), board.address, &listed.collect::<Vec<_>>());
+            configuration("127.0.0.1:0".parse().unwrap(), discovery.address, &listed.collect::<Vec<_>>());
         change(&mut config);
-        Rig { board, executors, front: Front::start(config) }
+        Rig { discovery, executors, front: FrontEnd::start(config) }
     }
 
-    /// One executor that does well.
-    pub fn well() -> Rig {
+    /// The same with one executor that serves every call.
+    pub fn start_well() -> Rig {
         Rig::start(vec![Box::new(well)])
     }
 }
 
-impl Front {
-    /// Starts one.
-    pub fn start(config: Value) -> Front {
+impl FrontEnd {
+    /// Starts a front end and waits until it listens.
+    pub fn start(config: Value) -> FrontEnd {
         let level = std::env::var("BADGERWIND_TEST_LOG").unwrap_or_else(|_| "info".into());
         let mut command = Command::new(env!("CARGO_BIN_EXE_badgerwind"));
-        Front::start_by(command.args(["platform", "--log", &level]), config)
+        FrontEnd::spawn(command.args(["platform", "--log", &level]), config)
     }
 
-    /// One on a machine that gives it so many descriptors, whatever its configuration says.
-    pub fn start_with_descriptors(most: usize, config: Value) -> Front {
-        let line = format!("ulimit -n {most}; exec \"$0\" platform");
-        Front::start_by(Command::new("sh").args(["-c", &line, env!("CARGO_BIN_EXE_badgerwind")]), config)
+    /// The same under a limit of file descriptors (`ulimit -n`), whatever the configuration says.
+    pub fn start_with_descriptors(limit: usize, config: Value) -> FrontEnd {
+        let line = format!("ulimit -n {limit}; exec \"$0\" platform");
+        FrontEnd::spawn(Command::new("sh").args(["-c", &line, env!("CARGO_BIN_EXE_badgerwind")]), config)
     }
 
-    fn start_by(command: &mut Command, config: Value) -> Front {
+    fn spawn(command: &mut Command, config: Value) -> FrontEnd {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
         std::fs::write(&path, config.to_string()).unwrap();
         let mut child = command.env("BALANCER_CONFIG", &path).stderr(Stdio::piped()).spawn().unwrap();
-        let (tell, told) = mpsc::channel();
+        let (address_sender, address_receiver) = mpsc::channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let log = Arc::<Mutex<Vec<String>>>::default();
-        let lines_kept = log.clone();
+        let log_writer = log.clone();
         std::thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                lines_kept.lock().unwrap().push(line.clone());
+                log_writer.lock().unwrap().push(line.clone());
                 if let Some((_, rest)) = line.split_once("address=") {
-                    let _ = tell.send(rest.split(' ').next().unwrap().parse().unwrap());
+                    let _ = address_sender.send(rest.split(' ').next().unwrap().parse().unwrap());
                 }
             }
         });
-        let address = match told.recv_timeout(Duration::from_secs(20)) {
+        let address = match address_receiver.recv_timeout(Duration::from_secs(20)) {
             Ok(address) => address,
-            // At once where it has ended: nothing more can come of its log then.
+            // Returns at once if the process has ended, since that closes its standard error and so the
+            // channel.
             Err(e) => {
-                let _ = (child.kill(), child.wait()); // it may have ended
-                panic!("the front end does not serve, {e}:\n{}", log.lock().unwrap().join("\n"));
+                let _ = (child.kill(), child.wait()); // fails harmlessly if the process has ended
+                panic!("the front end has logged no address, {e}:\n{}", log.lock().unwrap().join("\n"));
             }
         };
-        Front { address, config, child, log, path, _folder: folder }
+        FrontEnd { address, config, child, log, path, _folder: folder }
     }
 
-    /// Waits until its log has a line with all of these words.
-    pub fn logs(&self, words: &[&str]) -> bool {
+    /// Waits until a line of its log contains all of these words, and returns whether one does.
+    pub fn wait_for_log(&self, words: &[&str]) -> bool {
         let has = |line: &String| words.iter().all(|w| line.contains(w));
         until(|| self.log.lock().unwrap().iter().any(has))
     }
 
-    /// Lines of its log so far.
-    pub fn lines(&self) -> Vec<String> {
+    /// The lines of its log so far.
+    pub fn log_lines(&self) -> Vec<String> {
         self.log.lock().unwrap().clone()
     }
 
-    /// Takes its core away, from now on.
-    pub fn freeze(&self) {
+    /// Stops the process (SIGSTOP) and waits until it is stopped.
+    pub fn pause(&self) {
         self.signal("-STOP");
         let path = format!("/proc/{}/stat", self.child.id());
         assert!(until(|| std::fs::read_to_string(&path).unwrap().contains(") T ")));
     }
 
-    /// Gives it back.
-    pub fn thaw(&self) {
+    /// Resumes the process (SIGCONT).
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Its process.
+    /// Id of the process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends it as a machine's failure would.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
+    /// A new connection of a web server.
     pub fn web(&self) -> Web {
         Web::connect(self.address).unwrap()
     }
 
-    /// One call on a connection of its own.
+    /// Makes one call on a connection of its own and returns the answer.
     pub fn call(&self, ask: &Ask) -> Answer {
         let mut web = self.web();
         web.ask(1, ask).unwrap();
         web.answer().unwrap()
     }
 
-    /// Whether a front end's health says that it serves.
+    /// The status that its health check returns.
     pub fn health(&self) -> u16 {
         let mut web = self.web();
         web.healthy(1).unwrap();
         web.answer().unwrap().status
     }
 
+    /// Sends a signal, named as `kill` has it, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// Puts another configuration in place of the file.
-    pub fn replace(&self, text: &str) {
+    /// Overwrites the configuration file.
+    pub fn replace_config(&self, text: &str) {
         std::fs::write(&self.path, text).unwrap();
     }
 
-    /// Descriptors that the process holds.
+    /// Number of open file descriptors of the process.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Descriptors that the process holds with numbers below this.
-    pub fn descriptors_below(&self, most: usize) -> usize {
+    /// Number of its open file descriptors whose numbers are below `limit`.
+    pub fn descriptors_below(&self, limit: usize) -> usize {
         let numbers = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap();
         let numbers = numbers.filter_map(|e| e.ok()?.file_name().to_str()?.parse::<usize>().ok());
-        numbers.filter(|n| *n < most).count()
+        numbers.filter(|n| *n < limit).count()
     }
 
     /// Its resident memory in KiB.
@@ -203,8 +208,8 @@
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Waits for its end: the exit code.
-    pub fn ended(&mut self) -> Option<i32> {
+    /// Waits for the end of the process and returns its exit code.
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut code = None;
         until(|| {
             code = self.child.try_wait().unwrap();
@@ -213,16 +218,17 @@
         code.and_then(|c| c.code())
     }
 
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process has not ended.
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 }
 
-impl Drop for Front {
+impl Drop for FrontEnd {
     fn drop(&mut self) {
-        let _ = (self.child.kill(), self.child.wait()); // it may have ended
+        let _ = (self.child.kill(), self.child.wait()); // fails harmlessly if the process has ended
         if std::thread::panicking() {
-            keep(&format!("front-end-{}.log", self.child.id()), &self.lines().join("\n"));
+            write_artifact(&format!("front-end-{}.log", self.child.id()), &self.log_lines().join("\n"));
         }
     }
 }
@@ -234,16 +240,16 @@
         }
         for (n, executor) in self.executors.iter().enumerate() {
             let lines: Vec<String> = executor.seen().iter().map(|s| format!("{s:?}")).collect();
-            keep(&format!("front-end-{}-executor-{n}.log", self.pid()), &lines.join("\n"));
+            write_artifact(&format!("front-end-{}-executor-{n}.log", self.pid()), &lines.join("\n"));
         }
     }
 }
 
-/// Leaves what a test that fails has seen in a file, and names it.
-fn keep(name: &str, text: &str) {
+/// Writes what a failing test has seen to a file, and names the file.
+fn write_artifact(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     match std::fs::write(&path, text) {
-        Ok(()) => eprintln!("kept: {}", path.display()),
-        Err(e) => eprintln!("{} cannot be kept: {e}", path.display()),
+        Ok(()) => eprintln!("written: {}", path.display()),
+        Err(e) => eprintln!("cannot write {}: {e}", path.display()),
     }
 }
