--- a/crates/badgerwind-cli/benches/flood.rs
+++ b/crates/badgerwind-cli/benches/flood.rs
@@ -1,6 +1,6 @@
-//! Good calls while forgeries of ten times their rate come in: with the budgets as they are by themselves, with
-//! budgets too large to bite, and without a flood, turn by turn in one run. Machines are noisy, and here the flood is
-//! made on the machine that it hits: read the ratios.
+//! Measures valid calls during a flood of forged ones at ten times their rate: with the default limits, with
+//! limits too large to have an effect, and without a flood, in turn within one run. Machines are noisy, and
+//! the flood is generated on the machine that it hits: compare the ratios.
 //!
 //! `cargo bench -p badgerwind-cli --bench flood`
 
@@ -17,12 +17,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Good calls a second, from eight addresses.
-const GOOD: u64 = 200;
-const GOOD_FROM: u64 = 8;
-/// Forgeries for each of them, from fifty addresses.
-const TIMES: u64 = 10;
-const FORGED_FROM: u64 = 50;
+/// Valid calls a second, and the number of addresses that they come from.
+const VALID_RATE: u64 = 200;
+const VALID_SOURCES: u64 = 8;
+/// Forged calls for each valid one, and the number of addresses that they come from.
+const FORGED_PER_VALID: u64 = 10;
+const FORGED_SOURCES: u64 = 50;
+/// Length of one measurement.
 const LENGTH: Duration = Duration::from_secs(4);
 const PATH: &str = "/brolga-shire/check-answers/check-0";
 
@@ -44,7 +45,7 @@
     Pool::new(to, PoolBounds { most: 2_000, connect_time: time, idle_time: time, body_bytes: 1 << 20 })
 }
 
-/// CPU that a process has used, in seconds.
+/// User and system time of a process, in seconds.
 fn cpu(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit_once(')').unwrap().1.split_whitespace().collect();
@@ -52,13 +53,15 @@
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
 }
 
+/// Counts of status codes, 0 standing for no answer, and the latencies.
 #[derive(Default)]
-struct Seen {
+struct Results {
     statuses: BTreeMap<u16, u64>,
     times: Option<Histogram<u64>>,
 }
 
-/// Posts at a steady rate, whether answers come or not, until told to stop or the time is up.
+/// Posts at a steady rate, independent of the answers, until `stop` is set or the time is up. `from` is the
+/// number of source addresses, which start with `name`.
 fn post(
     to: SocketAddr,
     key: Key,
@@ -66,27 +69,32 @@
     name: String,
     bytes: usize,
     stop: Arc<AtomicBool>,
-) -> std::thread::JoinHandle<Seen> {
+) -> std::thread::JoinHandle<Results> {
     std::thread::spawn(move || {
-        let seen = Arc::new(Mutex::new(Seen { times: Some(Histogram::new(3).unwrap()), ..Seen::default() }));
+        let results =
+            Arc::new(Mutex::new(Results { times: Some(Histogram::new(3).unwrap()), ..Results::default() }));
         let local = smol::LocalExecutor::new();
         let pool = Arc::new(pool(to));
         smol::block_on(local.run(async {
             let (began, mut n, mut tasks) = (Instant::now(), 0u64, Vec::new());
             while began.elapsed() < LENGTH && !stop.load(Ordering::Relaxed) {
-                // Due at its own moment, however late the one before was.
+                // Each request has its own due time, however late the one before was sent.
                 smol::Timer::at(began + Duration::from_micros(n * 1_000_000 / rate)).await;
                 let due = began + Duration::from_micros(n * 1_000_000 / rate);
                 let address = format!("{name}.{}", n % from + 1);
-                let request =
-                    request(&key, &format!("{}-{n}-{}", name.replace('.', "_"), moment()), &address, bytes);
-                let (pool, seen) = (pool.clone(), seen.clone());
+                let request = request(
+                    &key,
+                    &format!("{}-{n}-{}", name.replace('.', "_"), timestamp()),
+                    &address,
+                    bytes,
+                );
+                let (pool, results) = (pool.clone(), results.clone());
                 tasks.push(local.spawn(async move {
                     let status = pool.exchange(&request).await.map_or(0, |(head, _)| head.status);
-                    let mut seen = seen.lock().unwrap();
-                    *seen.statuses.entry(status).or_insert(0) += 1;
+                    let mut results = results.lock().unwrap();
+                    *results.statuses.entry(status).or_insert(0) += 1;
                     let took = due.elapsed().as_micros() as u64;
-                    seen.times.as_mut().unwrap().record(took).unwrap();
+                    results.times.as_mut().unwrap().record(took).unwrap();
                 }));
                 n += 1;
             }
@@ -94,28 +102,31 @@
                 t.await;
             }
         }));
-        Arc::into_inner(seen).unwrap().into_inner().unwrap()
+        Arc::into_inner(results).unwrap().into_inner().unwrap()
     })
 }
 
-/// No two runs share an id.
-fn moment() -> u128 {
+/// Nanoseconds since 1970, which make the ids of each run unique.
+fn timestamp() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos()
 }
 
 fn main() {
-    // `cargo test --benches` runs this too, and wants no measurement.
+    // `cargo test --benches` runs this program too, without `--bench`, and must not measure.
     if !std::env::args().any(|a| a == "--bench") {
         return;
     }
     let own = Path::new(env!("CARGO_BIN_EXE_badgerwind")).to_owned();
-    let plain = "sources=\"10000\"".to_owned();
-    let open =
+    let default_limits = "sources=\"10000\"".to_owned();
+    let unlimited =
         "source-burst=\"1000000\" source-rate=\"1000000\" sender-burst=\"1000000\" sender-rate=\"1000000\"";
     for bytes in [1024, 64 * 1024] {
-        println!("bodies of {bytes} bytes, {GOOD} good calls a second, {} forgeries", GOOD * TIMES);
+        println!(
+            "bodies of {bytes} bytes, {VALID_RATE} valid calls a second, {} forged",
+            VALID_RATE * FORGED_PER_VALID
+        );
         let mut fleets = Vec::new();
-        for guard in [plain.clone(), open.to_owned()] {
+        for guard in [default_limits.clone(), unlimited.to_owned()] {
             let mut world = World::draw(1, 5);
             (world.fronts, world.guard, world.loads_when_absent) = (1, Some(guard), true);
             world.runners.truncate(1);
@@ -130,7 +141,7 @@
         for round in 0..3 {
             let mut base = None;
             for (what, which, flood) in
-                [("no flood", 0, false), ("flood, budgets", 0, true), ("flood, budgets too large", 1, true)]
+                [("no flood", 0, false), ("flood, limits", 0, true), ("flood, limits too large", 1, true)]
             {
                 let (fleet, folder) = &fleets[which];
                 let (front, id) = (fleet.fronts()[0], fleet.front_id(0).unwrap());
@@ -138,25 +149,33 @@
                 let stop = Arc::new(AtomicBool::new(false));
                 let forger = Key::generate(KeyKind::Shared).unwrap();
                 let before = cpu(id);
-                let good = post(front, key, (GOOD, GOOD_FROM), "198.51.100".into(), bytes, stop.clone());
+                let valid =
+                    post(front, key, (VALID_RATE, VALID_SOURCES), "198.51.100".into(), bytes, stop.clone());
                 let forged = flood.then(|| {
-                    post(front, forger, (GOOD * TIMES, FORGED_FROM), "203.0.113".into(), bytes, stop.clone())
+                    post(
+                        front,
+                        forger,
+                        (VALID_RATE * FORGED_PER_VALID, FORGED_SOURCES),
+                        "203.0.113".into(),
+                        bytes,
+                        stop.clone(),
+                    )
                 });
-                let good = good.join().unwrap();
+                let valid = valid.join().unwrap();
                 stop.store(true, Ordering::Relaxed);
                 let forged = forged.map(|f| f.join().unwrap());
                 let spent = cpu(id) - before;
-                let served = *good.statuses.get(&200).unwrap_or(&0);
-                let times = good.times.unwrap();
+                let served = *valid.statuses.get(&200).unwrap_or(&0);
+                let times = valid.times.unwrap();
                 let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
                 let (base_served, base50, base99) = *base.get_or_insert((served, p50, p99));
                 let forged = forged.map_or(BTreeMap::new(), |f| f.statuses);
                 println!(
-                    "  round {round} {what:<25} served {served} ({:.3} of none), p50 x{:.2}, p99 x{:.2}; CPU {spent:.2} s; good {:?}, forged {forged:?}",
+                    "  round {round} {what:<25} served {served} ({:.3} of none), p50 x{:.2}, p99 x{:.2}; CPU {spent:.2} s; valid {:?}, forged {forged:?}",
                     served as f64 / base_served as f64,
                     p50 as f64 / base50 as f64,
                     p99 as f64 / base99 as f64,
-                    good.statuses,
+                    valid.statuses,
                 );
             }
         }
--- a/crates/badgerwind-cli/benches/gateway.rs
+++ b/crates/badgerwind-cli/benches/gateway.rs
@@ -1,5 +1,5 @@
-//! What the gateway costs, beside a direct call and beside a bare pass-through proxy of the same runtime, in one
-//! run. Machines are noisy: read the ratios.
+//! Measures the cost of the gateway, compared with direct calls and with a minimal pass-through proxy on the
+//! same async runtime, in one run. Machines are noisy: compare the ratios.
 //!
 //! `cargo bench -p badgerwind-cli --bench gateway`
 
@@ -26,7 +26,7 @@
     PoolBounds { most, connect_time: time, idle_time: time, body_bytes: 1 << 20 }
 }
 
-/// A signed request to a path, as a sender writes it, or as the gateway writes it to a runner.
+/// A signed request to a path, with the headers of a sender and those that the gateway adds for a runner.
 fn request(key: &Key, id: &str, path: &str) -> Exchange {
     let seconds = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs() as i64;
     let s = sign(std::slice::from_ref(key), id, seconds, BODY.as_bytes());
@@ -42,7 +42,7 @@
     Exchange { method: "POST", target: path.into(), headers, body: Arc::from(BODY.as_bytes()) }
 }
 
-/// Reads a request, passes it on, passes the answer back: the least that a proxy of this runtime does.
+/// Forwards requests and their answers: the least that a proxy on this runtime does.
 async fn proxy(listener: TcpListener, to: SocketAddr) {
     let (pool, limits) = (Arc::new(Pool::new(to, bounds(512))), Arc::new(Limits::default()));
     while let Ok((stream, _)) = listener.accept().await {
@@ -64,8 +64,8 @@
                 ];
                 let headers = names.into_iter().filter_map(pass).collect();
                 let target = head.target.clone();
-                let on = Exchange { method: "POST", target, headers, body: body.into() };
-                let (answer, body) = pool.exchange(&on).await.unwrap();
+                let forwarded = Exchange { method: "POST", target, headers, body: body.into() };
+                let (answer, body) = pool.exchange(&forwarded).await.unwrap();
                 conn.respond(&Response::new(answer.status, "", body), true).await.unwrap();
             }
         })
@@ -73,14 +73,15 @@
     }
 }
 
-struct Side<'a> {
+/// A way to the runner that is measured.
+struct Route<'a> {
     name: &'static str,
     pool: Pool,
     key: &'a Key,
     path: &'static str,
 }
 
-impl Side<'_> {
+impl Route<'_> {
     async fn call(&self, id: &str) -> Duration {
         let request = request(self.key, id, self.path);
         let began = Instant::now();
@@ -105,12 +106,13 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-async fn latency(sides: &[Side<'_>]) {
-    let mut times: Vec<Histogram<u64>> = sides.iter().map(|_| Histogram::new(3).unwrap()).collect();
+/// Prints the latency of each route with one call at a time.
+async fn latency(routes: &[Route<'_>]) {
+    let mut times: Vec<Histogram<u64>> = routes.iter().map(|_| Histogram::new(3).unwrap()).collect();
     for n in 0..1_500 {
-        // Turn by turn, so that what disturbs one disturbs all.
-        for (side, times) in sides.iter().zip(&mut times) {
-            let took = side.call(&format!("lat-{}-{n}", side.name)).await;
+        // The routes take turns, so that a disturbance affects all of them.
+        for (route, times) in routes.iter().zip(&mut times) {
+            let took = route.call(&format!("lat-{}-{n}", route.name)).await;
             if n >= 100 {
                 times.record(took.as_micros() as u64).unwrap();
             }
@@ -118,24 +120,25 @@
         }
     }
     println!("latency at one call at a time, microseconds");
-    for (side, t) in sides.iter().zip(&times) {
+    for (route, t) in routes.iter().zip(&times) {
         let (p50, p99) = (t.value_at_quantile(0.5), t.value_at_quantile(0.99));
         let added = |q: f64| t.value_at_quantile(q) as i64 - times[0].value_at_quantile(q) as i64;
         println!(
             "  {:<14} p50 {p50:>6}  p99 {p99:>6}  over direct {:>+6} {:>+6}",
-            side.name,
+            route.name,
             added(0.5),
             added(0.99)
         );
     }
 }
 
-async fn throughput(side: &Side<'_>, round: u32, length: Duration) -> f64 {
+/// Calls a second on a route with `CALLERS` concurrent callers.
+async fn throughput(route: &Route<'_>, round: u32, length: Duration) -> f64 {
     let (count, began) = (AtomicU64::new(0), Instant::now());
     let one = async |caller: usize| {
         let mut n = 0;
         while began.elapsed() < length {
-            side.call(&format!("thr-{}-{round}-{caller}-{n}", side.name)).await;
+            route.call(&format!("thr-{}-{round}-{caller}-{n}", route.name)).await;
             n += 1;
             count.fetch_add(1, Ordering::Relaxed);
         }
@@ -154,7 +157,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` runs this too, and wants no measurement.
+    // `cargo test --benches` runs this program too, without `--bench`, and must not measure.
     if !std::env::args().any(|a| a == "--bench") {
         return;
     }
@@ -179,29 +182,29 @@
     let fleet = Fleet::start(world, folder.path(), Programs { standins: own.clone(), gateway: own }).unwrap();
     let (front, runner) = (fleet.fronts()[0], fleet.runner(1).unwrap());
     let id = fleet.front_id(0).unwrap();
-    let portal = read_key(&folder.path().join("keys/brolga-shire.key")).unwrap();
-    let inner = read_key(&folder.path().join("keys/runners.key")).unwrap();
+    let sender_key = read_key(&folder.path().join("keys/brolga-shire.key")).unwrap();
+    let runner_key = read_key(&folder.path().join("keys/runners.key")).unwrap();
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let through = listener.local_addr().unwrap();
         std::thread::spawn(move || smol::block_on(proxy(listener, runner)));
-        let side = |name, to, key, path| Side { name, pool: Pool::new(to, bounds(CALLERS)), key, path };
+        let route = |name, to, key, path| Route { name, pool: Pool::new(to, bounds(CALLERS)), key, path };
         let (calls, hooks) = ("/calls/check-0", "/brolga-shire/check-answers/check-0");
-        let sides = [
-            side("direct", runner, &inner, calls),
-            side("pass-through", through, &inner, calls),
-            side("gateway", front, &portal, hooks),
+        let routes = [
+            route("direct", runner, &runner_key, calls),
+            route("pass-through", through, &runner_key, calls),
+            route("gateway", front, &sender_key, hooks),
         ];
-        latency(&sides).await;
+        latency(&routes).await;
 
-        println!("throughput with {CALLERS} callers, calls a second, three rounds turn by turn");
+        println!("throughput with {CALLERS} callers, calls a second, three rounds in turn");
         let mut rates = [vec![], vec![], vec![]];
         let (mut spent, mut served) = (0.0, 0.0);
         for round in 0..3 {
-            for (n, side) in sides.iter().enumerate() {
+            for (n, route) in routes.iter().enumerate() {
                 let before = cpu(id);
                 let length = Duration::from_secs(2);
-                let rate = throughput(side, round, length).await;
+                let rate = throughput(route, round, length).await;
                 if n == 2 {
                     spent += cpu(id) - before;
                     served += rate * length.as_secs_f64();
@@ -209,9 +212,9 @@
                 rates[n].push(rate);
             }
         }
-        for (side, rates) in sides.iter().zip(&rates) {
+        for (route, rates) in routes.iter().zip(&rates) {
             let mean = rates.iter().sum::<f64>() / 3.0;
-            println!("  {:<14} {mean:>8.0}", side.name);
+            println!("  {:<14} {mean:>8.0}", route.name);
         }
         let sum = |n: usize| rates[n].iter().sum::<f64>();
         println!("  gateway / pass-through {:.2}", sum(2) / sum(1));
@@ -230,13 +233,13 @@
         );
         drop(idle);
 
-        // Runners that answer nothing: what comes is held or out until its time is up.
+        // The runner stops answering, so calls are held or stay open until their deadline.
         let hang = serde_json::json!({"on": true, "fault": "hang"});
         badgerwind_standins::command(runner, "/standin/fault", &hang).await.unwrap();
         let before = resident(id);
         let mut held = Vec::new();
         for n in 0..5_000 {
-            let request = request(&portal, &format!("held-{n}"), hooks);
+            let request = request(&sender_key, &format!("held-{n}"), hooks);
             let mut text = format!("POST {hooks} HTTP/1.1\r\nhost: a\r\n");
             request.headers.iter().for_each(|(n, v)| text.push_str(&format!("{n}: {v}\r\n")));
             text.push_str(&format!("content-length: {}\r\n\r\n{BODY}", BODY.len()));
--- a/crates/badgerwind-cli/tests/days.rs
+++ b/crates/badgerwind-cli/tests/days.rs
@@ -1,31 +1,32 @@
-//! Days as they are drawn: what a severity means, and that a seed always means the same.
+//! Random test days: what each severity generates, and that a seed always generates the same day.
 
 use badgerwind_cli::day::script::{Act, Script, KINDS, WORST};
 use badgerwind_cli::day::world::{Dials, Severity, World};
 use std::collections::BTreeSet;
 
-fn drawn(seed: u64, severity: Severity) -> (World, Script) {
+/// The set-up and the script that a seed generates for a day of 30 seconds.
+fn generate(seed: u64, severity: Severity) -> (World, Script) {
     let world = World::dialled(seed, 30, Dials { severity, ..Dials::default() });
     let script = Script::draw(&world);
     (world, script)
 }
 
 #[test]
-fn a_seed_means_the_same_day_every_time_and_a_calm_one_is_as_it_always_was() {
+fn a_seed_generates_the_same_day_every_time_and_calm_dials_leave_it_unchanged() {
     for severity in [Severity::Calm, Severity::Rough, Severity::Hard, Severity::Brutal] {
         for seed in 1..20 {
             let text = |(w, s): (World, Script)| format!("{w:?} {}", serde_json::to_string(&s).unwrap());
-            assert_eq!(text(drawn(seed, severity)), text(drawn(seed, severity)));
+            assert_eq!(text(generate(seed, severity)), text(generate(seed, severity)));
         }
     }
     for seed in 1..20 {
-        assert_eq!(format!("{:?}", World::draw(seed, 30)), format!("{:?}", drawn(seed, Severity::Calm).0));
+        assert_eq!(format!("{:?}", World::draw(seed, 30)), format!("{:?}", generate(seed, Severity::Calm).0));
     }
 }
 
 #[test]
-fn each_severity_asks_for_more_of_what_the_runners_can_do() {
-    let mean = |severity| (1..60).map(|seed| drawn(seed, severity).0.load()).sum::<f64>() / 59.0;
+fn each_severity_loads_the_runners_more_than_the_one_before() {
+    let mean = |severity| (1..60).map(|seed| generate(seed, severity).0.load()).sum::<f64>() / 59.0;
     let loads = [Severity::Calm, Severity::Rough, Severity::Hard, Severity::Brutal].map(mean);
     assert!(loads[0] < 0.35 && (0.4..0.7).contains(&loads[1]), "{loads:?}");
     assert!((0.9..1.5).contains(&loads[2]) && (1.2..2.0).contains(&loads[3]), "{loads:?}");
@@ -38,12 +39,12 @@
 }
 
 #[test]
-fn hard_days_overlap_their_troubles_on_a_third_of_the_runners_and_brutal_ones_take_the_whole_fleet() {
+fn hard_days_have_faults_on_up_to_a_third_of_the_runners_and_brutal_days_drain_all_of_them() {
     let mut kinds = BTreeSet::new();
     for seed in 1..60 {
-        let (world, script) = drawn(seed, Severity::Hard);
+        let (world, script) = generate(seed, Severity::Hard);
         kinds.extend(script.kinds.iter().cloned());
-        let troubled: BTreeSet<u32> = script
+        let affected: BTreeSet<u32> = script
             .events
             .iter()
             .filter_map(|e| match e.act {
@@ -53,9 +54,9 @@
                 _ => None,
             })
             .collect();
-        assert!(troubled.len() <= world.runners.len().div_ceil(3), "seed {seed}: {troubled:?}");
+        assert!(affected.len() <= world.runners.len().div_ceil(3), "seed {seed}: {affected:?}");
         assert!(script.phases.iter().any(|p| p.rate >= 3.0));
-        // Every runner that is killed starts again, and every fault that begins ends.
+        // Every killed runner is restarted, and every fault that begins ends.
         let count = |f: &dyn Fn(&Act) -> bool| script.events.iter().filter(|e| f(&e.act)).count();
         let (on, off) = (
             count(&|a| matches!(a, Act::Fault { on: true, .. })),
@@ -66,7 +67,7 @@
             count(&|a| matches!(a, Act::KillRunner { .. })),
             count(&|a| matches!(a, Act::StartRunner { .. }))
         );
-        let (world, script) = drawn(seed, Severity::Brutal);
+        let (world, script) = generate(seed, Severity::Brutal);
         let drained: BTreeSet<u32> = script
             .events
             .iter()
@@ -77,7 +78,7 @@
             .collect();
         assert_eq!(drained.len(), world.runners.len(), "every runner drains within the day");
     }
-    let expected = KINDS.len() - 1; // versions of settings have days of their own
+    let expected = KINDS.len() - 1; // changes of settings have days of their own
     assert!(kinds.len() >= expected, "{kinds:?}");
     assert!(WORST.iter().all(|k| !kinds.contains(*k)));
 }
--- a/crates/badgerwind-cli/tests/platform/confirmations.rs
+++ b/crates/badgerwind-cli/tests/platform/confirmations.rs
@@ -169,9 +169,9 @@
         listener = TcpListener::bind(rig.executors[0].address).ok();
         listener.is_some()
     }));
-    let newcomer = Executor::on(listener.unwrap(), usize::MAX, well).unwrap();
+    let successor = Executor::on(listener.unwrap(), usize::MAX, well).unwrap();
     assert!((40..80).all(|n| call(n) == 200), "the other executor serves");
-    assert!(newcomer.seen().is_empty(), "{:?}", newcomer.seen());
+    assert!(successor.seen().is_empty(), "{:?}", successor.seen());
 }
 
 /// A hanging executor answers no question. The calls that waited for its answer are served elsewhere or
--- a/crates/badgerwind-cli/tests/platform/fleet.rs
+++ b/crates/badgerwind-cli/tests/platform/fleet.rs
@@ -355,8 +355,8 @@
         })
     };
     let cold = Executor::with_table(TABLE, script).unwrap();
-    let gone = fleet.executors[0].address;
-    moved.tell(&[record(id(0), gone, GONE), record(id(90), cold.address, READY)]);
+    let removed = fleet.executors[0].address;
+    moved.tell(&[record(id(0), removed, GONE), record(id(90), cold.address, READY)]);
     let all = fleet.running();
     let mut answers = BTreeMap::new();
     assert!(until(|| {
--- a/crates/badgerwind-cli/tests/program.rs
+++ b/crates/badgerwind-cli/tests/program.rs
@@ -1,6 +1,6 @@
-//! The program as its users run it.
+//! The command line program as its users run it.
 
-#[allow(dead_code)] // a test program uses its part
+#[allow(dead_code)] // no test program uses all of it
 #[path = "rig/process.rs"]
 mod process;
 
@@ -16,8 +16,8 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A folder with good settings and their keys.
-fn good() -> tempfile::TempDir {
+/// A folder with valid settings and their keys.
+fn valid_settings() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     let settings = include_str!("../../badgerwind-settings/tests/example.xml");
     std::fs::write(folder.path().join("s.xml"), settings).unwrap();
@@ -30,17 +30,17 @@
 }
 
 #[test]
-fn good_settings_are_told_to_be_good() {
-    let folder = good();
+fn check_accepts_valid_settings() {
+    let folder = valid_settings();
     let out = badgerwind(folder.path(), &["check", "--settings", "s.xml"]);
     assert!(out.status.success(), "{}", text(&out.stderr));
     assert!(text(&out.stdout).starts_with("s.xml: good. Front end 0 of 3"));
 }
 
 #[test]
-fn a_missing_an_open_and_a_broken_secret_are_told_with_line_and_remedy() {
+fn missing_world_readable_and_broken_secrets_are_reported_with_line_and_remedy() {
     use std::os::unix::fs::PermissionsExt;
-    let folder = good();
+    let folder = valid_settings();
     let key = |name: &str| folder.path().join(format!("secrets/{name}.key"));
     let secret = std::fs::read_to_string(key("brolga-2026-a")).unwrap();
     std::fs::set_permissions(key("brolga-2026-a"), PermissionsExt::from_mode(0o644)).unwrap();
@@ -49,21 +49,21 @@
     for command in ["check", "serve"] {
         let out = badgerwind(folder.path(), &[command, "--settings", "s.xml"]);
         assert_eq!(out.status.code(), Some(2));
-        let told = text(&out.stderr);
-        for want in [
+        let stderr = text(&out.stderr);
+        for expected in [
             "s.xml:18: <secret>: the key file secrets/brolga-2026-a.key is open to others (mode 644); chmod 600",
             "s.xml:19: <secret>: the key file secrets/brolga-2026-b.key cannot be read",
             "s.xml:24: <runners>: the key file secrets/runners.key holds no key; ",
         ] {
-            assert!(told.contains(want), "wanted {want}\ngot {told}");
+            assert!(stderr.contains(expected), "expected {expected}\ngot {stderr}");
         }
-        assert!(!told.contains(secret.trim()) && !told.contains("tooShort"), "a secret in {told}");
+        assert!(!stderr.contains(secret.trim()) && !stderr.contains("tooShort"), "a secret in {stderr}");
     }
 }
 
 #[test]
-fn faults_of_settings_end_with_code_2_and_their_line() {
-    let folder = good();
+fn invalid_settings_exit_with_code_2_and_name_the_line() {
+    let folder = valid_settings();
     let settings = std::fs::read_to_string(folder.path().join("s.xml")).unwrap();
     std::fs::write(
         folder.path().join("bad.xml"),
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn keys_are_never_written_over() {
+fn key_files_are_never_overwritten() {
     use std::os::unix::fs::PermissionsExt;
-    let folder = good();
+    let folder = valid_settings();
     let file = folder.path().join("secrets/runners.key");
     let before = std::fs::read(&file).unwrap();
     assert_eq!(std::fs::metadata(&file).unwrap().permissions().mode() & 0o777, 0o600);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_demonstration_ends_well() {
+fn the_demonstration_succeeds() {
     let out = badgerwind(Path::new("."), &["demo"]);
     assert!(out.status.success(), "{}\n{}", text(&out.stdout), text(&out.stderr));
     assert!(text(&out.stdout).ends_with("every sender has one answer\n"));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_bad_day_keeps_the_rules() {
+fn a_bad_day_breaks_no_rule() {
     let folder = tempfile::tempdir().unwrap();
     let day =
         ["bad-day", "--seed", "3", "--seconds", "8", "--like", "drain+front_kill+hang", "--report", "r.json"];
@@ -125,15 +125,15 @@
     assert!(calls > 400 && report["attempts"].as_u64().unwrap() > calls / 2, "{report:#}");
 }
 
-/// The front end of `examples/blind_to_drains.rs`, built beside the tests.
-fn blind() -> PathBuf {
+/// Path of the front end of `examples/blind_to_drains.rs`, which `cargo test` builds along with the tests.
+fn blind_to_drains() -> PathBuf {
     let test = std::env::current_exe().unwrap();
     test.parent().and_then(Path::parent).unwrap().join("examples/blind_to_drains")
 }
 
 #[test]
-fn a_bad_day_finds_a_front_end_that_does_not_keep_drains() {
-    let gateway = blind();
+fn a_bad_day_detects_a_front_end_that_ignores_drains() {
+    let gateway = blind_to_drains();
     assert!(gateway.exists(), "cargo test builds {} with the tests", gateway.display());
     let folder = tempfile::tempdir().unwrap();
     let gateway = gateway.display().to_string();
@@ -161,16 +161,16 @@
     }
     std::fs::write(folder.path().join("part.xml"), "<badgerwind version=\"1\"><class/></badgerwind>")
         .unwrap();
-    let (code, _, told) = run(&["publish", "v", "limits", "part.xml"]);
+    let (code, _, stderr) = run(&["publish", "v", "limits", "part.xml"]);
     assert_eq!(code, Some(2));
-    assert!(told
+    assert!(stderr
         .contains("<class>: does not belong to a part of kind limits; it may hold webhook, runners, stop"));
     let (_, diff, _) = run(&["diff", "v", "limits", "1", "2"]);
     assert!(diff.contains("-<webhook connections=\"10\"/>\n+<webhook connections=\"20\"/>\n"), "{diff}");
     assert_eq!(run(&["rollback", "v", "limits", "1"]).1, "limits 3 has the content of 1\n");
     assert_eq!(run(&["diff", "v", "limits", "1", "3"]).1, "");
-    let (code, _, told) = run(&["rollback", "v", "limits", "9"]);
-    assert_eq!((code, told.as_str()), (Some(2), "badgerwind: there is no limits 9\n"));
+    let (code, _, stderr) = run(&["rollback", "v", "limits", "9"]);
+    assert_eq!((code, stderr.as_str()), (Some(2), "badgerwind: there is no limits 9\n"));
     assert_eq!(run(&["publish", "v", "weather", "part.xml"]).0, Some(2));
 
     let ready = folder.path().join("ready");
@@ -185,10 +185,10 @@
         service.assert_runs();
         std::thread::sleep(std::time::Duration::from_millis(5));
     };
-    let (code, out, told) = run(&["status", "--at", &address]);
+    let (code, out, stderr) = run(&["status", "--at", &address]);
     let unknown = run(&["pin", "--at", &address, "nobody"]);
     drop(service);
-    assert_eq!(code, Some(0), "{told}");
+    assert_eq!(code, Some(0), "{stderr}");
     assert!(
         out.contains("limits: newest 3, 3 offered to the first\n") && out.contains("classes: newest none\n"),
         "{out}"
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn behind_a_fence_senders_may_be_reckless_and_without_one_a_bad_day_finds_it() {
+fn a_bad_day_breaks_no_rule_with_a_fence_and_detects_reckless_senders_without_one() {
     let folder = tempfile::tempdir().unwrap();
     let like = "balancer_roll+front_kill+mass_restart+hang";
     let day = |more: &str| {
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn one_call_is_followed_over_two_front_ends() {
+fn trace_follows_a_call_across_two_front_ends() {
     let folder = tempfile::tempdir().unwrap();
     let line = |time: &str, rest: &str| format!("{{\"timestamp\":\"2026-12-01T18:00:0{time}Z\",{rest}}}\n");
     let taken = |r: &str| {
@@ -236,8 +236,8 @@
     std::fs::write(folder.path().join("b.log"), second.concat()).unwrap();
     for id in ["msg_7", "abc"] {
         let out = badgerwind(folder.path(), &["trace", id, "--log", "b.log", "--log", "a.log"]);
-        let told = text(&out.stdout);
-        let lines: Vec<&str> = told.lines().map(|l| l.split_once("Z  ").unwrap().1.trim_end()).collect();
+        let stdout = text(&out.stdout);
+        let lines: Vec<&str> = stdout.lines().map(|l| l.split_once("Z  ").unwrap().1.trim_end()).collect();
         assert_eq!(
             lines,
             [
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_call_is_drawn_with_what_its_runners_recorded() {
+fn trace_draws_a_call_with_the_records_of_its_runners() {
     use badgerwind_cli::trace::draw::{Bar, Chart, Shade};
     use badgerwind_cli::trace::read::events;
     let log = |at: u32, rest: &str| format!("{{\"timestamp\":\"2026-12-01T18:00:00.{at:03}Z\",{rest}}}\n");
@@ -308,58 +308,59 @@
 }
 
 #[test]
-fn a_folder_of_messages_is_delivered_and_what_is_left_is_left_for_the_next_run() {
+fn send_delivers_a_folder_of_messages_and_leaves_the_rest_for_the_next_run() {
     use std::io::{Read, Write};
-    let folder = good();
+    let folder = valid_settings();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let to = format!("http://{}/lodge", listener.local_addr().unwrap());
     std::fs::create_dir(folder.path().join("out")).unwrap();
     for id in ["a", "b", "c", "d"] {
         std::fs::write(folder.path().join(format!("out/{id}.json")), format!("{{\"id\":\"{id}\"}}")).unwrap();
     }
-    // One answer a message, in the order of their names: served, gone, busy, cut.
+    // One answer per message, in the order of their names: served, rejected, busy, connection closed without
+    // an answer.
     let answers = std::thread::spawn(move || {
         let answers = ["200 OK", "410 Gone", "503 Service Unavailable\r\nretry-after: 30", ""];
-        let mut heard = Vec::new();
+        let mut requests = Vec::new();
         for answer in answers {
             let (mut stream, _) = listener.accept().unwrap();
             let mut bytes = [0u8; 2048];
             let n = stream.read(&mut bytes).unwrap();
-            heard.push(String::from_utf8_lossy(&bytes[..n]).into_owned());
+            requests.push(String::from_utf8_lossy(&bytes[..n]).into_owned());
             if !answer.is_empty() {
                 write!(stream, "HTTP/1.1 {answer}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n")
                     .unwrap();
             }
         }
-        heard
+        requests
     });
     let args =
         ["send", "--from", "out", "--once", "--lodgements", "--to", &to, "--key-file", "secrets/runners.key"];
     let out = badgerwind(folder.path(), &args);
     assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
-    let heard = answers.join().unwrap();
+    let requests = answers.join().unwrap();
     assert!(
-        heard[0].contains("webhook-id: a\r\n") && heard[0].contains("webhook-signature: v1,"),
+        requests[0].contains("webhook-id: a\r\n") && requests[0].contains("webhook-signature: v1,"),
         "{}",
-        heard[0]
+        requests[0]
     );
-    let there = |name: &str| folder.path().join("out").join(name).exists();
-    assert!(there("done/a.json") && there("dead/b.json") && there("c.json") && there("dead/d.json"));
+    let exists = |name: &str| folder.path().join("out").join(name).exists();
+    assert!(exists("done/a.json") && exists("dead/b.json") && exists("c.json") && exists("dead/d.json"));
     assert!(
         text(&out.stdout).contains("d: given up: it may have run, and must not run twice"),
         "{}",
         text(&out.stdout)
     );
-    // The next run begins where this one ended: nothing is due yet.
+    // The next run continues where this one ended. Nothing is due yet.
     let again = badgerwind(folder.path(), &args);
     assert_eq!(again.status.code(), Some(0), "{}", text(&again.stderr));
-    let told = text(&again.stdout);
-    assert!(told.starts_with("c: due in ") && told.lines().count() == 1, "{told}");
+    let stdout = text(&again.stdout);
+    assert!(stdout.starts_with("c: due in ") && stdout.lines().count() == 1, "{stdout}");
 }
 
 #[test]
-fn keys_are_listed_by_name_and_time() {
-    let folder = good();
+fn keys_list_shows_names_and_validity() {
+    let folder = valid_settings();
     let settings = std::fs::read_to_string(folder.path().join("s.xml")).unwrap();
     let settings =
         settings.replace("brolga-2026-a.key\"", "brolga-2026-a.key\" not-after=\"2020-01-01T00:00:00Z\"");
@@ -367,20 +368,20 @@
         settings.replace("not-before=\"2026-12-01T00:00:00Z\"", "not-before=\"2200-01-01T00:00:00Z\"");
     std::fs::write(folder.path().join("s.xml"), settings).unwrap();
     let out = badgerwind(folder.path(), &["keys", "list", "--settings", "s.xml"]);
-    let told = text(&out.stdout);
-    let lines: Vec<Vec<&str>> = told.lines().skip(1).map(|l| l.split_whitespace().collect()).collect();
+    let stdout = text(&out.stdout);
+    let lines: Vec<Vec<&str>> = stdout.lines().skip(1).map(|l| l.split_whitespace().collect()).collect();
     assert_eq!(
         lines[0],
         ["brolga-portal", "2026-a", "shared", "no", "more", "secrets/brolga-2026-a.key"],
-        "{told}"
+        "{stdout}"
     );
     assert_eq!(lines[1], ["brolga-portal", "2026-b", "shared", "later", "secrets/brolga-2026-b.key"]);
     let secret = std::fs::read_to_string(folder.path().join("secrets/brolga-2026-a.key")).unwrap();
-    assert!(!told.contains(secret.trim()));
+    assert!(!stdout.contains(secret.trim()));
 }
 
 #[test]
-fn an_unknown_kind_of_trouble_is_told() {
+fn an_unknown_kind_of_fault_is_rejected_with_the_known_ones() {
     let out = badgerwind(Path::new("."), &["bad-day", "--like", "locusts"]);
     assert_eq!(out.status.code(), Some(2));
     assert!(text(&out.stderr).contains("unknown kind locusts; known are balancer_roll, burst"));
--- a/crates/badgerwind-cli/tests/rig/process.rs
+++ b/crates/badgerwind-cli/tests/rig/process.rs
@@ -1,21 +1,21 @@
-//! A process of the program under test. What it logs goes to a file; a test that fails leaves the file behind and names it.
+//! A process of the program under test. Its log goes to a file, which a failing test leaves behind and names.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Numbers the logs of one test program.
+/// Number of processes started by this test program; makes the names of their log files unique.
 static STARTED: AtomicUsize = AtomicUsize::new(0);
 
-/// A process, killed with its handle.
+/// A process that is killed when its handle is dropped.
 pub struct Process {
     child: Child,
     log: PathBuf,
 }
 
 impl Process {
-    /// Starts a command with its standard error in a file of its own and no standard output.
+    /// Starts a command. Its standard error goes to a log file, its standard output is discarded.
     pub fn start(name: &str, command: &mut Command) -> Process {
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
         let log = Path::new(env!("CARGO_TARGET_TMPDIR"))
@@ -29,19 +29,23 @@
         self.child.id()
     }
 
-    /// Fails the test where the process has ended by itself.
+    /// Panics if the process has ended by itself.
     pub fn assert_runs(&mut self) {
         if let Some(status) = self.child.try_wait().unwrap() {
-            panic!("{} ended by itself, {status}:\n{}", self.log.display(), self.logged());
+            panic!(
+                "the process logging to {} ended by itself, {status}:\n{}",
+                self.log.display(),
+                self.logged()
+            );
         }
     }
 
-    /// What it has logged so far.
+    /// The content of the log file so far.
     pub fn logged(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap()
     }
 
-    /// Where it logs.
+    /// Path of the log file.
     pub fn log(&self) -> &Path {
         &self.log
     }
@@ -49,11 +53,11 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = (self.child.kill(), self.child.wait()); // it may have ended
+        let _ = (self.child.kill(), self.child.wait()); // fails harmlessly if the process has ended
         if std::thread::panicking() {
-            eprintln!("its log is kept: {}", self.log.display());
+            eprintln!("the log was left at {}", self.log.display());
         } else {
-            let _ = std::fs::remove_file(&self.log); // it may be gone with its folder
+            let _ = std::fs::remove_file(&self.log); // the file may have been removed with its folder
         }
     }
 }
