--- a/crates/badgerwind-cli/benches/config.rs
+++ b/crates/badgerwind-cli/benches/config.rs
@@ -1,13 +1,14 @@
-//! The configuration stream in figures: how long a version takes to reach all, what a change of router costs calls
-//! under load, what versions take in bytes and memory, and every front end's word checked by its behaviour at full
-//! size. Machines are noisy: read how figures grow, and the ratios.
+//! Measures the configuration stream: how long a version takes to reach all front ends, what a change of the
+//! router costs calls under load, and the bytes and memory that versions take. It also checks the versions
+//! that front ends report against their behaviour at full size. Machines are noisy: compare growth and
+//! ratios, not absolute figures.
 //!
 //! `cargo bench -p badgerwind-cli --bench config`
 
 #[path = "../tests/rig/mod.rs"]
 mod rig;
-#[path = "../tests/rig/truth.rs"]
-mod truth;
+#[path = "../tests/rig/version_reports.rs"]
+mod version_reports;
 
 use badgerwind_check::{Answer, What};
 use badgerwind_cli::day::{play, Args};
@@ -31,7 +32,8 @@
     format!("<badgerwind version=\"1\"><webhook connections=\"{}\"/></badgerwind>\n", 1000 + n)
 }
 
-/// A front end's side of the stream with nothing behind it: what is prepared, stored and applied is done at once.
+/// Follows the stream as a front end does, but without a gateway: preparing, storing and applying succeed at
+/// once.
 async fn follow(
     name: String,
     at: SocketAddr,
@@ -50,7 +52,7 @@
     loop {
         todo.append(&mut out);
         let now = began.elapsed().as_micros() as u64;
-        // Only the kind that versions are published of is asked about.
+        // Requests for kinds of which no versions are published are not sent.
         let next = todo.iter().position(|d| !matches!(d, Do::Ask { kind, .. } if *kind != Kind::Limits));
         let Some(n) = next else { return };
         let input = match todo.remove(n) {
@@ -80,19 +82,20 @@
     }
 }
 
+/// Resident memory of a process, in KiB.
 fn resident(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("VmRSS: 0");
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// From the moment a version is published to each front end's acknowledgement.
-fn spread(fronts: usize) {
+/// Measures the time from publishing a version to its acknowledgement by each front end.
+fn measure_propagation(front_ends: usize) {
     const VERSIONS: u64 = 25;
     let dir = tempfile::tempdir().unwrap();
     let port = ReservedPort::reserve().unwrap();
     let at = port.address();
-    let _service = truth::Service::start(dir.path(), at);
+    let _service = version_reports::Service::start(dir.path(), at);
     std::fs::create_dir_all(dir.path().join("limits")).unwrap();
     smol::block_on(async {
         while smol::net::TcpStream::connect(at).await.is_err() {
@@ -102,7 +105,7 @@
         let acks: Arc<Mutex<BTreeMap<u64, Vec<Duration>>>> = Arc::default();
         let bytes = Arc::new(AtomicU64::new(0));
         let mut tasks = Vec::new();
-        for n in 0..fronts {
+        for n in 0..front_ends {
             let acks = acks.clone();
             let seen = Arc::new(move |v, t| {
                 let mut acks = acks.lock().unwrap();
@@ -118,27 +121,30 @@
             std::fs::write(dir.path().join(format!("limits/{version}.part")), limits(version)).unwrap();
             let name = |e| dir.path().join(format!("limits/{version}.{e}"));
             std::fs::rename(name("part"), name("xml")).unwrap();
-            while acks.lock().unwrap().get(&version).map_or(0, Vec::len) < fronts {
+            while acks.lock().unwrap().get(&version).map_or(0, Vec::len) < front_ends {
                 smol::Timer::after(Duration::from_millis(2)).await;
             }
             let acks = acks.lock().unwrap();
-            let took =
-                acks[&version].iter().take(fronts).map(|t| (t.saturating_sub(published)).as_micros() as u64);
+            let took = acks[&version]
+                .iter()
+                .take(front_ends)
+                .map(|t| (t.saturating_sub(published)).as_micros() as u64);
             let took: Vec<u64> = took.collect();
             took.iter().for_each(|t| each.record(*t).unwrap());
             all.record(*took.iter().max().unwrap()).unwrap();
         }
         let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
         println!(
-            "  {fronts:>4} front ends: acknowledged after p50 {:.0} ms, p99 {:.0} ms; by all after p50 {:.0} ms, p99 {:.0} ms; {} bytes a version and front end",
+            "  {front_ends:>4} front ends: acknowledged after p50 {:.0} ms, p99 {:.0} ms; by all after p50 {:.0} ms, p99 {:.0} ms; {} bytes a version and front end",
             ms(&each, 0.5), ms(&each, 0.99), ms(&all, 0.5), ms(&all, 0.99),
-            (bytes.load(Ordering::Relaxed) - before) / VERSIONS / fronts as u64
+            (bytes.load(Ordering::Relaxed) - before) / VERSIONS / front_ends as u64
         );
     });
 }
 
-/// Latencies and service of a day, from its records.
-fn day(seed: u64, publish: bool) -> (Histogram<u64>, usize, usize) {
+/// Plays a test day and returns, from its records, the latencies of the calls served, the number of calls and
+/// of those served.
+fn play_day(seed: u64, publish: bool) -> (Histogram<u64>, usize, usize) {
     let dir = tempfile::tempdir().unwrap();
     let script = dir.path().join("script.json");
     let events: Vec<_> = (1..20).map(|n| serde_json::json!({"at_ms": n * 700, "act": "publish"})).collect();
@@ -186,10 +192,11 @@
     (times, calls, served)
 }
 
-fn memory(dir: &Path) {
+/// Measures the memory that stored versions take in the control service.
+fn measure_memory(dir: &Path) {
     let port = ReservedPort::reserve().unwrap();
     let at = port.address();
-    let service = truth::Service::start(dir, at);
+    let service = version_reports::Service::start(dir, at);
     std::thread::sleep(Duration::from_secs(1));
     let before = resident(service.id());
     std::fs::create_dir_all(dir.join("limits")).unwrap();
@@ -206,23 +213,23 @@
 }
 
 fn main() {
-    // `cargo test --benches` runs this too, and wants no measurement.
+    // `cargo test --benches` runs this program too, without `--bench`, and must not measure.
     if !std::env::args().any(|a| a == "--bench") {
         return;
     }
     if std::env::args().any(|a| a == "words") {
-        return words();
+        return check_reports();
     }
     println!("from publishing to acknowledgement, waves off");
-    for fronts in [10, 100, 400] {
-        spread(fronts);
+    for front_ends in [10, 100, 400] {
+        measure_propagation(front_ends);
     }
-    println!("kept versions");
-    memory(tempfile::tempdir().unwrap().path());
+    println!("stored versions");
+    measure_memory(tempfile::tempdir().unwrap().path());
     println!("calls under load, three front ends: no change, and 19 versions in 14 s (13 of them change the router)");
     for seed in 1..=3 {
-        let (plain, calls, served) = day(seed, false);
-        let (changed, calls2, served2) = day(seed, true);
+        let (plain, calls, served) = play_day(seed, false);
+        let (changed, calls2, served2) = play_day(seed, true);
         let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
         println!(
             "  seed {seed}: in time {:.4} and {:.4}; p50 {:.0} and {:.0} ms, p99 {:.0} and {:.0} ms",
@@ -234,11 +241,12 @@
             ms(&changed, 0.99)
         );
     }
-    words();
+    check_reports();
 }
 
-fn words() {
-    println!("words of front ends against their behaviour: 20 front ends in this process and 4 of their own, 301 versions, a third of them bad, 10 kills");
-    let words = smol::block_on(truth::check(24, 4, 301, 10));
-    println!("  {words} words checked, all true; no version turned down was ever seen");
+/// Checks the versions that front ends report against their behaviour.
+fn check_reports() {
+    println!("reported versions against behaviour: 20 front ends in this process and 4 of their own, 301 versions, a third of them bad, 10 kills");
+    let checked = smol::block_on(version_reports::check(24, 4, 301, 10));
+    println!("  {checked} reports checked, all correct; no rejected version was ever served");
 }
--- a/crates/badgerwind-cli/benches/config_processes.rs
+++ b/crates/badgerwind-cli/benches/config_processes.rs
@@ -1,17 +1,18 @@
-//! Real front ends beside one real control service, all of them processes on loopback: bytes of the stream, processor
-//! time and resident memory for each version. The same figures of hollow front ends come from `badgerwind-scale`.
+//! Measures the configuration stream between real front ends and one control service, all of them processes
+//! on loopback: bytes, processor time and resident memory for each version. `badgerwind-scale` takes the same
+//! figures with front ends that have no gateway behind them.
 //!
 //! `cargo bench -p badgerwind-cli --bench config_processes -- 10 30`
 
 #[path = "../tests/rig/mod.rs"]
 mod rig;
-#[allow(dead_code)] // this bench uses its part
-#[path = "../tests/rig/truth.rs"]
-mod truth;
+#[allow(dead_code)] // this bench does not use all of it
+#[path = "../tests/rig/version_reports.rs"]
+mod version_reports;
 
 use badgerwind_config::Kind;
 use badgerwind_standins::reserved::ReservedPort;
-use rig::{socket, Plan, Rig};
+use rig::{bind_loopback, Plan, Rig};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::{TcpListener, TcpStream};
 use std::net::SocketAddr;
@@ -20,13 +21,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Versions that are published one after the other.
+/// Number of versions, which are published one after the other.
 const VERSIONS: u64 = 20;
 
 /// For how long the idle stream is measured.
 const IDLE: Duration = Duration::from_secs(10);
 
-/// The clock ticks of /proc are hundredths of a second.
+/// Length of the clock ticks in /proc.
 const MICROSECONDS_A_TICK: u64 = 10_000;
 
 /// Bytes that have passed through the relay.
@@ -43,7 +44,7 @@
     }
 }
 
-/// A relay in front of the service, which counts what passes.
+/// Relays connections to the service and counts bytes and requests.
 async fn relay(listener: TcpListener, service: SocketAddr, traffic: Arc<Traffic>) {
     while let Ok((front_end, _)) = listener.accept().await {
         let Ok(to) = TcpStream::connect(service).await else { continue };
@@ -68,6 +69,7 @@
     }
 }
 
+/// Copies bytes until either side closes.
 async fn copy(mut from: TcpStream, mut to: TcpStream, count: impl Fn(&[u8])) {
     let mut buffer = vec![0; 64 * 1024];
     while let Ok(length @ 1..) = from.read(&mut buffer).await {
@@ -95,7 +97,7 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// The same text as a version of limits in `badgerwind-scale`.
+/// The text of a version of limits, the same as in `badgerwind-scale`.
 fn limits(version: u64) -> String {
     let connections = 1_000 + version;
     format!("<badgerwind version=\"1\">\n<webhook connections=\"{connections}\"/>\n</badgerwind>\n")
@@ -112,8 +114,8 @@
     std::fs::create_dir_all(dir.path().join("limits")).unwrap();
     let port = ReservedPort::reserve().unwrap();
     let at = port.address();
-    let service = truth::Service::start(dir.path(), at);
-    let (listener, relayed) = socket().await;
+    let service = version_reports::Service::start(dir.path(), at);
+    let (listener, relayed) = bind_loopback().await;
     let traffic = Arc::new(Traffic::default());
     let _relay = smol::spawn(relay(listener, at, traffic.clone()));
     while TcpStream::connect(at).await.is_err() {
@@ -126,25 +128,25 @@
     };
     let mut rigs = vec![Rig::start(plan(0)).await];
     for n in 1..front_ends {
-        rigs.push(Rig::start(Plan { runners: 0, beside: rigs[0].beside(), ..plan(n) }).await);
+        rigs.push(Rig::start(Plan { runners: 0, shared: rigs[0].shared(), ..plan(n) }).await);
     }
     let processes: Vec<u32> = rigs.iter().filter_map(Rig::process_id).collect();
     assert_eq!(processes.len(), front_ends);
     smol::Timer::after(Duration::from_secs(2)).await;
     let time = || processes.iter().map(|p| processor_time(*p)).sum::<u64>();
     let now = || (traffic.read(), processor_time(service.id()), time(), Instant::now());
-    let begun = now();
+    let start = now();
     smol::Timer::after(IDLE).await;
     let idle = now();
     for version in 1..=VERSIONS {
         publish(dir.path(), version);
         for rig in &rigs {
-            truth::until_running(rig, Kind::Limits, version).await;
+            version_reports::until_running(rig, Kind::Limits, version).await;
         }
     }
     smol::Timer::after(Duration::from_millis(200)).await;
     let done = now();
-    report(front_ends, (&begun, &idle, &done));
+    report(front_ends, (&start, &idle, &done));
     let memory: Vec<u64> = processes.iter().map(|p| resident(*p)).collect();
     println!(
         "  resident: service {} KiB ({} before it had front ends), front ends {} to {} KiB",
@@ -155,28 +157,29 @@
     );
 }
 
-type Moment = ([u64; 3], u64, u64, Instant);
+/// Counters of the relay, processor time of the service and of all front ends, and when they were read.
+type Sample = ([u64; 3], u64, u64, Instant);
 
-fn report(front_ends: usize, (begun, idle, done): (&Moment, &Moment, &Moment)) {
-    let idle_span = idle.3.duration_since(begun.3).as_secs_f64();
+fn report(front_ends: usize, (start, idle, done): (&Sample, &Sample, &Sample)) {
+    let idle_span = idle.3.duration_since(start.3).as_secs_f64();
     let span = done.3.duration_since(idle.3).as_secs_f64();
     let each = |n: usize| (done.0[n] - idle.0[n]) as f64 / VERSIONS as f64 / front_ends as f64;
-    let idle_each = |n: usize| (idle.0[n] - begun.0[n]) as f64 / idle_span / front_ends as f64;
+    let idle_each = |n: usize| (idle.0[n] - start.0[n]) as f64 / idle_span / front_ends as f64;
     println!("{front_ends} front ends, {VERSIONS} versions of limits in {span:.1} s");
     println!(
-        "  a version and front end: {:.1} bytes to the service, {:.1} bytes to the front end, {:.2} questions",
+        "  a version and front end: {:.1} bytes to the service, {:.1} bytes to the front end, {:.2} requests",
         each(0),
         each(1),
         each(2)
     );
     println!("  idle, a front end: {:.1} and {:.1} bytes a second", idle_each(0), idle_each(1));
     let (service_idle, front_idle) =
-        ((idle.1 - begun.1) as f64 / idle_span, (idle.2 - begun.2) as f64 / idle_span);
+        ((idle.1 - start.1) as f64 / idle_span, (idle.2 - start.2) as f64 / idle_span);
     let service_version = ((done.1 - idle.1) as f64 - service_idle * span) / VERSIONS as f64;
     let front_version = ((done.2 - idle.2) as f64 - front_idle * span) / VERSIONS as f64;
     println!("  service: {service_idle:.0} us a second idle, {service_version:.0} us a version beyond that");
     println!(
-        "  a front end: {:.0} us a second idle, {:.0} us a version beyond that (with the questions of this bench \
+        "  a front end: {:.0} us a second idle, {:.0} us a version beyond that (with the requests of this bench \
          at its /config)",
         front_idle / front_ends as f64,
         front_version / front_ends as f64
@@ -184,7 +187,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` runs this too, and wants no measurement.
+    // `cargo test --benches` runs this program too, without `--bench`, and must not measure.
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
--- a/crates/badgerwind-cli/tests/budgets.rs
+++ b/crates/badgerwind-cli/tests/budgets.rs
@@ -1,9 +1,11 @@
-//! Budgets of a fleet between processes: members of this program that are killed, stopped and cut off from each other. The
-//! verdicts are on sums and order, from the members' own records; none is on speed but that the fleet came to spend at all.
+//! Budgets of a fleet whose members are processes of this program that are killed, stopped and partitioned.
+//! The checks are on sums and on order, from the members' own records. None is on speed, except that the
+//! fleet spends at all.
 
 use badgerwind_cli::budgets::{play, Act, Schedule};
 use std::path::Path;
 
+/// A schedule of so many members and so many milliseconds with two units a member and these events only.
 fn quiet(members: u16, ms: u64, acts: Vec<(u64, Act)>) -> Schedule {
     Schedule {
         seed: 7,
@@ -20,7 +22,9 @@
     }
 }
 
-fn kept(schedule: &Schedule) -> badgerwind_check::budgets::Sums {
+/// Plays a schedule and checks that no member reports an error and that no more than the limit is owned or
+/// spent.
+fn play_and_check(schedule: &Schedule) -> badgerwind_check::budgets::Sums {
     let folder = tempfile::tempdir().unwrap();
     let played = play(schedule, Path::new(env!("CARGO_BIN_EXE_badgerwind")), folder.path()).unwrap();
     assert!(played.wrong.is_empty(), "{:?}", played.wrong);
@@ -30,17 +34,17 @@
 }
 
 #[test]
-fn seven_in_ten_killed_at_once_and_back_at_once() {
+fn seven_of_ten_members_are_killed_at_once_and_restarted_at_once() {
     let dying: Vec<u16> = (3..10).collect();
     let acts = vec![(2500, Act::Kill { who: dying.clone() }), (4500, Act::Start { who: dying })];
-    let sums = kept(&quiet(10, 7000, acts));
-    assert_eq!(sums.owned, 1.0, "all of it came to be owned");
-    // How soon the others have the dead ones' parts is shown in simulated time.
+    let sums = play_and_check(&quiet(10, 7000, acts));
+    assert_eq!(sums.owned, 1.0, "all units are owned at some time");
+    // How soon the survivors get the units of the killed members is tested in simulated time.
     println!("owned of 20 units, in tenths of a second: {:?}", sums.over_time);
 }
 
 #[test]
-fn one_stopped_for_longer_than_its_lease_spends_nothing_of_it_after() {
+fn a_member_stopped_for_longer_than_its_lease_spends_nothing_of_it_afterwards() {
     let acts = (0..3)
         .flat_map(|n| {
             let who = vec![n, n + 3];
@@ -50,12 +54,12 @@
             ]
         })
         .collect();
-    let sums = kept(&quiet(6, 7000, acts));
+    let sums = play_and_check(&quiet(6, 7000, acts));
     assert!(sums.spends > 100, "{}", sums.spends);
 }
 
 #[test]
-fn halves_that_hear_only_themselves_never_own_more_than_the_whole() {
+fn partitioned_halves_never_own_more_than_the_limit_together() {
     let (a, b): (Vec<u16>, Vec<u16>) = ((0..3).collect(), (3..6).collect());
     let acts = vec![
         (2200, Act::Cut { from: a.clone(), to: b.clone() }),
@@ -64,11 +68,11 @@
         (5000, Act::Cut { from: b, to: a }),
         (6500, Act::Heal),
     ];
-    kept(&quiet(6, 7500, acts));
+    play_and_check(&quiet(6, 7500, acts));
 }
 
 #[test]
-fn a_whole_that_is_halved_in_use_and_a_voter_that_flaps() {
+fn a_limit_is_halved_while_in_use_and_a_voter_restarts_repeatedly() {
     let mut acts = vec![(2500, Act::Whole { units: 6 }), (4500, Act::Whole { units: 12 })];
     for n in 0..8 {
         acts.push((2000 + 500 * n, Act::Kill { who: vec![1] }));
@@ -77,35 +81,36 @@
     acts.sort_by_key(|a| a.0);
     let mut schedule = quiet(6, 7000, acts);
     (schedule.loss, schedule.twice, schedule.delay_ms) = (0.3, 0.3, 20);
-    kept(&schedule);
+    play_and_check(&schedule);
 }
 
 #[test]
-fn drawn_days_are_kept() {
+fn random_schedules_stay_within_the_limit() {
     for seed in 1..=3 {
         let schedule = Schedule::draw(seed, 3 + seed as u16 * 2, 6000);
-        kept(&schedule);
+        play_and_check(&schedule);
     }
 }
 
-/// Schedules that were worth keeping, as files: one whose record once looked like a unit spent twice (62), deaths within a split
-/// with a smaller whole heard by one side only, and the first voter that restarts ten times while another is stopped.
+/// Schedules stored as files: one whose record once looked like a unit spent twice (62), one with deaths
+/// within a partition while only one side receives a lowered limit, and one whose first voter restarts ten
+/// times while another is stopped.
 #[test]
-fn kept_schedules_are_kept() {
+fn stored_schedules_stay_within_the_limit() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/days");
     let mut played = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let schedule: Schedule = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         assert_eq!(schedule.check(), Ok(()), "{}", path.display());
-        assert!(kept(&schedule).spends > 50, "{}", path.display());
+        assert!(play_and_check(&schedule).spends > 50, "{}", path.display());
         played += 1;
     }
     assert!(played >= 3);
 }
 
 #[test]
-fn schedules_that_cannot_be_played_are_turned_down_with_the_reason() {
+fn invalid_schedules_are_rejected_with_the_reason() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("s.json");
     let bad = |change: &dyn Fn(&mut Schedule)| {
@@ -129,9 +134,10 @@
     assert!(bad(&|s| s.members = 0).contains("1 to 64"));
 }
 
-/// Two members under one name in two networks' eyes own the same floors: the judge must see what the deciders cannot.
+/// Two members that own the same units at once, as two members under one name in separate networks would: no
+/// member can see this, so the check of the records must.
 #[test]
-fn a_day_that_is_broken_is_told_so() {
+fn records_of_two_owners_of_the_same_units_are_reported_as_broken() {
     use badgerwind_check::budgets::{judge, Line, What};
     let line = |member, at| Line {
         at,
--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -1,8 +1,8 @@
 //! Settings in numbered versions, on sockets: what is offered, what runs, and what a front end says of it.
 
 mod rig;
-#[path = "rig/truth.rs"]
-mod truth;
+#[path = "rig/version_reports.rs"]
+mod version_reports;
 
 use badgerwind_check::What;
 use badgerwind_config::client::Report;
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
-use truth::{behaves, routes, until_running};
+use version_reports::{routes, served_versions, until_running};
 
 const AT_ONCE: Rules =
     Rules { first: 1.0, settle: 0, most_rejected: 1.0, most_worse: 1.0, forget: 60_000_000 };
@@ -45,7 +45,7 @@
 }
 
 async fn control(folder: &Path, name: &'static str) -> (SocketAddr, smol::Task<()>) {
-    let (listener, address) = socket().await;
+    let (listener, address) = bind_loopback().await;
     let folder = folder.to_owned();
     (address, smol::spawn(async move { serve(listener, &folder, name, AT_ONCE).await }))
 }
@@ -123,11 +123,11 @@
         assert!(until_rejected(&rig, Kind::Classes, 2)
             .await
             .contains("in the shadow none of 8 calls was served"));
-        assert_eq!(behaves(&rig, 1..=4).await, [1]);
+        assert_eq!(served_versions(&rig, 1..=4).await, [1]);
         assert_eq!((rig.running(Kind::Routes).await, rig.running(Kind::Classes).await), (Some(1), None));
         put(Kind::Routes, 5, &routes(5));
         until_running(&rig, Kind::Routes, 5).await;
-        assert_eq!(behaves(&rig, 1..=5).await, [5]);
+        assert_eq!(served_versions(&rig, 1..=5).await, [5]);
     });
 }
 
@@ -142,7 +142,7 @@
         std::fs::create_dir(&beside).unwrap();
         folder::publish(dir.path(), Kind::Routes, &routes(1)).unwrap();
         assert!(until_rejected(&rig, Kind::Routes, 1).await.contains("it cannot be kept: "));
-        assert_eq!(behaves(&rig, 1..=1).await, [0u64; 0]);
+        assert_eq!(served_versions(&rig, 1..=1).await, [0u64; 0]);
         std::fs::remove_dir(&beside).unwrap();
         folder::publish(dir.path(), Kind::Routes, &routes(2)).unwrap();
         until_running(&rig, Kind::Routes, 2).await;
@@ -167,14 +167,14 @@
                 let bytes = std::fs::read(&file).unwrap();
                 std::fs::write(&file, &bytes[..bytes.len() - 40]).unwrap();
             }
-            let beside = rig.beside();
+            let shared = rig.shared();
             let folder = std::mem::replace(&mut rig.folder, tempfile::tempdir().unwrap());
             let control = Some(("f".to_owned(), vec![at]));
             let next =
-                Rig::start(Plan { runners: 0, control, beside, folder: Some(folder), ..Plan::default() })
+                Rig::start(Plan { runners: 0, control, shared, folder: Some(folder), ..Plan::default() })
                     .await;
             assert_eq!(next.running(Kind::Routes).await, Some(want), "cut: {cut}");
-            assert_eq!(behaves(&next, 1..=2).await, [want]);
+            assert_eq!(served_versions(&next, 1..=2).await, [want]);
             std::mem::forget(std::mem::replace(&mut rig, next)); // its runners go on
         }
     });
@@ -190,7 +190,7 @@
             folder::publish(dir.path(), Kind::Routes, &routes(n)).unwrap();
         }
         until_running(&rig, Kind::Routes, 200).await;
-        assert_eq!(behaves(&rig, 195..=200).await, [200]);
+        assert_eq!(served_versions(&rig, 195..=200).await, [200]);
         let (_, status) = get(at, "/status").await;
         let status: Status = serde_json::from_str(&status).unwrap();
         assert_eq!(status.kinds[2].newest, Some(200));
@@ -226,7 +226,7 @@
             rig.send(&format!("m{n}"), CHECK, 1).await;
         }
         let drained = rig.runners[0].clone();
-        rig.tell_list(&listed(drained.id, drained.address, State::Draining)).await;
+        rig.update_list(&list_entry(drained.id, drained.address, State::Draining)).await;
         rig.until("one is ready", async || rig.get("/metrics").await.1.contains("runners_ready 1\n")).await;
         let before = rig.lines().len();
         folder::publish(dir.path(), Kind::Fleet, &fleet("60s")).unwrap();
@@ -254,7 +254,7 @@
 
 /// A service played by the test: one answer after another about routes, then nothing. What it heard is kept.
 async fn scripted(script: Vec<Play>) -> (SocketAddr, Heard, smol::Task<()>) {
-    let (listener, address) = socket().await;
+    let (listener, address) = bind_loopback().await;
     let heard: Heard = Heard::default();
     let (script, kept) = (Arc::new(Mutex::new(script)), heard.clone());
     let task = smol::spawn(async move { play(listener, script, kept).await });
@@ -322,7 +322,7 @@
         let (at, heard, _service) = scripted(script).await;
         let rig = follows("f", at).await;
         until_running(&rig, Kind::Routes, 6).await;
-        assert_eq!(behaves(&rig, 4..=6).await, [5], "the old content under a new number");
+        assert_eq!(served_versions(&rig, 4..=6).await, [5], "the old content under a new number");
         rig.until("the last is answered", async || heard.lock().unwrap().len() > 6).await;
         let heard = heard.lock().unwrap();
         let told = |n: usize| {
@@ -350,7 +350,7 @@
 fn when_one_service_is_gone_the_other_is_asked() {
     smol::block_on(async {
         let dir = tempfile::tempdir().unwrap();
-        let (gone, address) = socket().await;
+        let (gone, address) = bind_loopback().await;
         drop(gone);
         let (at, _service) = control(dir.path(), "b").await;
         folder::publish(dir.path(), Kind::Routes, &routes(1)).unwrap();
@@ -383,6 +383,6 @@
 
 #[test]
 fn a_dozen_front_ends_a_third_of_bad_versions_and_a_service_that_keeps_vanishing() {
-    let words = smol::block_on(truth::check(12, 2, 31, 5));
+    let words = smol::block_on(version_reports::check(12, 2, 31, 5));
     assert!(words > 100, "only {words} words were checked");
 }
--- a/crates/badgerwind-cli/tests/departures.rs
+++ b/crates/badgerwind-cli/tests/departures.rs
@@ -83,14 +83,15 @@
 #[test]
 fn a_lodgement_whose_sender_has_left_gets_no_further_attempt() {
     smol::block_on(async {
-        let (listener, address) = socket().await;
+        let (listener, address) = bind_loopback().await;
         let (runner, may) = runner();
         let _serving = smol::spawn(runner.clone().serve(listener));
         let edits = vec![(
             "aim=\"500ms\" deadline=\"2s\" effect=\"once\"",
             "aim=\"500ms\" deadline=\"30s\" effect=\"once\"".into(),
         )];
-        let rig = Rig::start(Plan { runners: 0, played: vec![address], edits, ..Plan::default() }).await;
+        let rig =
+            Rig::start(Plan { runners: 0, scripted_runners: vec![address], edits, ..Plan::default() }).await;
         let mut gone = Box::pin(rig.send("m1", LODGE, 1));
         rig.until("it has arrived", async || {
             assert!(futures_lite::future::poll_once(&mut gone).await.is_none());
@@ -133,7 +134,9 @@
             // Calls go out at once, without a load order ahead of them.
             ("max-attempts=\"3\"", "max-attempts=\"3\" orders=\"false\"".into()),
         ];
-        let rig = Rig::start(Plan { runners: 0, played: vec![door.address], edits, ..Plan::default() }).await;
+        let rig =
+            Rig::start(Plan { runners: 0, scripted_runners: vec![door.address], edits, ..Plan::default() })
+                .await;
         let mut gone = Box::pin(rig.send("m1", CHECK, 1));
         rig.until("it is on its way", async || {
             assert!(futures_lite::future::poll_once(&mut gone).await.is_none());
--- a/crates/badgerwind-cli/tests/floods.rs
+++ b/crates/badgerwind-cli/tests/floods.rs
@@ -56,10 +56,10 @@
         let rig = guarded(r#"source-burst="3" source-rate="0""#).await;
         let forger = Key::generate(KeyKind::Shared).unwrap();
         for n in 0..3 {
-            let got = post(rig.to, &forger, "198.51.100.1", &format!("f{n}"), small()).await;
+            let got = post(rig.webhook, &forger, "198.51.100.1", &format!("f{n}"), small()).await;
             assert_eq!(got, (401, "bad signature".into()));
         }
-        let (head, body) = exchange(rig.to, &forger, "198.51.100.1", "f3", small()).await;
+        let (head, body) = exchange(rig.webhook, &forger, "198.51.100.1", "f3", small()).await;
         let body = String::from_utf8(body).unwrap();
         assert_eq!(head.status, 429);
         assert!(body.contains("failed-signatures") && body.contains("harmless"), "{body}");
@@ -68,11 +68,11 @@
             "short, and says when: {body}"
         );
         // Not even a good message is looked at from there; its id is not used up by that.
-        assert_eq!(post(rig.to, &rig.key, "198.51.100.1", "m1", small()).await.0, 429);
-        assert_eq!(post(rig.to, &rig.key, "198.51.100.2", "m1", small()).await.0, 200);
+        assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.1", "m1", small()).await.0, 429);
+        assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.2", "m1", small()).await.0, 200);
         // What stands before the balancer's own word is the forger's to write, and buys it nothing.
         let claims = "203.0.113.7, 198.51.100.1";
-        assert_eq!(post(rig.to, &forger, claims, "f4", small()).await.0, 429);
+        assert_eq!(post(rig.webhook, &forger, claims, "f4", small()).await.0, 429);
         assert_eq!((rig.arrived(), rig.finished()), (1, 1));
         let (_, text) = rig.get("/metrics").await;
         for line in [
@@ -90,19 +90,23 @@
 fn a_flood_from_everywhere_shuts_no_known_sender_out() {
     smol::block_on(async {
         let rig = guarded(r#"source-burst="3" sender-burst="10" sender-rate="0""#).await;
-        assert_eq!(post(rig.to, &rig.key, "198.51.100.1", "m0", small()).await.0, 200);
+        assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.1", "m0", small()).await.0, 200);
         let forger = Key::generate(KeyKind::Shared).unwrap();
         let mut counts = std::collections::BTreeMap::new();
         for n in 0..40 {
-            let got = post(rig.to, &forger, &format!("203.0.113.{n}"), "m1", small()).await;
+            let got = post(rig.webhook, &forger, &format!("203.0.113.{n}"), "m1", small()).await;
             *counts.entry(got.0).or_insert(0) += 1;
         }
         assert_eq!(counts, [(401, 10), (429, 30)].into());
         for n in 1..10 {
-            let got = post(rig.to, &rig.key, "198.51.100.1", &format!("m{n}"), small()).await;
+            let got = post(rig.webhook, &rig.sender_key, "198.51.100.1", &format!("m{n}"), small()).await;
             assert_eq!(got.0, 200, "known, and served throughout");
         }
-        assert_eq!(post(rig.to, &rig.key, "198.51.100.9", "m10", small()).await.0, 429, "not yet known");
+        assert_eq!(
+            post(rig.webhook, &rig.sender_key, "198.51.100.9", "m10", small()).await.0,
+            429,
+            "not yet known"
+        );
         assert_eq!(rig.arrived(), 10);
     });
 }
@@ -112,9 +116,9 @@
     smol::block_on(async {
         let rig = guarded(r#"source-burst="1" source-rate="5""#).await;
         let forger = Key::generate(KeyKind::Shared).unwrap();
-        assert_eq!(post(rig.to, &forger, "198.51.100.1", "f", small()).await.0, 401);
+        assert_eq!(post(rig.webhook, &forger, "198.51.100.1", "f", small()).await.0, 401);
         rig.until("it is served", async || {
-            let got = post(rig.to, &rig.key, "198.51.100.1", "m", small()).await.0;
+            let got = post(rig.webhook, &rig.sender_key, "198.51.100.1", "m", small()).await.0;
             assert!(got == 200 || got == 429, "{got}");
             got == 200
         })
@@ -134,9 +138,13 @@
                     .into_bytes(),
             )
         };
-        assert_eq!(post(rig.to, &rig.key, "198.51.100.1", "m1", large()).await.0, 200);
-        assert_eq!(post(rig.to, &forger, "198.51.100.2", "f1", large()).await.0, 401);
-        assert_eq!(post(rig.to, &forger, "198.51.100.2", "f2", small()).await.0, 429, "all three are spent");
+        assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.1", "m1", large()).await.0, 200);
+        assert_eq!(post(rig.webhook, &forger, "198.51.100.2", "f1", large()).await.0, 401);
+        assert_eq!(
+            post(rig.webhook, &forger, "198.51.100.2", "f2", small()).await.0,
+            429,
+            "all three are spent"
+        );
         assert_eq!(rig.arrived(), 1);
     });
 }
@@ -146,15 +154,15 @@
     smol::block_on(async {
         let rig = guarded(r#"source-burst="2" source-rate="0""#).await;
         let ahead = || (now() + 100, small().1);
-        assert_eq!(post(rig.to, &rig.key, "198.51.100.1", "m1", ahead()).await.0, 200);
+        assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.1", "m1", ahead()).await.0, 200);
         let (_, text) = rig.get("/metrics").await;
         let told = |n: i64| text.contains(&format!("sender_clock_skew_seconds{{sender=\"portal\"}} {n}\n"));
         assert!(told(100) || told(99), "{text}");
         let stale = || (now() - 400, small().1);
         for n in 0..2 {
-            let got = post(rig.to, &rig.key, "198.51.100.3", &format!("s{n}"), stale()).await;
+            let got = post(rig.webhook, &rig.sender_key, "198.51.100.3", &format!("s{n}"), stale()).await;
             assert_eq!(got, (401, "stale timestamp".into()));
         }
-        assert_eq!(post(rig.to, &rig.key, "198.51.100.3", "s2", stale()).await.0, 429);
+        assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.3", "s2", stale()).await.0, 429);
     });
 }
--- a/crates/badgerwind-cli/tests/hard_cases.rs
+++ b/crates/badgerwind-cli/tests/hard_cases.rs
@@ -36,8 +36,8 @@
     smol::block_on(async {
         let rig = Rig::start(Plan::default()).await;
         let at = now();
-        let good = sign(std::slice::from_ref(&rig.key), "m1", at, BODY);
-        let both = sign(&[rig.key.clone(), Key::generate(KeyKind::Shared).unwrap()], "m1", at, BODY);
+        let good = sign(std::slice::from_ref(&rig.sender_key), "m1", at, BODY);
+        let both = sign(&[rig.sender_key.clone(), Key::generate(KeyKind::Shared).unwrap()], "m1", at, BODY);
         let text = good.signature.strip_prefix("v1,").unwrap().to_owned();
         let headers = |id: &str, at: i64, signature: &str| {
             vec![(ID, id.to_owned()), (TIMESTAMP, at.to_string()), (SIGNATURE, signature.to_owned())]
@@ -86,11 +86,11 @@
             ),
         ];
         for (what, headers, body) in cases {
-            let (status, text) = raw(rig.to, headers, body).await;
+            let (status, text) = raw(rig.webhook, headers, body).await;
             assert!(status == 401 || status == 400, "{what}: {status} {text}");
         }
         if urlsafe != text {
-            let (status, _) = raw(rig.to, headers("m1", at, &format!("v1,{urlsafe}")), BODY).await;
+            let (status, _) = raw(rig.webhook, headers("m1", at, &format!("v1,{urlsafe}")), BODY).await;
             assert!(status == 401 || status == 400, "in the alphabet of URLs");
         }
         assert_eq!(rig.arrived(), 0);
@@ -98,7 +98,7 @@
         let mut parts: Vec<&str> = both.signature.split(' ').collect();
         parts.reverse();
         let many = format!("v9,xyz {}", parts.join("  "));
-        assert_eq!(raw(rig.to, headers("m1", at, &many), BODY).await.0, 200);
+        assert_eq!(raw(rig.webhook, headers("m1", at, &many), BODY).await.0, 200);
         assert_eq!(rig.arrived(), 1);
     });
 }
@@ -107,21 +107,21 @@
 fn a_replayed_message_runs_nothing_here_there_or_after_a_restart_where_runners_fence() {
     smol::block_on(async {
         let first = Rig::start(Plan { fenced: true, ..Plan::default() }).await;
-        let second = first.another(vec![]).await;
+        let second = first.start_another(vec![]).await;
         let at = now();
         let message = |key: &Key| {
             let s = sign(std::slice::from_ref(key), "m1", at, BODY);
             vec![(ID, s.id), (TIMESTAMP, s.timestamp.to_string()), (SIGNATURE, s.signature)]
         };
-        let headers = message(&first.key);
+        let headers = message(&first.sender_key);
         // The same bytes again: at the same front end, at another, and at one that has just started and knows nothing.
-        for (what, to) in [("first", first.to), ("here", first.to), ("there", second.to)] {
+        for (what, to) in [("first", first.webhook), ("here", first.webhook), ("there", second.webhook)] {
             let (status, text) = raw(to, headers.clone(), BODY).await;
             assert_eq!(status, 200, "{what}: {text}");
         }
         drop(second);
-        let fresh = first.another(vec![]).await;
-        assert_eq!(raw(fresh.to, headers.clone(), BODY).await.0, 200);
+        let fresh = first.start_another(vec![]).await;
+        assert_eq!(raw(fresh.webhook, headers.clone(), BODY).await.0, 200);
         assert_eq!(first.finished(), 1, "one run, however often its message came");
     });
 }
@@ -136,15 +136,15 @@
         ];
         let rig = Rig::start(Plan { edits, ..Plan::default() }).await;
         // As far ahead as it may be: it stays acceptable for twice the tolerance.
-        let s = sign(std::slice::from_ref(&rig.key), "m1", now() + 2, BODY);
+        let s = sign(std::slice::from_ref(&rig.sender_key), "m1", now() + 2, BODY);
         let headers = vec![(ID, s.id), (TIMESTAMP, s.timestamp.to_string()), (SIGNATURE, s.signature)];
-        let (first, _) = raw(rig.to, headers.clone(), BODY).await;
+        let (first, _) = raw(rig.webhook, headers.clone(), BODY).await;
         assert_eq!(first, 200);
         // Until it is too old, and then for as long again, each repeat is one or the other.
         let (mut known, mut stale) = (0, 0);
         let until = s.timestamp + 2 + 3;
         while now() < until {
-            let (status, text) = raw(rig.to, headers.clone(), BODY).await;
+            let (status, text) = raw(rig.webhook, headers.clone(), BODY).await;
             match status {
                 200 => known += 1,
                 401 if text.contains("stale-timestamp") => stale += 1,
@@ -171,15 +171,15 @@
             ),
         ];
         let rig = Rig::start(Plan { edits, ..Plan::default() }).await;
-        let s = sign(std::slice::from_ref(&rig.key), "m1", now() + 2, BODY);
+        let s = sign(std::slice::from_ref(&rig.sender_key), "m1", now() + 2, BODY);
         let headers =
             vec![(ID, s.id.clone()), (TIMESTAMP, s.timestamp.to_string()), (SIGNATURE, s.signature.clone())];
-        assert_eq!(raw(rig.to, headers, BODY).await.0, 200);
+        assert_eq!(raw(rig.webhook, headers, BODY).await.0, 200);
         // Its headers come while it may still be known, its last byte once its id has been forgotten.
         while now() < s.timestamp + 2 {
             smol::Timer::after(Duration::from_millis(10)).await;
         }
-        let mut stream = smol::net::TcpStream::connect(rig.to).await.unwrap();
+        let mut stream = smol::net::TcpStream::connect(rig.webhook).await.unwrap();
         let head = format!(
             "POST {LODGE} HTTP/1.1\r\nhost: a\r\n{ID}: m1\r\n{TIMESTAMP}: {}\r\n{SIGNATURE}: {}\r\ncontent-length: {}\r\n\r\n",
             s.timestamp, s.signature, BODY.len()
@@ -234,11 +234,12 @@
 fn a_lodgement_whose_runner_dies_at_any_moment_is_in_doubt_and_never_tried_again() {
     for dies in [Dies::BeforeStart, Dies::MidRun, Dies::AfterEffect] {
         smol::block_on(async {
-            let (listener, address) = socket().await;
+            let (listener, address) = bind_loopback().await;
             let (effects, calls) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
             let playing = smol::spawn(plays(listener, dies, effects.clone(), calls.clone()));
             // A healthy runner stands beside it, to which it could be sent again: the played one is met first.
-            let rig = Rig::start(Plan { runners: 1, played: vec![address], ..Plan::default() }).await;
+            let rig =
+                Rig::start(Plan { runners: 1, scripted_runners: vec![address], ..Plan::default() }).await;
             let (mut met, mut n) = (0, 0);
             while met == 0 {
                 let id = format!("m{n}");
@@ -291,10 +292,10 @@
 }
 
 async fn asks(rig: &Rig, id: &str) -> u16 {
-    let s = sign(std::slice::from_ref(&rig.key), id, now(), BODY);
+    let s = sign(std::slice::from_ref(&rig.sender_key), id, now(), BODY);
     let mut headers = vec![(ID, s.id), (TIMESTAMP, s.timestamp.to_string()), (SIGNATURE, s.signature)];
     headers.push(("badgerwind-callback", "receipts".into()));
-    raw(rig.to, headers, BODY).await.0
+    raw(rig.webhook, headers, BODY).await.0
 }
 
 async fn answers(receiver: &TcpListener, status: u16) -> String {
@@ -309,7 +310,7 @@
 #[test]
 fn a_receiver_that_is_gone_for_good_is_asked_once() {
     smol::block_on(async {
-        let (receiver, at) = socket().await;
+        let (receiver, at) = bind_loopback().await;
         let rig = owing(at).await;
         let (status, id) = futures_lite::future::zip(asks(&rig, "m1"), answers(&receiver, 410)).await;
         assert_eq!((status, id.as_str()), (200, "m1_answer"));
@@ -322,14 +323,14 @@
 #[test]
 fn a_receiver_that_is_slow_or_down_holds_up_no_sender_and_no_more_than_may_be_owed() {
     smol::block_on(async {
-        let (slow, at) = socket().await;
+        let (slow, at) = bind_loopback().await;
         let rig = owing(at).await;
         assert_eq!(asks(&rig, "m1").await, 200, "its receiver has taken no connection yet");
         let (silent, _) = slow.accept().await.unwrap();
         assert_eq!(asks(&rig, "m2").await, 503, "no more may be owed");
         assert_eq!(rig.send("m2", LODGE, 1).await.status, 200);
         drop(silent);
-        let down = socket().await.1;
+        let down = bind_loopback().await.1;
         let rig = owing(down).await;
         assert_eq!(asks(&rig, "m1").await, 200);
         rig.until("it is owed", async || asks(&rig, "m2").await == 503).await;
@@ -340,7 +341,7 @@
 #[test]
 fn a_receiver_that_comes_back_gets_its_answer_by_the_schedule_and_once() {
     smol::block_on(async {
-        let (receiver, at) = socket().await;
+        let (receiver, at) = bind_loopback().await;
         let rig = owing(at).await;
         let (status, _) = futures_lite::future::zip(asks(&rig, "m1"), answers(&receiver, 500)).await;
         assert_eq!(status, 200);
@@ -357,7 +358,7 @@
     smol::block_on(async {
         let rig = Rig::start(Plan::default()).await;
         for r in rig.runners.clone() {
-            rig.tell_list(&listed(r.id, r.address, State::Draining)).await;
+            rig.update_list(&list_entry(r.id, r.address, State::Draining)).await;
         }
         rig.until("all drains are known", async || rig.get("/health").await.0 == 503).await;
         let before = rig.arrived();
@@ -365,7 +366,7 @@
         assert_eq!((got.status, got.problem().1.as_str()), (503, "harmless"), "{got:?}");
         assert_eq!(rig.arrived(), before);
         for r in rig.runners.clone() {
-            rig.tell_list(&listed(r.id, r.address, State::Ready)).await;
+            rig.update_list(&list_entry(r.id, r.address, State::Ready)).await;
         }
         rig.until("it is served", async || rig.send("m1", LODGE, 1).await.status == 200).await;
         assert_eq!(rig.finished(), 1);
--- a/crates/badgerwind-cli/tests/last_look.rs
+++ b/crates/badgerwind-cli/tests/last_look.rs
@@ -1,4 +1,4 @@
-//! What waits for a connection to a runner is looked at again when its first byte can go.
+//! Whether a call or an order is checked again once the connection that it waited for is established.
 
 mod rig;
 
@@ -11,10 +11,11 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// Longer than any test waits.
+/// Longer than any wait of these tests.
 const LONG: Duration = Duration::from_secs(20);
 
-/// The bytes that come over the next connection until it ends.
+/// Accepts a connection and returns the first bytes that arrive on it, or nothing if the peer closes it
+/// first.
 fn received(listener: &TcpListener) -> String {
     let (mut stream, _) = listener.accept().unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
@@ -23,14 +24,14 @@
     String::from_utf8_lossy(&bytes[..n]).into_owned()
 }
 
-/// While a connection to a runner comes up, the runner drains, goes or moves: the call or order that waits for it, decided
-/// before, must not be written on it.
+/// A runner can drain, leave or move while a connection to it is being established. A call or an order that
+/// was assigned to it before must then not be written on that connection.
 #[test]
-fn what_waits_for_a_connection_is_not_sent_to_a_runner_that_has_left() {
+fn work_waiting_for_a_connection_is_not_sent_to_a_runner_that_drains_leaves_or_moves() {
     type Change = fn(Runner) -> Runner;
     let changes: [(&str, Change); 3] = [
         ("drains", |r| Runner { state: State::Draining, ..r }),
-        ("is gone", |r| Runner { state: State::Gone, ..r }),
+        ("leaves", |r| Runner { state: State::Gone, ..r }),
         ("moves", |r| Runner { address: unused_address(), ..r }),
     ];
     for (what, change) in changes {
@@ -43,18 +44,23 @@
                     "<runners key-file=\"runners.key\" connect-time=\"20s\"/>".into(),
                 ),
             ];
-            let rig =
-                Rig::start(Plan { runners: 0, played: vec![door.address], edits, ..Plan::default() }).await;
-            // Nobody can serve it: it is refused once it was held back.
+            let rig = Rig::start(Plan {
+                runners: 0,
+                scripted_runners: vec![door.address],
+                edits,
+                ..Plan::default()
+            })
+            .await;
+            // No other runner can serve the call, so it is refused once it has been kept from this one.
             let call = async {
                 assert_eq!(rig.send("m1", CHECK, 1).await.status, 503);
                 pending().await
             };
             let first_bytes = async {
-                rig.until("something waits for a connection", async || door.knocking() > 0).await;
-                let listed = change(rig.runners[0].clone());
-                rig.tell_list(&listed).await;
-                rig.until("it has been told", async || {
+                rig.until("a connection is being established", async || door.knocking() > 0).await;
+                let changed = change(rig.runners[0].clone());
+                rig.update_list(&changed).await;
+                rig.until("the front end has stored the changed list", async || {
                     let cache = std::fs::read(rig.folder.path().join("list.json")).unwrap_or_default();
                     let list = badgerwind_protocol::list::List::parse(&cache);
                     list.is_ok_and(|l| !l.runners.contains(&rig.runners[0]))
--- a/crates/badgerwind-cli/tests/restarts.rs
+++ b/crates/badgerwind-cli/tests/restarts.rs
@@ -45,7 +45,7 @@
     smol::block_on(async {
         let first = Rig::start(Plan::default()).await;
         let (drained, ready) = (first.runners[0].clone(), first.runners[1].clone());
-        let (listener, list_address) = socket().await;
+        let (listener, list_address) = bind_loopback().await;
         let runners = vec![Runner { state: State::Draining, ..drained.clone() }, ready];
         let (tell, told) = smol::channel::bounded(1);
         let _service =
@@ -55,11 +55,12 @@
             ("<webhook listen=\"127.0.0.1:0\"", format!("<webhook listen=\"{webhook}\"")),
             ("<metrics listen=\"127.0.0.1:0\"", format!("<metrics listen=\"{metrics}\"")),
         ];
-        let (runners, _, keys, recorder) = first.beside().unwrap();
-        let beside = Some((runners, list_address, keys, recorder));
+        let (runners, _, keys, recorder) = first.shared().unwrap();
+        let shared = Some((runners, list_address, keys, recorder));
         let cached = Some(vec![drained.clone()]);
-        let restarted = Rig::start(Plan { runners: 0, edits, beside, cached, ..Plan::default() });
-        let ((_restarted, status), ()) = zip(zip(restarted, call(webhook, &first.key)), async {
+        let restarted =
+            Rig::start(Plan { runners: 0, edits, shared, cached_list: cached, ..Plan::default() });
+        let ((_restarted, status), ()) = zip(zip(restarted, call(webhook, &first.sender_key)), async {
             // With the list on disk alone it would be at the drained runner by now.
             first
                 .until("the call is held, or has arrived", async || {
--- a/crates/badgerwind-cli/tests/rig/mod.rs
+++ b/crates/badgerwind-cli/tests/rig/mod.rs
@@ -1,5 +1,6 @@
-//! A gateway in this process with stand-ins around it, or with peers played by hand.
-#![allow(dead_code)] // each test file uses its part
+//! Test harness: a front end, in this process or in its own, with stand-in runners and a stand-in list
+//! service, or with runners scripted by the test.
+#![allow(dead_code)] // no test program uses all of it
 
 pub mod process;
 
@@ -29,39 +30,42 @@
 pub const CHECK: &str = "/check";
 pub const LODGE: &str = "/lodge";
 
-/// What a test changes.
+/// What a test changes of the default set-up.
 pub struct Plan {
+    /// Number of stand-in runners to start.
     pub runners: usize,
+    /// How each stand-in runner behaves.
     pub spec: Spec,
-    /// Replaces text of the settings.
+    /// Replacements in the text of the settings: (old, new). Each old text must occur.
     pub edits: Vec<(&'static str, String)>,
-    /// Runners played by the test, listed first.
-    pub played: Vec<SocketAddr>,
+    /// Addresses of runners that the test itself implements. They come first in the list.
+    pub scripted_runners: Vec<SocketAddr>,
+    /// Replaces the decision module.
     pub decider: Option<Box<dyn Decider + Send>>,
-    /// Begins with this list on disk, and no list service.
-    pub cached: Option<Vec<Runner>>,
-    /// Stands beside this front end: the same runners, keys and list.
-    pub beside: Option<(Vec<Runner>, SocketAddr, [Key; 3], Recorder)>,
-    /// The front end is a process of its own.
+    /// Starts with this list in the cache file and without a list service.
+    pub cached_list: Option<Vec<Runner>>,
+    /// Shares the runners, the list service, the keys and the recorder of another rig; see [`Rig::shared`].
+    pub shared: Option<SharedStandIns>,
+    /// Runs the front end as a process of its own.
     pub process: bool,
-    /// Lodgements are fenced by the runners' ledger.
+    /// The runners' shared ledger fences lodgements.
     pub fenced: bool,
-    /// Follows control services there, under this name.
+    /// Name under which the front end follows control services, and their addresses.
     pub control: Option<(String, Vec<SocketAddr>)>,
-    /// How long a control service may hold its questions.
+    /// For how long a control service may hold a poll open.
     pub control_wait: &'static str,
-    /// Has this folder, which another had before.
+    /// Reuses the folder of an earlier rig.
     pub folder: Option<tempfile::TempDir>,
-    /// The stand-in runners are met under TLS.
+    /// The stand-in runners serve TLS with this configuration.
     pub runner_tls: Option<badgerwind_http::ServerTls>,
-    /// Runners are of so many zones in turn.
+    /// Number of zones; runners are assigned to them in rotation.
     pub zones: u32,
-    /// Where the stand-in runners fetch functions; without one that takes no time.
+    /// Store from which the stand-in runners fetch functions. Without one, fetching takes no time.
     pub store: Option<SocketAddr>,
-    /// Further files in its folder, for its owner's eyes.
+    /// Further files in the folder, readable by their owner only.
     pub files: Vec<(&'static str, String)>,
-    /// Begins with this text where the last list should be.
-    pub garbled: Option<&'static str>,
+    /// Starts with this text in the cache file of the list.
+    pub corrupt_list: Option<&'static str>,
 }
 
 impl Default for Plan {
@@ -85,10 +89,10 @@
             runners: 2,
             spec,
             edits: vec![],
-            played: vec![],
+            scripted_runners: vec![],
             decider: None,
-            cached: None,
-            garbled: None,
+            cached_list: None,
+            corrupt_list: None,
             process: false,
             runner_tls: None,
             store: None,
@@ -98,32 +102,43 @@
             control: None,
             control_wait: "1s",
             folder: None,
-            beside: None,
+            shared: None,
         }
     }
 }
 
+/// What front ends of one test share: the runners, the address of the list service, the keys (both of the
+/// sender, then that of the runners) and the recorder of the stand-ins.
+pub type SharedStandIns = (Vec<Runner>, SocketAddr, [Key; 3], Recorder);
+
+/// A running front end and the stand-ins around it.
 pub struct Rig {
-    pub to: SocketAddr,
+    /// Where the front end listens for webhooks.
+    pub webhook: SocketAddr,
+    /// Where it serves metrics, health and configuration reports.
     pub metrics: SocketAddr,
+    /// Address of the list service.
     pub list: SocketAddr,
     pub runners: Vec<Runner>,
+    /// The front end, unless it is a process of its own.
     pub running: Option<Running>,
     pub recorder: Recorder,
-    pub key: Key,
-    pub second: Key,
-    pub inner: Key,
+    /// The sender's keys.
+    pub sender_key: Key,
+    pub second_key: Key,
+    /// The key between the front end and the runners.
+    pub runner_key: Key,
     pub folder: tempfile::TempDir,
-    process: Option<Front>,
+    process: Option<FrontEndProcess>,
     tasks: Vec<smol::Task<()>>,
 }
 
-/// A front end's process.
-struct Front(Process);
+/// A front end that runs as a process of its own.
+struct FrontEndProcess(Process);
 
-impl Front {
-    /// Starts it; where it listens for webhooks and for its figures.
-    async fn start(folder: &Path, text: &str) -> (Front, SocketAddr, SocketAddr) {
+impl FrontEndProcess {
+    /// Starts the process and returns it with its webhook and its metrics address.
+    async fn start(folder: &Path, text: &str) -> (FrontEndProcess, SocketAddr, SocketAddr) {
         let (file, ready) = (folder.join("rig.xml"), folder.join("ready.json"));
         std::fs::write(&file, text).unwrap();
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_badgerwind"));
@@ -133,12 +148,12 @@
             if let Ok(text) = std::fs::read_to_string(&ready) {
                 let value: serde_json::Value = serde_json::from_str(&text).unwrap();
                 let at = |name: &str| value[name].as_str().unwrap().parse().unwrap();
-                return (Front(process), at("webhook"), at("metrics"));
+                return (FrontEndProcess(process), at("webhook"), at("metrics"));
             }
             process.assert_runs();
             smol::Timer::after(Duration::from_millis(5)).await;
         }
-        panic!("the front end's process does not serve:\n{}", process.logged());
+        panic!("the front end has not written its ready file:\n{}", process.logged());
     }
 }
 
@@ -172,11 +187,13 @@
   <stop within="5s"/>
 </badgerwind>"#;
 
-pub fn listed(id: u32, address: SocketAddr, state: State) -> Runner {
+/// An entry of the list of runners.
+pub fn list_entry(id: u32, address: SocketAddr, state: State) -> Runner {
     Runner { id, address, zone: 0, cell: 0, kind: 0, size: 1.0, state, started: None }
 }
 
-pub async fn socket() -> (TcpListener, SocketAddr) {
+/// A listener on a free port of the loopback interface, and its address.
+pub async fn bind_loopback() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
@@ -188,6 +205,7 @@
     }
 }
 
+/// Writes a file that only its owner can read.
 pub fn write_private(path: &Path, text: &str) {
     std::fs::write(path, text).unwrap();
     let mode = std::os::unix::fs::PermissionsExt::from_mode(0o600);
@@ -196,31 +214,31 @@
 
 impl Rig {
     pub async fn start(plan: Plan) -> Rig {
-        let (old, folder) = match plan.folder {
+        let (reused, folder) = match plan.folder {
             Some(folder) => (true, folder),
             None => (false, tempfile::tempdir().unwrap()),
         };
         let key = || Key::generate(KeyKind::Shared).unwrap();
-        let (portal, second, runners_key) = match &plan.beside {
-            Some((_, _, [a, b, c], _)) => (a.clone(), b.clone(), c.clone()),
+        let (sender_key, second_key, runner_key) = match &plan.shared {
+            Some((_, _, [sender, second, runner], _)) => (sender.clone(), second.clone(), runner.clone()),
             None => (key(), key(), key()),
         };
-        let keys = [("portal.key", &portal), ("second.key", &second), ("runners.key", &runners_key)];
-        if !old {
+        let keys = [("portal.key", &sender_key), ("second.key", &second_key), ("runners.key", &runner_key)];
+        if !reused {
             write_keys(folder.path(), &keys);
         }
-        let recorder = plan.beside.as_ref().map_or_else(Recorder::memory, |b| b.3.clone());
-        let runners_copy = runners_key.clone();
-        let ring = RingKey { name: "gateway".into(), key: runners_key, not_before: None, not_after: None };
+        let recorder = plan.shared.as_ref().map_or_else(Recorder::memory, |shared| shared.3.clone());
+        let ring =
+            RingKey { name: "gateway".into(), key: runner_key.clone(), not_before: None, not_after: None };
         let keys = Arc::new(std::sync::Mutex::new(Keys::new(60_000_000, 60_000_000)));
         let group = runner::Group { classes: vec!["amend".into()], keys };
         let ledger = Fenced::here(vec!["lodge".into()]);
         let (mut tasks, mut runners) = (Vec::new(), Vec::new());
-        for address in plan.played {
-            runners.push(listed(runners.len() as u32 + 1, address, State::Ready));
+        for address in plan.scripted_runners {
+            runners.push(list_entry(runners.len() as u32 + 1, address, State::Ready));
         }
         for _ in 0..plan.runners {
-            let (listener, address) = socket().await;
+            let (listener, address) = bind_loopback().await;
             let id = runners.len() as u32 + 1;
             let keys = Some(KeyRing { keys: vec![ring.clone()], tolerance: 300 });
             let (spec, recorder) = (plan.spec.clone(), recorder.clone());
@@ -236,10 +254,10 @@
                 tls: plan.runner_tls.clone(),
             };
             tasks.push(smol::spawn(runner::serve(listener, options)));
-            runners.push(Runner { zone: (id - 1) % plan.zones, ..listed(id, address, State::Ready) });
+            runners.push(Runner { zone: (id - 1) % plan.zones, ..list_entry(id, address, State::Ready) });
         }
-        let (listener, list_address) = socket().await;
-        match &plan.cached {
+        let (listener, list_address) = bind_loopback().await;
+        match &plan.cached_list {
             None => tasks.push(smol::spawn(list::serve(listener, runners.clone(), recorder.clone()))),
             Some(cached) => {
                 drop(listener);
@@ -250,12 +268,12 @@
         for (name, text) in &plan.files {
             write_private(&folder.path().join(name), text);
         }
-        if let Some(text) = plan.garbled {
+        if let Some(text) = plan.corrupt_list {
             std::fs::write(folder.path().join("list.json"), text).unwrap();
         }
-        let list_address = plan.beside.as_ref().map_or(list_address, |b| b.1);
-        if let Some((shared, ..)) = plan.beside {
-            runners = shared;
+        let list_address = plan.shared.as_ref().map_or(list_address, |shared| shared.1);
+        if let Some((shared_runners, ..)) = plan.shared {
+            runners = shared_runners;
         }
         let mut text = SETTINGS.replace("LIST", &list_address.to_string());
         for (from, to) in &plan.edits {
@@ -263,11 +281,12 @@
             text = text.replacen(from, to, 1);
         }
         if let Some((name, services)) = &plan.control {
-            let service: String = services.iter().map(|a| format!("<service address=\"{a}\"/>")).collect();
+            let service_elements: String =
+                services.iter().map(|a| format!("<service address=\"{a}\"/>")).collect();
             let control_wait = plan.control_wait;
             let control = format!(
                 "<control name=\"{name}\" keep=\"kept/config.bwc\" wait=\"{control_wait}\" retry=\"20ms\" most-retry=\"200ms\" \
-                 stage=\"500ms\">{service}</control><stop"
+                 stage=\"500ms\">{service_elements}</control><stop"
             );
             text = text.replacen("<stop", &control, 1);
             std::fs::create_dir_all(folder.path().join("kept")).unwrap();
@@ -280,49 +299,61 @@
         options.decider = plan.decider;
         options.following = plan.control.as_ref().map(|_| Following { file, kept });
         let list = list_address;
-        let (running, process, to, metrics) = if plan.process {
-            let (process, to, metrics) = Front::start(folder.path(), &text).await;
-            (None, Some(process), to, metrics)
+        let (running, process, webhook, metrics) = if plan.process {
+            let (process, webhook, metrics) = FrontEndProcess::start(folder.path(), &text).await;
+            (None, Some(process), webhook, metrics)
         } else {
             let running = serve(options).await.unwrap();
-            let (to, metrics) = (running.webhook, running.metrics.unwrap());
-            (Some(running), None, to, metrics)
+            let (webhook, metrics) = (running.webhook, running.metrics.unwrap());
+            (Some(running), None, webhook, metrics)
+        };
+        let rig = Rig {
+            webhook,
+            metrics,
+            list,
+            runners,
+            running,
+            recorder,
+            sender_key,
+            second_key,
+            runner_key,
+            folder,
+            process,
+            tasks,
         };
-        let (key, inner) = (portal, runners_copy);
-        let rig =
-            Rig { to, metrics, list, runners, running, recorder, key, second, inner, folder, process, tasks };
         rig.until("a runner is ready", async || rig.get("/health").await.0 == 200).await;
         rig
     }
 
-    /// Where the parts of the settings stand, by the front end's word.
+    /// What the front end reports on the versions of each part of its settings.
     pub async fn config(&self) -> Vec<Report> {
         serde_json::from_str(&self.get("/config").await.1).unwrap()
     }
 
-    /// The version of a part that runs, by the front end's word.
+    /// The version of a part that the front end reports as running.
     pub async fn running(&self, kind: badgerwind_config::Kind) -> Option<u64> {
         self.config().await.into_iter().find(|r| r.kind == kind).and_then(|r| r.running)
     }
 
-    /// What else a front end beside this one is started with.
-    pub fn beside(&self) -> Option<(Vec<Runner>, SocketAddr, [Key; 3], Recorder)> {
-        let keys = [self.key.clone(), self.second.clone(), self.inner.clone()];
+    /// What another front end needs to use the same stand-ins: the value of [`Plan::shared`].
+    pub fn shared(&self) -> Option<SharedStandIns> {
+        let keys = [self.sender_key.clone(), self.second_key.clone(), self.runner_key.clone()];
         Some((self.runners.clone(), self.list, keys, self.recorder.clone()))
     }
 
-    /// Another front end for the same runners.
-    pub async fn another(&self, edits: Vec<(&'static str, String)>) -> Rig {
-        Rig::start(Plan { runners: 0, edits, beside: self.beside(), ..Plan::default() }).await
+    /// Starts another front end with the same stand-ins.
+    pub async fn start_another(&self, edits: Vec<(&'static str, String)>) -> Rig {
+        Rig::start(Plan { runners: 0, edits, shared: self.shared(), ..Plan::default() }).await
     }
 
-    /// Waits until something holds; a bound that only a hang reaches.
+    /// Waits until a condition holds and panics if it does not within the bound of [`Rig::eventually`].
     pub async fn until(&self, what: &str, holds: impl AsyncFnMut() -> bool) {
-        assert!(self.comes(holds).await, "it never came that {what}");
+        assert!(self.eventually(holds).await, "timed out waiting until {what}");
     }
 
-    /// Whether something comes to hold within that bound.
-    pub async fn comes(&self, mut holds: impl AsyncFnMut() -> bool) -> bool {
+    /// Whether a condition comes to hold within 2000 polls of 5 ms. The bound is so long that only a hang
+    /// reaches it.
+    pub async fn eventually(&self, mut holds: impl AsyncFnMut() -> bool) -> bool {
         for _ in 0..2_000 {
             if holds().await {
                 return true;
@@ -332,6 +363,7 @@
         false
     }
 
+    /// GET on the metrics address: status and body.
     pub async fn get(&self, path: &str) -> (u16, String) {
         let bounds = badgerwind_http::PoolBounds {
             most: 1,
@@ -350,17 +382,18 @@
         (head.status, String::from_utf8(body).unwrap())
     }
 
-    /// Posts a message with so much work in it.
-    pub async fn send(&self, id: &str, path: &str, work_ms: u64) -> Got {
-        self.send_as(&self.key, id, path, work_ms).await
+    /// Posts a message that makes its function work for `work_ms`, signed with the sender's key.
+    pub async fn send(&self, id: &str, path: &str, work_ms: u64) -> SenderResponse {
+        self.send_as(&self.sender_key, id, path, work_ms).await
     }
 
-    pub async fn send_as(&self, key: &Key, id: &str, path: &str, work_ms: u64) -> Got {
+    /// The same, signed with another key.
+    pub async fn send_as(&self, key: &Key, id: &str, path: &str, work_ms: u64) -> SenderResponse {
         let body = format!(r#"{{"work_us": {}, "mean_us": 1000}}"#, work_ms * 1000).into_bytes();
         let message =
             Message { id, path, deadline: Duration::from_secs(10), retry: false, callback: None, body };
-        let (head, body) = post(self.to, key, message).await.unwrap();
-        Got {
+        let (head, body) = post(self.webhook, key, message).await.unwrap();
+        SenderResponse {
             status: head.status,
             body: String::from_utf8(body).unwrap(),
             replayed: head.headers.get("badgerwind-replayed").is_some(),
@@ -368,49 +401,54 @@
         }
     }
 
-    /// What the stand-ins have seen of calls so far: `Arrived`, and whether each finished.
+    /// Everything that the stand-ins have recorded so far.
     pub fn lines(&self) -> Vec<Line> {
         let lines = self.recorder.take();
         lines.iter().for_each(|l| self.recorder.add_at(l.at, l.what.clone()));
         lines
     }
 
+    /// Number of attempts that have arrived at stand-in runners.
     pub fn arrived(&self) -> usize {
         self.lines().iter().filter(|l| matches!(l.what, What::Arrived { .. })).count()
     }
 
+    /// Number of attempts that stand-in runners have finished.
     pub fn finished(&self) -> usize {
         self.lines().iter().filter(|l| matches!(l.what, What::Finished { .. })).count()
     }
 
-    pub async fn tell_list(&self, runner: &Runner) {
+    /// Changes the entry of a runner at the list service.
+    pub async fn update_list(&self, runner: &Runner) {
         badgerwind_standins::command(self.list, "/standin/runner", runner).await.unwrap();
     }
 
-    /// The front end's process, where it is one.
+    /// Id of the front end's process, if it runs as one of its own.
     pub fn process_id(&self) -> Option<u32> {
         self.process.as_ref().map(|p| p.0.id())
     }
 
+    /// Stops the front end at once, as on SIGTERM, and waits for its end.
     pub async fn stop(mut self) -> badgerwind_gateway::Stopped {
         let running = self.running.take().unwrap();
         running.until(std::future::ready(()), std::future::pending()).await
     }
 }
 
+/// What the sender got for a message.
 #[derive(Debug, PartialEq)]
-pub struct Got {
+pub struct SenderResponse {
     pub status: u16,
     pub body: String,
     pub replayed: bool,
     pub request: Option<String>,
 }
 
-impl Got {
-    /// The problem document's own words: type and whether trying again is harmless.
+impl SenderResponse {
+    /// From the problem document: its type, and whether the sender may try again without harm.
     pub fn problem(&self) -> (String, String) {
         let value: serde_json::Value = serde_json::from_str(&self.body).unwrap();
-        let word = |name: &str| value[name].as_str().unwrap_or("").to_owned();
-        (word("type").replace("urn:badgerwind:problem:", ""), word("retry"))
+        let member = |name: &str| value[name].as_str().unwrap_or("").to_owned();
+        (member("type").replace("urn:badgerwind:problem:", ""), member("retry"))
     }
 }
--- a/crates/badgerwind-cli/tests/rig/version_reports.rs
+++ b/crates/badgerwind-cli/tests/rig/version_reports.rs
@@ -1,4 +1,5 @@
-//! Whether front ends tell the truth about the version that they run, judged by their behaviour alone.
+//! Checks that the version of the settings that a front end reports as running is the one by which it serves
+//! calls.
 
 use super::rig::process::Process;
 use super::rig::*;
@@ -7,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Routes of a version: the usual ones, and one that only this version has.
+/// The routes part of a version: the usual routes, and the path `/at/{version}`, which only this version has.
 pub fn routes(version: u64) -> String {
     format!(
         "<badgerwind version=\"1\"><webhook><sender name=\"portal\" tenant=\"brolga\"><secret name=\"first\" file=\"portal.key\"/>\
@@ -17,25 +18,25 @@
     )
 }
 
-/// What the front end runs, from its behaviour alone: which of these versions' own paths it knows.
-pub async fn behaves(rig: &Rig, versions: std::ops::RangeInclusive<u64>) -> Vec<u64> {
-    let mut known = Vec::new();
+/// The versions of this range whose own path the front end serves.
+pub async fn served_versions(rig: &Rig, versions: std::ops::RangeInclusive<u64>) -> Vec<u64> {
+    let mut served = Vec::new();
     for v in versions {
         if rig.send(&format!("probe-{v}-{}", rig.lines().len()), &format!("/at/{v}"), 0).await.status != 404 {
-            known.push(v);
+            served.push(v);
         }
     }
-    known
+    served
 }
 
-/// Waits until a version runs, by the front end's word.
+/// Waits until the front end reports a version as running.
 pub async fn until_running(rig: &Rig, kind: Kind, version: u64) {
-    if !rig.comes(async || rig.running(kind).await == Some(version)).await {
-        panic!("version {version} of {kind:?} does not run: {:?}", rig.config().await);
+    if !rig.eventually(async || rig.running(kind).await == Some(version)).await {
+        panic!("version {version} of {kind:?} is not reported as running: {:?}", rig.config().await);
     }
 }
 
-/// The control service as a process, which dies with its handle.
+/// The control service as a process, which is killed when its handle is dropped.
 pub struct Service(Process);
 
 impl Service {
@@ -47,69 +48,74 @@
         Service(Process::start("control", command.args(args).args(rules)))
     }
 
-    /// Fails the test where the service has ended by itself.
+    /// Panics if the service has ended by itself.
     pub fn assert_runs(&mut self) {
         self.0.assert_runs();
     }
 
-    #[allow(dead_code)] // benches alone look at it
+    #[allow(dead_code)] // used by benches only
     pub fn id(&self) -> u32 {
         self.0.id()
     }
 }
 
-/// Runs so many front ends, some of them processes of their own, through so many versions, every third of which cannot be, while the control service is
-/// killed so many times. Panics at the first word that is not true; returns how many were checked. The number of
-/// versions must not be a multiple of three: the last one is good.
-pub async fn check(fronts: usize, processes: usize, versions: u64, kills: u64) -> usize {
+/// Takes `front_ends` front ends, `processes` of them processes of their own, through `versions` versions
+/// while the control service is killed `kills` times. Every third version is invalid. Panics at the first
+/// report that does not agree with the front end's behaviour, and returns the number of reports checked. The
+/// number of versions must not be a multiple of three, so that the last one is valid.
+pub async fn check(front_ends: usize, processes: usize, versions: u64, kills: u64) -> usize {
     let dir = tempfile::tempdir().unwrap();
     let port = ReservedPort::reserve().unwrap();
     let at = port.address();
     let first = Rig::start(Plan { control: Some(("f0".into(), vec![at])), ..Plan::default() }).await;
     let mut rigs = vec![first];
-    for n in 1..fronts {
+    for n in 1..front_ends {
         let control = Some((format!("f{n}"), vec![at]));
         let plan = Plan {
             runners: 0,
             control,
             process: n <= processes,
-            beside: rigs[0].beside(),
+            shared: rigs[0].shared(),
             ..Plan::default()
         };
         rigs.push(Rig::start(plan).await);
     }
     std::fs::create_dir_all(dir.path().join("routes")).unwrap();
-    let (mut service, mut checked, mut good) = (None::<Service>, 0, 0);
-    // The last one is good: one that is turned down leaves each with the last good one that it was offered.
+    let (mut service, mut checked, mut last_valid) = (None::<Service>, 0, 0);
+    // After an invalid version each front end keeps the last valid one that it was offered, so the last one
+    // is valid.
     for version in 1..=versions {
         if version % (versions / kills).max(1) == 1 {
-            // Killed outright with questions open, and back a moment later on the same port.
+            // Kills the service while polls are open and restarts it on the same port.
             drop(service.take());
             service = Some(Service::start(dir.path(), at));
         }
         service.iter_mut().for_each(Service::assert_runs);
-        let bad = version % 3 == 0;
-        let text =
-            if bad { routes(version).replace("class=\"lodge\"", "class=\"gone\"") } else { routes(version) };
+        let invalid = version % 3 == 0;
+        let text = if invalid {
+            routes(version).replace("class=\"lodge\"", "class=\"gone\"")
+        } else {
+            routes(version)
+        };
         std::fs::write(dir.path().join(format!("routes/{version}.xml")), text).unwrap();
-        good = if bad { good } else { version };
-        // Every front end's word against its behaviour, whatever it is at: the path of what it says it runs is
-        // there, those of its neighbours are not, unless it changed in between.
+        last_valid = if invalid { last_valid } else { version };
+        // Of the paths of the reported version and its two neighbours, the front end must serve that of the
+        // reported version alone. A front end that changed its version during the check is not counted.
         for rig in &rigs {
             let before = rig.running(Kind::Routes).await;
-            let Some(v) = before else { continue };
-            let seen = behaves(rig, v.saturating_sub(1)..=v + 1).await;
+            let Some(reported) = before else { continue };
+            let served = served_versions(rig, reported.saturating_sub(1)..=reported + 1).await;
             if rig.running(Kind::Routes).await == before {
-                assert_eq!(seen, [v], "it says {v}");
+                assert_eq!(served, [reported], "the reported version is {reported}");
                 checked += 1;
             }
-            assert!(seen.iter().all(|v| v % 3 != 0), "a version that was turned down ran: {seen:?}");
+            assert!(served.iter().all(|v| v % 3 != 0), "an invalid version is served: {served:?}");
         }
     }
     for rig in &rigs {
         service.iter_mut().for_each(Service::assert_runs);
-        until_running(rig, Kind::Routes, good).await;
-        assert_eq!(behaves(rig, good..=good).await, [good]);
+        until_running(rig, Kind::Routes, last_valid).await;
+        assert_eq!(served_versions(rig, last_valid..=last_valid).await, [last_valid]);
     }
     checked
 }
--- a/crates/badgerwind-cli/tests/scale_processes.rs
+++ b/crates/badgerwind-cli/tests/scale_processes.rs
@@ -144,12 +144,12 @@
     let relays = Relays::start(members);
     let mut fronts: Vec<Rig> = Vec::new();
     for n in 0..members {
-        let (runners, beside) = match fronts.first() {
+        let (runners, shared) = match fronts.first() {
             None => (ZONES, None),
-            Some(first) => (0, first.beside()),
+            Some(first) => (0, first.shared()),
         };
         let edits = edits(n, &relays);
-        let plan = Plan { runners, zones: ZONES as u32, process: true, edits, beside, ..Plan::default() };
+        let plan = Plan { runners, zones: ZONES as u32, process: true, edits, shared, ..Plan::default() };
         fronts.push(Rig::start(plan).await);
     }
     let mut looks = 0;
--- a/crates/badgerwind-cli/tests/shares.rs
+++ b/crates/badgerwind-cli/tests/shares.rs
@@ -1,5 +1,6 @@
-//! Front ends that serve, as processes, with one budget of load orders between them: killed, stopped, cut off. What they spend
-//! is counted at the runners; the verdicts are on sums and on what comes to be, none on speed.
+//! Front ends, as processes that serve calls, share one budget of load orders while some of them are killed
+//! and stopped. What they spend is counted at the runners. The checks are on sums and on states that are
+//! reached, none on speed.
 
 mod rig;
 
@@ -12,11 +13,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
+/// Units of the budget: load orders per window.
 const UNITS: u16 = 24;
+/// The window of the budget, in microseconds.
 const WINDOW: u64 = 2_000_000;
 const FUNCTIONS: usize = 400;
 
-/// Settings of one of so many front ends: everything that it serves has to be ordered first.
+/// Changes of the settings for front end `n`: a copy of each function has to be ordered before it can serve.
 fn edits(n: usize, net: &Net, units: u16) -> Vec<(&'static str, String)> {
     let members = net.known.len();
     let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.known[m]);
@@ -41,12 +44,14 @@
     ]
 }
 
-/// Front ends beside each other. The first keeps the stand-ins.
+/// Front ends that share stand-in runners, which the first one owns, and the tasks that call them.
 struct Fleet {
     net: Net,
     fronts: BTreeMap<usize, Rig>,
+    /// For each caller, the flag that ends it and its task, which returns the number of calls answered.
     callers: Vec<(Arc<AtomicBool>, smol::Task<usize>)>,
-    called: usize,
+    /// Number of callers started so far.
+    caller_count: usize,
 }
 
 impl Fleet {
@@ -55,18 +60,18 @@
         let mut spec = Plan::default().spec;
         (spec.loads_when_absent, spec.memory_mb) = (false, 1e6);
         let plan = Plan { runners: 3, spec, process: true, edits: edits(0, &net, UNITS), ..Plan::default() };
-        let mut fleet = Fleet { fronts: BTreeMap::new(), callers: Vec::new(), called: 0, net };
+        let mut fleet = Fleet { fronts: BTreeMap::new(), callers: Vec::new(), caller_count: 0, net };
         fleet.fronts.insert(0, Rig::start(plan).await);
         for n in 1..members {
-            fleet.begin(n).await;
+            fleet.start_front_end(n).await;
         }
         fleet
     }
 
-    async fn begin(&mut self, n: usize) {
-        let beside = self.fronts[&0].beside();
+    async fn start_front_end(&mut self, n: usize) {
+        let shared = self.fronts[&0].shared();
         let edits = edits(n, &self.net, UNITS);
-        let plan = Plan { runners: 0, process: true, edits, beside, ..Plan::default() };
+        let plan = Plan { runners: 0, process: true, edits, shared, ..Plan::default() };
         self.fronts.insert(n, Rig::start(plan).await);
     }
 
@@ -79,16 +84,17 @@
         assert!(Command::new("kill").args([what, &id]).status().unwrap().success());
     }
 
-    /// Calls for ever other functions at a front end until told to end: more than the whole would load.
-    fn call(&mut self, n: usize) {
-        let over = Arc::new(AtomicBool::new(false));
-        let (to, key, ends) = (self.fronts[&n].to, self.fronts[&n].key.clone(), over.clone());
-        let first = self.called * 37;
-        self.called += 1;
+    /// Starts a caller that calls one function after the other at a front end until it is ended, which takes
+    /// more load orders than the budget has.
+    fn start_caller(&mut self, n: usize) {
+        let stop = Arc::new(AtomicBool::new(false));
+        let (to, key, stopped) = (self.fronts[&n].webhook, self.fronts[&n].sender_key.clone(), stop.clone());
+        let first = self.caller_count * 37;
+        self.caller_count += 1;
         let task = smol::spawn(async move {
             let mut answered = 0;
             for f in first.. {
-                if ends.load(Ordering::Relaxed) {
+                if stopped.load(Ordering::Relaxed) {
                     break;
                 }
                 let (id, path) = (format!("m-{n}-{first}-{f}"), format!("/check/f{}", f % FUNCTIONS));
@@ -108,31 +114,32 @@
             }
             answered
         });
-        self.callers.push((over, task));
+        self.callers.push((stop, task));
     }
 
-    async fn words(&self) -> Vec<Word> {
-        let mut words = Vec::new();
+    async fn reports(&self) -> Vec<Word> {
+        let mut reports = Vec::new();
         for rig in self.fronts.values() {
-            words.extend(ask(rig.metrics).await);
+            reports.extend(ask(rig.metrics).await);
         }
-        words
+        reports
     }
 
     async fn until(&self, what: &str, holds: impl Fn(&[Word]) -> bool) {
         for _ in 0..600 {
-            if holds(&self.words().await) {
+            if holds(&self.reports().await) {
                 return;
             }
             smol::Timer::after(std::time::Duration::from_millis(50)).await;
         }
-        panic!("it never came that {what}: {:#?}", self.words().await);
+        panic!("timed out waiting until {what}: {:#?}", self.reports().await);
     }
 
-    /// Ends the calls; how many were answered, and the largest number of orders that the runners saw within half a window:
-    /// what is on its way may bring two windows' orders nearer together, not by half of one.
-    async fn end(mut self) -> (usize, usize, usize) {
-        self.callers.iter().for_each(|(over, _)| over.store(true, Ordering::Relaxed));
+    /// Ends the callers. Returns the number of calls answered, the number of load orders, and the largest
+    /// number of them that the runners received within half a window. Half, because delays on the way may
+    /// bring the orders of two windows closer together, though not by half a window.
+    async fn finish(mut self) -> (usize, usize, usize) {
+        self.callers.iter().for_each(|(stop, _)| stop.store(true, Ordering::Relaxed));
         let mut answered = 0;
         for (_, task) in self.callers.drain(..) {
             answered += task.await;
@@ -144,40 +151,45 @@
             .map(|l| l.at)
             .collect();
         at.sort_unstable();
-        let within = |t: &u64| at.iter().filter(|u| (*t..*t + WINDOW / 2).contains(u)).count();
-        (answered, at.len(), at.iter().map(within).max().unwrap_or(0))
+        let in_half_window = |t: &u64| at.iter().filter(|u| (*t..*t + WINDOW / 2).contains(u)).count();
+        (answered, at.len(), at.iter().map(in_half_window).max().unwrap_or(0))
     }
 }
 
-fn owned(words: &[Word]) -> usize {
-    words.iter().map(|w| w.budgets[0].owned).sum()
+fn owned(reports: &[Word]) -> usize {
+    reports.iter().map(|w| w.budgets[0].owned).sum()
 }
 
 #[test]
-fn what_front_ends_spend_together_stays_within_the_whole_when_most_are_killed_and_the_others_get_it() {
+fn front_ends_stay_within_the_budget_when_most_are_killed_and_survivors_get_their_units() {
     smol::block_on(async {
         let mut fleet = Fleet::start(7).await;
-        (0..7).for_each(|n| fleet.call(n));
+        (0..7).for_each(|n| fleet.start_caller(n));
         fleet
-            .until("all know a keeper and each other", |words| {
-                words.iter().all(|w| w.keeper.is_some() && w.members.iter().all(|m| m.state == "alive"))
+            .until("all know a lease coordinator and each other", |reports| {
+                reports.iter().all(|w| w.keeper.is_some() && w.members.iter().all(|m| m.state == "alive"))
             })
             .await;
-        fleet.until("all of it is owned", |words| owned(words) == usize::from(UNITS)).await;
-        // Five of seven, a voter among them. Static shares would leave two sevenths.
+        fleet.until("all units are owned", |reports| owned(reports) == usize::from(UNITS)).await;
+        // Kills five of seven, a voter among them. With static shares the others would keep two sevenths of
+        // the budget.
         (2..7).for_each(|n| fleet.kill(n));
         fleet
-            .until("the others own all but the floors of the dead", |words| {
-                owned(words) == usize::from(UNITS) - 5
-                    && words.iter().all(|w| w.members.iter().filter(|m| m.state == "alive").count() == 1)
+            .until("the survivors own all units but the floors of the killed", |reports| {
+                owned(reports) == usize::from(UNITS) - 5
+                    && reports.iter().all(|w| w.members.iter().filter(|m| m.state == "alive").count() == 1)
             })
             .await;
         for n in 2..7 {
-            fleet.begin(n).await;
-            fleet.call(n);
+            fleet.start_front_end(n).await;
+            fleet.start_caller(n);
         }
-        fleet.until("each has a part again", |words| words.iter().all(|w| w.budgets[0].owned > 1)).await;
-        let (answered, orders, most) = fleet.end().await;
+        fleet
+            .until("each owns more than its floor again", |reports| {
+                reports.iter().all(|w| w.budgets[0].owned > 1)
+            })
+            .await;
+        let (answered, orders, most) = fleet.finish().await;
         println!(
             "{answered} calls answered, {orders} orders, {most} of {UNITS} at most within half a window"
         );
@@ -187,28 +199,36 @@
 }
 
 #[test]
-fn one_stopped_for_longer_than_its_lease_orders_nothing_by_it_after() {
+fn a_front_end_stopped_for_longer_than_its_lease_orders_nothing_under_it_afterwards() {
     smol::block_on(async {
         let mut fleet = Fleet::start(4).await;
-        (0..4).for_each(|n| fleet.call(n));
-        fleet.until("all of it is owned", |words| owned(words) == usize::from(UNITS)).await;
+        (0..4).for_each(|n| fleet.start_caller(n));
+        fleet.until("all units are owned", |reports| owned(reports) == usize::from(UNITS)).await;
         for n in [3, 0] {
             fleet.signal(n, "-STOP");
-            let others = |words: &[Word]| {
-                words.iter().filter(|w| usize::from(w.number) != n).map(|w| w.budgets[0].owned).sum::<usize>()
+            let others = |reports: &[Word]| {
+                reports
+                    .iter()
+                    .filter(|w| usize::from(w.number) != n)
+                    .map(|w| w.budgets[0].owned)
+                    .sum::<usize>()
             };
-            // A stopped process does not answer: only the others are asked.
+            // A stopped process does not answer, so only the others are queried.
             let rig = fleet.fronts.remove(&n).unwrap();
-            fleet.until("the others own what it had", |words| others(words) + 1 >= usize::from(UNITS)).await;
+            fleet
+                .until("the others own the units of the stopped one", |reports| {
+                    others(reports) + 1 >= usize::from(UNITS)
+                })
+                .await;
             fleet.fronts.insert(n, rig);
             fleet.signal(n, "-CONT");
             fleet
-                .until("it has a part again", |words| {
-                    words.iter().any(|w| usize::from(w.number) == n && w.budgets[0].owned > 1)
+                .until("it owns more than its floor again", |reports| {
+                    reports.iter().any(|w| usize::from(w.number) == n && w.budgets[0].owned > 1)
                 })
                 .await;
         }
-        let (answered, orders, most) = fleet.end().await;
+        let (answered, orders, most) = fleet.finish().await;
         println!(
             "{answered} calls answered, {orders} orders, {most} of {UNITS} at most within half a window"
         );
--- a/crates/badgerwind-cli/tests/store_day.rs
+++ b/crates/badgerwind-cli/tests/store_day.rs
@@ -88,21 +88,21 @@
 
 async fn play(way: Way, seed: u64, kill: bool) -> Vec<Phase> {
     let net = Net::start(FRONTS, seed).unwrap();
-    let (listener, store) = rig::socket().await;
+    let (listener, store) = rig::bind_loopback().await;
     let counts = Arc::new(server::Counts::default());
     let made = Spec { fetch: 200_000, wide: 4.0, most: WHOLE + 8 };
     let serving = smol::spawn(server::serve_counted(listener, made, counts.clone()));
     let mut spec = Plan::default().spec;
     (spec.loads_when_absent, spec.memory_mb, spec.keep_alive) = (false, 3000.0, 4_000_000);
     let begin = |n: usize, first: Option<&Rig>| {
-        let (runners, beside) = if first.is_none() { (4, None) } else { (0, first.and_then(Rig::beside)) };
+        let (runners, shared) = if first.is_none() { (4, None) } else { (0, first.and_then(Rig::shared)) };
         let (spec, edits) = (spec.clone(), edits(n, &net, way));
         Rig::start(Plan {
             runners,
             spec,
             process: true,
             edits,
-            beside,
+            shared,
             store: Some(store),
             ..Plan::default()
         })
@@ -127,8 +127,8 @@
                 fronts.insert(n, rig);
             }
         }
-        let key = fronts[&0].key.clone();
-        let to: Vec<_> = fronts.values().map(|r| r.to).collect();
+        let key = fronts[&0].sender_key.clone();
+        let to: Vec<_> = fronts.values().map(|r| r.webhook).collect();
         let (fetched, refused) =
             (counts.served.load(Ordering::Relaxed), counts.refused.load(Ordering::Relaxed));
         let (began, mut calls) = (Instant::now(), Vec::new());
--- a/crates/badgerwind-cli/tests/stories.rs
+++ b/crates/badgerwind-cli/tests/stories.rs
@@ -53,10 +53,10 @@
         ];
         let rig = Rig::start(Plan { edits, ..Plan::default() }).await;
         assert_eq!(rig.send("m1", CHECK, 1).await.status, 401);
-        assert_eq!(rig.send_as(&rig.second, "m1", CHECK, 1).await.status, 200);
+        assert_eq!(rig.send_as(&rig.second_key, "m1", CHECK, 1).await.status, 200);
         let rig = Rig::start(Plan::default()).await;
         assert_eq!(rig.send("m1", CHECK, 1).await.status, 200, "both live");
-        assert_eq!(rig.send_as(&rig.second, "m2", CHECK, 1).await.status, 200, "both live");
+        assert_eq!(rig.send_as(&rig.second_key, "m2", CHECK, 1).await.status, 200, "both live");
     });
 }
 
@@ -127,9 +127,9 @@
 #[test]
 fn a_runner_that_dies_with_a_lodgement_leaves_it_in_doubt_and_untried() {
     smol::block_on(async {
-        let (listener, address) = socket().await;
+        let (listener, address) = bind_loopback().await;
         let _dying = smol::spawn(dies(listener));
-        let rig = Rig::start(Plan { runners: 0, played: vec![address], ..Plan::default() }).await;
+        let rig = Rig::start(Plan { runners: 0, scripted_runners: vec![address], ..Plan::default() }).await;
         let got = rig.send("m1", LODGE, 1).await;
         assert_eq!((got.status, got.problem()), (502, words("failed", "unknown")));
         let again = rig.send("m1", LODGE, 1).await;
@@ -142,9 +142,9 @@
 #[test]
 fn a_check_whose_runner_dies_is_served_by_another() {
     smol::block_on(async {
-        let (listener, address) = socket().await;
+        let (listener, address) = bind_loopback().await;
         let _dying = smol::spawn(dies(listener));
-        let rig = Rig::start(Plan { runners: 1, played: vec![address], ..Plan::default() }).await;
+        let rig = Rig::start(Plan { runners: 1, scripted_runners: vec![address], ..Plan::default() }).await;
         for n in 0..6 {
             assert_eq!(rig.send(&format!("m{n}"), CHECK, 1).await.status, 200);
         }
@@ -182,7 +182,7 @@
             _ => None,
         });
         let busy = rig.runners.iter().find(|r| Some(r.id) == busy).unwrap();
-        rig.tell_list(&listed(busy.id, busy.address, State::Gone)).await;
+        rig.update_list(&list_entry(busy.id, busy.address, State::Gone)).await;
         rig.until("one is ready", async || {
             rig.get("/metrics").await.1.contains("badgerwind_runners_ready 1\n")
         })
@@ -204,7 +204,7 @@
         first.until("the list is kept", async || first.folder.path().join("list.json").exists()).await;
         // Another front end with that list, and no list service; its calls are signed by another key, so the
         // stand-ins turn them away: what shows is that it knows where to send.
-        let second = Rig::start(Plan { runners: 0, cached: Some(runners), ..Plan::default() }).await;
+        let second = Rig::start(Plan { runners: 0, cached_list: Some(runners), ..Plan::default() }).await;
         let got = second.send("m1", LODGE, 1).await;
         assert_eq!(got.status, 502, "reached and turned away: {got:?}");
         let (_, text) = second.get("/metrics").await;
@@ -217,7 +217,7 @@
 fn a_last_list_that_cannot_be_read_is_passed_over() {
     smol::block_on(async {
         for garbled in ["", "{\"version\":", "{\"version\":1,\"whole\":true,\"runners\":[{\"id\":-1}]}"] {
-            let rig = Rig::start(Plan { garbled: Some(garbled), ..Plan::default() }).await;
+            let rig = Rig::start(Plan { corrupt_list: Some(garbled), ..Plan::default() }).await;
             assert_eq!(rig.send("m1", CHECK, 1).await.status, 200);
             let file = rig.folder.path().join("list.json");
             rig.until("a whole one is kept", async || {
@@ -255,7 +255,7 @@
             "listen=\"127.0.0.1:0\" head-time=\"100ms\">\n    <sender".to_owned(),
         )];
         let rig = Rig::start(Plan { edits, ..Plan::default() }).await;
-        let mut slow = TcpStream::connect(rig.to).await.unwrap();
+        let mut slow = TcpStream::connect(rig.webhook).await.unwrap();
         slow.write_all(b"POST /lodge HTTP/1.1\r\nhost: a\r\nx").await.unwrap();
         assert_eq!(rig.send("m1", CHECK, 1).await.status, 200);
         let mut told = String::new();
@@ -271,7 +271,7 @@
         let mut idle = Vec::new();
         for _ in 0..2_000 {
             // Where this machine allows fewer descriptors, as many as it allows.
-            match TcpStream::connect(rig.to).await {
+            match TcpStream::connect(rig.webhook).await {
                 Ok(stream) => idle.push(stream),
                 Err(_) => break,
             }
@@ -296,7 +296,7 @@
             rig.until("it has arrived", async || rig.arrived() == 1).await;
             go.send(()).await.unwrap();
             rig.until("it stops", async || rig.get("/health").await.0 == 503).await;
-            assert!(TcpStream::connect(rig.to).await.is_err(), "nothing new is accepted");
+            assert!(TcpStream::connect(rig.webhook).await.is_err(), "nothing new is accepted");
         })
         .await;
         assert_eq!(held.status, 200);
@@ -344,7 +344,7 @@
 fn a_keyed_call_whose_front_end_was_lost_is_not_run_again_by_its_retry_at_another() {
     smol::block_on(async {
         let first = Rig::start(Plan::default()).await;
-        let second = first.another(vec![]).await;
+        let second = first.start_another(vec![]).await;
         // The first front end takes the call and has its answer; its sender never hears of it.
         let mut lost = Box::pin(first.send("m1", "/amend", 50));
         first
@@ -424,11 +424,11 @@
         let (told, hears) = smol::channel::unbounded();
         let decider = Some(Box::new(Talks(told.clone())) as Box<dyn Decider + Send>);
         let first = Rig::start(Plan { edits: peers(0, a, 1, b), decider, ..Plan::default() }).await;
-        let keys = [first.key.clone(), first.second.clone(), first.inner.clone()];
-        let beside = Some((first.runners.clone(), first.list, keys, first.recorder.clone()));
+        let keys = [first.sender_key.clone(), first.second_key.clone(), first.runner_key.clone()];
+        let shared = Some((first.runners.clone(), first.list, keys, first.recorder.clone()));
         let decider = Some(Box::new(Talks(told)) as Box<dyn Decider + Send>);
         let second =
-            Rig::start(Plan { runners: 0, edits: peers(1, b, 0, a), decider, beside, ..Plan::default() })
+            Rig::start(Plan { runners: 0, edits: peers(1, b, 0, a), decider, shared, ..Plan::default() })
                 .await;
         let forged = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
         forged.send_to(&[0u8; 40], a).unwrap();
@@ -443,7 +443,7 @@
 fn behind_a_fence_a_lodgement_tried_again_at_another_front_end_runs_once() {
     smol::block_on(async {
         let first = Rig::start(Plan { fenced: true, ..Plan::default() }).await;
-        let second = first.another(vec![]).await;
+        let second = first.start_another(vec![]).await;
         let ((one, two), ()) = zip(
             zip(first.send("m1", LODGE, 300), async {
                 first.until("the first has arrived", async || first.arrived() == 1).await;
@@ -466,7 +466,7 @@
 fn without_a_fence_the_same_lodgement_runs_twice() {
     smol::block_on(async {
         let first = Rig::start(Plan::default()).await;
-        let second = first.another(vec![]).await;
+        let second = first.start_another(vec![]).await;
         assert_eq!(first.send("m1", LODGE, 10).await.status, 200);
         assert_eq!(second.send("m1", LODGE, 10).await.status, 200);
         assert_eq!(first.finished(), 2, "which is why senders may not do this without one");
@@ -476,8 +476,8 @@
 #[test]
 fn an_answer_is_also_posted_where_the_settings_say_and_nowhere_else() {
     smol::block_on(async {
-        let (receiver, at) = socket().await;
-        let (trap, elsewhere) = socket().await;
+        let (receiver, at) = bind_loopback().await;
+        let (trap, elsewhere) = bind_loopback().await;
         let callback = format!(
             "<callback name=\"receipts\" address=\"{at}\" path=\"/receipts\" key-file=\"second.key\"/></sender>"
         );
@@ -498,7 +498,8 @@
                 callback: Some(callback),
                 body: br#"{"work_us": 1000, "mean_us": 1000}"#.to_vec(),
             };
-            let (head, body) = badgerwind_cli::send::post(rig.to, &rig.key, message).await.unwrap();
+            let (head, body) =
+                badgerwind_cli::send::post(rig.webhook, &rig.sender_key, message).await.unwrap();
             (head.status, String::from_utf8(body).unwrap())
         };
         let (status, text) = send("m0", "http://127.0.0.1:1/").await;
@@ -517,7 +518,7 @@
         assert_eq!((status, head.target.as_str()), (200, "/receipts"));
         let key = badgerwind_webhook::RingKey {
             name: "k".into(),
-            key: rig.second.clone(),
+            key: rig.second_key.clone(),
             not_before: None,
             not_after: None,
         };
@@ -599,15 +600,15 @@
 #[test]
 fn a_streamed_answer_passes_through_and_a_broken_one_is_seen_to_be_broken() {
     smol::block_on(async {
-        let (listener, address) = socket().await;
+        let (listener, address) = bind_loopback().await;
         let _streaming = smol::spawn(streams(listener, true));
-        let rig = Rig::start(Plan { runners: 0, played: vec![address], ..Plan::default() }).await;
+        let rig = Rig::start(Plan { runners: 0, scripted_runners: vec![address], ..Plan::default() }).await;
         let got = rig.send("m1", "/watch", 1).await;
         assert_eq!((got.status, got.body.as_str()), (200, "one two three"));
 
-        let (listener, address) = socket().await;
+        let (listener, address) = bind_loopback().await;
         let _breaking = smol::spawn(streams(listener, false));
-        let rig = Rig::start(Plan { runners: 0, played: vec![address], ..Plan::default() }).await;
+        let rig = Rig::start(Plan { runners: 0, scripted_runners: vec![address], ..Plan::default() }).await;
         let message = badgerwind_cli::send::Message {
             id: "m1",
             path: "/watch",
@@ -616,7 +617,7 @@
             callback: None,
             body: b"{}".to_vec(),
         };
-        let broke = badgerwind_cli::send::post(rig.to, &rig.key, message).await;
+        let broke = badgerwind_cli::send::post(rig.webhook, &rig.sender_key, message).await;
         assert!(broke.unwrap_err().contains("broke"));
     });
 }
@@ -641,7 +642,7 @@
             (long.as_str(), "413"),
             ("POST /lodge HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\n", "400"),
         ] {
-            let mut stream = TcpStream::connect(rig.to).await.unwrap();
+            let mut stream = TcpStream::connect(rig.webhook).await.unwrap();
             stream.write_all(request.as_bytes()).await.unwrap();
             let mut told = [0u8; 12];
             stream.read_exact(&mut told).await.unwrap();
--- a/crates/badgerwind-cli/tests/tls.rs
+++ b/crates/badgerwind-cli/tests/tls.rs
@@ -1,4 +1,5 @@
-//! The whole way under TLS: senders to the gateway, the gateway to runners, certificates exchanged while serving.
+//! TLS on both sides, from senders to the gateway and from the gateway to runners, and replacing certificates
+//! while serving.
 
 #[path = "../../badgerwind-http/tests/authority/mod.rs"]
 mod authority;
@@ -10,13 +11,15 @@
 use rig::*;
 use std::time::Duration;
 
-fn serves(authority: &Authority, name: &str, clients: bool) -> ServerTls {
+/// TLS of a server with a certificate for this name; with `client_auth`, clients must present one, too.
+fn server_tls(authority: &Authority, name: &str, client_auth: bool) -> ServerTls {
     let (chain, key) = authority.sign(name);
     let identity = Identity { chain: chain.as_bytes(), key: key.as_bytes() };
-    ServerTls::new(identity, clients.then_some(authority.pem.as_bytes())).unwrap()
+    ServerTls::new(identity, client_auth.then_some(authority.pem.as_bytes())).unwrap()
 }
 
-fn trusted(authority: &Authority, name: &str) -> ClientTls {
+/// TLS of a client that accepts a certificate of this authority for this name.
+fn client_tls(authority: &Authority, name: &str) -> ClientTls {
     ClientTls::new(authority.pem.as_bytes(), name, None).unwrap()
 }
 
@@ -24,7 +27,7 @@
     let deadline = Duration::from_secs(10);
     let body = br#"{"work_us": 1000, "mean_us": 1000}"#.to_vec();
     let message = Message { id, path: LODGE, deadline, retry: false, callback: None, body };
-    let (head, _) = post(To { at: rig.to, tls }, &rig.key, message).await?;
+    let (head, _) = post(To { at: rig.webhook, tls }, &rig.sender_key, message).await?;
     Ok(head.status)
 }
 
@@ -33,34 +36,35 @@
 const SENDERS_TLS: &str =
     "<tls certificate=\"front.pem\" key-file=\"front.key\"/>\n    <route path=\"/check\"";
 
-fn plan(authority: &Authority, own: (String, String)) -> Plan {
+/// Both sides under TLS; `client_identity` is the certificate and key that the front end presents to runners.
+fn plan(authority: &Authority, client_identity: (String, String)) -> Plan {
     let front = authority.sign("front.test");
     Plan {
         edits: vec![("<route path=\"/check\"", SENDERS_TLS.into()), (RUNNERS, RUNNERS_TLS.into())],
-        runner_tls: Some(serves(authority, "runner.test", true)),
+        runner_tls: Some(server_tls(authority, "runner.test", true)),
         files: vec![
             ("ca.pem", authority.pem.clone()),
             ("front.pem", front.0),
             ("front.key", front.1),
-            ("own.pem", own.0),
-            ("own.key", own.1),
+            ("own.pem", client_identity.0),
+            ("own.key", client_identity.1),
         ],
         ..Plan::default()
     }
 }
 
 #[test]
-fn a_lodgement_goes_the_whole_way_under_tls_with_both_ends_known() {
+fn lodgements_are_served_with_tls_on_both_sides_and_refused_to_senders_without_it() {
     smol::block_on(async {
         let authority = Authority::new();
         let rig = Rig::start(plan(&authority, authority.sign("front.test"))).await;
-        let tls = || Some(trusted(&authority, "front.test"));
+        let tls = || Some(client_tls(&authority, "front.test"));
         for n in 0..5 {
             assert_eq!(send(&rig, tls(), &format!("m{n}")).await, Ok(200));
         }
         assert_eq!(send(&rig, tls(), "m0").await, Ok(200), "replayed");
-        assert!(send(&rig, None, "m9").await.is_err(), "without TLS nothing is answered");
-        assert!(send(&rig, Some(trusted(&Authority::new(), "front.test")), "m9").await.is_err());
+        assert!(send(&rig, None, "m9").await.is_err(), "a request without TLS is not answered");
+        assert!(send(&rig, Some(client_tls(&Authority::new(), "front.test")), "m9").await.is_err());
         assert_eq!((rig.arrived(), rig.finished()), (5, 5));
         let (_, text) = rig.get("/metrics").await;
         assert!(text.contains("turned_away_total{reason=\"handshake\"}"), "{text}");
@@ -68,33 +72,34 @@
 }
 
 #[test]
-fn runners_that_do_not_know_this_front_end_run_nothing_of_it() {
+fn runners_run_nothing_for_a_front_end_whose_certificate_they_do_not_trust() {
     smol::block_on(async {
         let (authority, other) = (Authority::new(), Authority::new());
         let rig = Rig::start(plan(&authority, other.sign("front.test"))).await;
-        let got = send(&rig, Some(trusted(&authority, "front.test")), "m1").await.unwrap();
-        // Under TLS 1.3 the refusal can come after the request was written: then it is in doubt, and told so.
+        let got = send(&rig, Some(client_tls(&authority, "front.test")), "m1").await.unwrap();
+        // Under TLS 1.3 the refusal can arrive after the request was written. Whether the call ran is then in
+        // doubt (502).
         assert!(got == 502 || got == 503, "{got}");
         assert_eq!(rig.arrived(), 0);
     });
 }
 
 #[test]
-fn certificates_are_exchanged_while_serving_and_bad_ones_change_nothing() {
+fn certificates_are_replaced_while_serving_and_invalid_ones_change_nothing() {
     smol::block_on(async {
         let (old, new) = (Authority::new(), Authority::new());
         let rig = Rig::start(plan(&old, old.sign("front.test"))).await;
         let reload = rig.running.as_ref().unwrap().reloader(None);
         let (from_old, from_new) =
-            (|| Some(trusted(&old, "front.test")), || Some(trusted(&new, "front.test")));
+            (|| Some(client_tls(&old, "front.test")), || Some(client_tls(&new, "front.test")));
         assert_eq!(send(&rig, from_old(), "m1").await, Ok(200));
         let file = |name: &str| rig.folder.path().join(name);
         let (chain, key) = new.sign("front.test");
         write_private(&file("front.pem"), &chain);
         let problems = reload().unwrap_err();
-        let told = problems[0].to_string();
-        assert!(told.contains("<tls>") && told.contains("TLS cannot be set up"), "{told}");
-        assert_eq!(send(&rig, from_old(), "m2").await, Ok(200), "as before");
+        let problem = problems[0].to_string();
+        assert!(problem.contains("<tls>") && problem.contains("TLS cannot be set up"), "{problem}");
+        assert_eq!(send(&rig, from_old(), "m2").await, Ok(200), "the old certificate is still served");
         write_private(&file("front.key"), &key);
         reload().unwrap();
         assert!(send(&rig, from_old(), "m3").await.is_err());
@@ -104,7 +109,7 @@
 }
 
 #[test]
-fn the_sending_program_speaks_it_and_says_what_is_missing() {
+fn the_send_command_supports_tls_and_reports_wrong_options() {
     smol::block_on(async {
         let authority = Authority::new();
         let rig = Rig::start(plan(&authority, authority.sign("front.test"))).await;
@@ -123,13 +128,13 @@
             (out.status.code(), String::from_utf8(all).unwrap())
         };
         std::fs::write(rig.folder.path().join("body.json"), r#"{"work_us": 1000, "mean_us": 1000}"#).unwrap();
-        let to = format!("https://{}/lodge", rig.to);
+        let to = format!("https://{}/lodge", rig.webhook);
         let (code, text) = run(&["--to", &to, "--authority", "ca.pem", "--name", "front.test"]).await;
         assert!(code == Some(0) && text.contains(": 200 in "), "{code:?} {text}");
         let (code, text) = run(&["--to", &to, "--authority", "ca.pem"]).await;
         assert!(
             code == Some(1) && text.contains("TLS: "),
-            "no certificate bears the address: {code:?} {text}"
+            "the certificate does not cover the address: {code:?} {text}"
         );
         let (code, text) = run(&["--to", &to]).await;
         assert!(code == Some(2) && text.contains("--authority"), "{code:?} {text}");
--- a/crates/badgerwind-cli/tests/zones.rs
+++ b/crates/badgerwind-cli/tests/zones.rs
@@ -102,12 +102,12 @@
             listed.push(Runner { address: link.at, state: State::Ready, ..r.clone() });
             links.push(link);
         }
-        let (listener, at) = rig::socket().await;
+        let (listener, at) = rig::bind_loopback().await;
         self.lists.push(smol::spawn(list::serve(listener, listed, self.fronts[0].recorder.clone())));
-        let (runners, _, keys, recorder) = self.fronts[0].beside().unwrap();
+        let (runners, _, keys, recorder) = self.fronts[0].shared().unwrap();
         let edits = edits(n, &self.net, self.leaving);
-        let beside = Some((runners, at, keys, recorder));
-        let plan = Plan { runners: 0, process: true, edits, beside, ..Plan::default() };
+        let shared = Some((runners, at, keys, recorder));
+        let plan = Plan { runners: 0, process: true, edits, shared, ..Plan::default() };
         self.fronts.push(Rig::start(plan).await);
         self.links.push(links);
     }
@@ -121,7 +121,7 @@
         for lane in 0..4 {
             let c = &self.callers;
             let (over, served, answered) = (c.over.clone(), c.served.clone(), c.answered.clone());
-            let (to, key, book) = (self.front(n).to, self.front(n).key.clone(), c.book.clone());
+            let (to, key, book) = (self.front(n).webhook, self.front(n).sender_key.clone(), c.book.clone());
             self.callers.tasks.push(smol::spawn(async move {
                 for i in 0.. {
                     if over.load(Ordering::Relaxed) {
