--- a/crates/badgerwind-gateway/src/secrets.rs
+++ b/crates/badgerwind-gateway/src/secrets.rs
@@ -89,7 +89,7 @@
 fn senders_tls(folder: &Path, t: &badgerwind_settings::Tls) -> Result<ServerTls, Wrong> {
     let (chain, key) =
         (read_pem(&folder.join(&t.certificate), false)?, read_pem(&folder.join(&t.key_file), true)?);
-    let clients = t.clients.as_ref().map(|c| read_pem(&folder.join(c), false)).transpose()?;
+    let clients = t.client_authorities.as_ref().map(|c| read_pem(&folder.join(c), false)).transpose()?;
     let identity = Identity { chain: &chain, key: &key };
     ServerTls::new(identity, clients.as_ref().map(|c| &c[..])).map_err(unfit)
 }
@@ -104,7 +104,7 @@
         None => None,
     };
     let identity = own.as_ref().map(|(chain, key)| Identity { chain, key });
-    ClientTls::new(&authority, &t.name, identity).map_err(unfit)
+    ClientTls::new(&authority, &t.server_name, identity).map_err(unfit)
 }
 
 /// Reads all keys; relative files are from `folder`. All problems are returned together.
@@ -112,7 +112,7 @@
     let mut problems = Vec::new();
     let mut tls = Vec::new();
     let mut none = |line: usize, (what, right): Wrong| {
-        tls.push(Problem { file: file.into(), line, element: "tls".into(), what, right });
+        tls.push(Problem { file: file.into(), line, element: "tls".into(), message: what, remedy: right });
     };
     let (own, theirs) = (&settings.webhook.tls, &settings.runners.tls);
     let senders_tls = own.as_ref().and_then(|t| senders_tls(folder, t).map_err(|w| none(t.line, w)).ok());
@@ -121,7 +121,13 @@
     let mut key = |element: &str, line: usize, path: &Path| {
         let read = read_key(&folder.join(path));
         read.map_err(|(what, right)| {
-            problems.push(Problem { file: file.into(), line, element: element.into(), what, right });
+            problems.push(Problem {
+                file: file.into(),
+                line,
+                element: element.into(),
+                message: what,
+                remedy: right,
+            });
         })
         .ok()
     };
@@ -144,7 +150,13 @@
         let line = settings.peers.as_ref().map_or(0, |p| p.line);
         let what = "key-file holds an ed25519 key".to_owned();
         let right = "front ends share a whsec_ secret".to_owned();
-        problems.push(Problem { file: file.into(), line, element: "peers".into(), what, right });
+        problems.push(Problem {
+            file: file.into(),
+            line,
+            element: "peers".into(),
+            message: what,
+            remedy: right,
+        });
     }
     match runners {
         Some(runners) if problems.is_empty() => {
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -16,7 +16,7 @@
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::WorkerEntry;
 use badgerwind::Router;
-use badgerwind_config::shadow::limits;
+use badgerwind_config::shadow::driver_limits;
 use badgerwind_config::{Client, Report};
 use badgerwind_driver::Decider;
 use badgerwind_guard::Guard;
@@ -71,8 +71,8 @@
             file: "settings".into(),
             line: 1,
             element: "webhook".into(),
-            what: "other senders than those that run".into(),
-            right: "restart, or offer them as a version of the routes; keys are then read again".into(),
+            message: "other senders than those that run".into(),
+            remedy: "restart, or offer them as a version of the routes; keys are then read again".into(),
         }]);
     }
     let mut settings = running.clone();
@@ -93,20 +93,20 @@
     // Of zones only an operator's words; they are by place, so the zones must be the same.
     if let (Some(own), Some(theirs)) = (&mut settings.leaving, from.leaving) {
         if settings.zones == from.zones {
-            own.words = theirs.words;
+            own.directives = theirs.directives;
         }
     }
     Ok(settings)
 }
 
 /// Budgets that cannot follow those that run.
-fn unfit(budgets: &badgerwind_settings::Budgets, e: &badgerwind_budgets::BadTerms) -> Problem {
+fn unfit(budgets: &badgerwind_settings::Budgets, e: &badgerwind_budgets::SettingsError) -> Problem {
     Problem {
         file: "settings".into(),
         line: budgets.line,
         element: "budgets".into(),
-        what: e.to_string(),
-        right: "count version up and change units alone; for all else restart the front ends".into(),
+        message: e.to_string(),
+        remedy: "count version up and change units alone; for all else restart the front ends".into(),
     }
 }
 
@@ -244,7 +244,7 @@
     let seed = if settings.seed == 0 { fastrand::u64(..) } else { settings.seed };
     let decider = decider.unwrap_or_else(|| Box::new(Router::new(seed, set.clone())));
     let (end, ended) = async_channel::bounded(1);
-    let terms = Terms::new(limits(&settings), set);
+    let terms = Terms::new(driver_limits(&settings), set);
     let thread = std::thread::Builder::new().name("engine".into());
     thread
         .spawn(move || {
@@ -330,7 +330,7 @@
     }
     let accepting = smol::spawn(front.clone().listen(listener));
     tracing::info!(%webhook, number = set.my_number, "serving");
-    let within = settings.stop_within;
+    let within = settings.stop_timeout;
     Ok(Running {
         runners,
         shares,
--- a/crates/badgerwind-gateway/src/shares.rs
+++ b/crates/badgerwind-gateway/src/shares.rs
@@ -9,9 +9,9 @@
 use async_channel::Sender;
 use badgerwind::interface::{Parts, Settings as RouterSettings};
 use badgerwind_budgets::demand::reserve;
-use badgerwind_budgets::{BadTerms, Demand, Member, Message, Node, Standing, Time, To};
+use badgerwind_budgets::{Demand, Member, Message, Node, Recipient, SettingsError, Time, UnitState};
 use badgerwind_members::{Members, Message as MembersMessage};
-use badgerwind_settings::{BudgetOf, Budgets, Settings};
+use badgerwind_settings::{BudgetResource, Budgets, Settings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -61,15 +61,21 @@
         let budgets = settings.budgets.clone()?;
         let (now, mut rng) = (clock.now(), StdRng::seed_from_u64(fastrand::u64(..)));
         let me = (settings.router.my_number as Member, now);
-        let node = Node::new(now, me, budgets.book.clone(), budgets.terms.clone(), rng.random());
+        let node =
+            Node::new(now, me, budgets.limit_set.clone(), budgets.lease_settings.clone(), rng.random());
         let others = peers.peers.iter().filter_map(|(n, _)| Member::try_from(*n).ok());
-        let members = Members::new(now, me, others, badgerwind_members::Terms::paced(budgets.terms.beat));
+        let members = Members::new(
+            now,
+            me,
+            others,
+            badgerwind_members::DetectionSettings::for_period(budgets.lease_settings.request_interval),
+        );
         let here = |(limit, b): (&badgerwind_budgets::Limit, &badgerwind_settings::Budget)| Here {
-            demand: Demand::new(limit.rest, b.of == BudgetOf::Orders),
+            demand: Demand::new(limit.cooldown, b.resource == BudgetResource::Orders),
             refused: 0,
             logged: (0, 0, 0),
         };
-        let here = budgets.book.limits.iter().zip(&budgets.budgets).map(here).collect();
+        let here = budgets.limit_set.limits.iter().zip(&budgets.budgets).map(here).collect();
         let router = settings.router.clone();
         let state =
             Mutex::new(State { budgets, router, node, members, here, told: None, rng, coordinator: None });
@@ -81,15 +87,15 @@
     }
 
     /// Another version of the limits. Refused as a whole where it cannot follow the one that runs.
-    pub(crate) fn change(&self, next: &Budgets) -> Result<(), BadTerms> {
+    pub(crate) fn change(&self, next: &Budgets) -> Result<(), SettingsError> {
         let mut state = self.state();
-        if next.budgets != state.budgets.budgets || next.terms != state.budgets.terms {
-            return Err(BadTerms::Recut(next.book.version));
+        if next.budgets != state.budgets.budgets || next.lease_settings != state.budgets.lease_settings {
+            return Err(SettingsError::IncompatibleChange(next.limit_set.version));
         }
         let now = self.clock.now();
-        state.node.set(now, &next.book)?;
-        if next.book.version > state.budgets.book.version {
-            tracing::info!(version = next.book.version, "the limits of the budgets changed");
+        state.node.apply_limits(now, &next.limit_set)?;
+        if next.limit_set.version > state.budgets.limit_set.version {
+            tracing::info!(version = next.limit_set.version, "the limits of the budgets changed");
             state.budgets = next.clone();
         }
         Ok(())
@@ -111,10 +117,10 @@
         let mut state = self.state();
         // The time is taken under the lock: a wait for it must not make a lease longer.
         let now = self.clock.now();
-        let Some(n) = state.budgets.budgets.iter().position(|b| b.of == BudgetOf::Orders) else {
+        let Some(n) = state.budgets.budgets.iter().position(|b| b.resource == BudgetResource::Orders) else {
             return true;
         };
-        state.here[n].demand.asked(now, 1.0);
+        state.here[n].demand.record(now, 1.0);
         let spent = state.node.spend(now, n).is_some();
         if !spent {
             state.here[n].refused += 1;
@@ -127,25 +133,25 @@
     /// A call of a tenant has come.
     pub(crate) fn called(&self, tenant: usize) {
         let mut state = self.state();
-        let of = BudgetOf::Tenant(tenant);
-        let Some(n) = state.budgets.budgets.iter().position(|b| b.of == of) else { return };
+        let of = BudgetResource::Tenant(tenant);
+        let Some(n) = state.budgets.budgets.iter().position(|b| b.resource == of) else { return };
         let units = units_of_a_call(&state, n, tenant);
         let now = self.clock.now();
-        state.here[n].demand.asked(now, units);
+        state.here[n].demand.record(now, units);
     }
 
     /// Bytes from another front end; false where they are not for the budgets.
     pub(crate) fn heard(&self, from: u32, bytes: &[u8]) -> bool {
         let Ok(from) = Member::try_from(from) else { return false };
-        if let Some(message) = Message::read(bytes) {
+        if let Some(message) = Message::decode(bytes) {
             let mut state = self.state();
             let now = self.clock.now();
-            let answer = state.node.heard(now, from, &message);
+            let answer = state.node.receive(now, from, &message);
             drop(state);
-            answer.into_iter().for_each(|a| self.peers.tell(Some(u32::from(from)), &a.bytes()));
+            answer.into_iter().for_each(|a| self.peers.tell(Some(u32::from(from)), &a.encode()));
             return true;
         }
-        let Some(message) = MembersMessage::read(bytes) else { return false };
+        let Some(message) = MembersMessage::decode(bytes) else { return false };
         let mut state = self.state();
         let now = self.clock.now();
         let out = state.members.receive(now, from, &message);
@@ -155,12 +161,12 @@
     }
 
     fn send_members(&self, out: Vec<(Member, MembersMessage)>) {
-        out.iter().for_each(|(to, message)| self.peers.tell(Some(u32::from(*to)), &message.bytes()));
+        out.iter().for_each(|(to, message)| self.peers.tell(Some(u32::from(*to)), &message.encode()));
     }
 
     /// Says what is due, and tells the module its parts, for ever.
     pub(crate) async fn run(self: Arc<Self>) {
-        let pace = Duration::from_micros(self.state().node.pace());
+        let pace = Duration::from_micros(self.state().node.tick_interval());
         loop {
             if let Some(parts) = self.tick(pace) {
                 if self.report.send(Input::Parts(parts)).await.is_err() {
@@ -177,29 +183,29 @@
         let State { budgets, router, node, members, here, told, rng, coordinator } = &mut *state;
         let messages = members.tick(now, &mut |n| rng.random_range(0..n.max(1)));
         let there = members.alive_count();
-        for (n, (here, limit)) in here.iter_mut().zip(&budgets.book.limits).enumerate() {
+        for (n, (here, limit)) in here.iter_mut().zip(&budgets.limit_set.limits).enumerate() {
             let owned = node.owned(now, n).len();
-            let granted = limit.granted().len();
-            node.want(n, here.demand.wants(now, owned, reserve(granted, there)));
+            let granted = limit.grantable().len();
+            node.set_wanted(n, here.demand.estimate(now, owned, reserve(granted, there)));
         }
         let out = node.tick(now, rng.random());
         for (n, b) in budgets.budgets.iter().enumerate() {
             let owned = node.owned(now, n).len();
             let label = ByBudget { budget: b.name.clone() };
             self.metrics.budget_owned.get_or_create(&label).set(owned as i64);
-            self.metrics.budget_whole.get_or_create(&label).set(i64::from(budgets.book.limits[n].units));
+            self.metrics.budget_whole.get_or_create(&label).set(i64::from(budgets.limit_set.limits[n].units));
             let (last, again, passed) = &mut here[n].logged;
             if owned != *last {
                 *passed += 1;
             }
             if *passed > 0 && now >= *again {
-                let (of, from) = (budgets.book.limits[n].units, *last);
+                let (of, from) = (budgets.limit_set.limits[n].units, *last);
                 tracing::info!(budget = %b.name, owned, from, of, changes = *passed, "owned units changed");
                 (*last, *again, *passed) = (owned, now + LOG_SPAN, 0);
             }
         }
-        if node.believes() != *coordinator {
-            *coordinator = node.believes();
+        if node.believed_coordinator() != *coordinator {
+            *coordinator = node.believed_coordinator();
             tracing::info!(coordinator = ?*coordinator, "another lease coordinator of the budgets");
         }
         self.metrics.members_there.set(there as i64);
@@ -211,12 +217,12 @@
         *told = Some(parts.clone());
         drop(state);
         for (to, message) in &out {
-            let bytes = message.bytes();
+            let bytes = message.encode();
             match to {
-                To::All => self.peers.tell(None, &bytes),
-                To::One(to) => self.peers.tell(Some(u32::from(*to)), &bytes),
-                To::Voters => {
-                    let voters = self.state().budgets.terms.voters.clone();
+                Recipient::All => self.peers.tell(None, &bytes),
+                Recipient::One(to) => self.peers.tell(Some(u32::from(*to)), &bytes),
+                Recipient::Voters => {
+                    let voters = self.state().budgets.lease_settings.voters.clone();
                     voters.iter().for_each(|v| self.peers.tell(Some(u32::from(*v)), &bytes));
                 }
             }
@@ -238,19 +244,19 @@
         let State { budgets, node, members, here, .. } = &mut *state;
         let is_coordinator = node.is_coordinator(now);
         let ms = |at: Time| at.saturating_sub(now) / 1000;
-        let rows: Vec<Value> = (budgets.budgets.iter().zip(&budgets.book.limits).enumerate())
+        let rows: Vec<Value> = (budgets.budgets.iter().zip(&budgets.limit_set.limits).enumerate())
             .map(|(n, (b, limit))| {
-                let tenant = match b.of {
-                    BudgetOf::Orders => None,
-                    BudgetOf::Tenant(t) => Some(t),
+                let tenant = match b.resource {
+                    BudgetResource::Orders => None,
+                    BudgetResource::Tenant(t) => Some(t),
                 };
-                let standings = node.standings(now, n).map(|all| {
+                let standings = node.unit_states(now, n).map(|all| {
                     let mut by: Vec<Value> = Vec::new();
                     for (unit, standing) in all {
                         let (state, member, left) = match standing {
-                            Standing::Owned(m, until) => ("owned", Some(m), ms(until)),
-                            Standing::Rests(until) => ("rests", None, ms(until)),
-                            Standing::Free => ("free", None, 0),
+                            UnitState::Owned(m, until) => ("owned", Some(m), ms(until)),
+                            UnitState::CoolingDown(until) => ("rests", None, ms(until)),
+                            UnitState::Free => ("free", None, 0),
                         };
                         match by.last_mut().filter(|l| {
                             l["state"] == state && l["member"] == json!(member) && l["ms"] == left
@@ -268,14 +274,14 @@
                     "of": if tenant.is_some() { "tenant" } else { "orders" },
                     "units": limit.units,
                     "floor": limit.floor,
-                    "window_ms": limit.rest / 1000,
+                    "window_ms": limit.cooldown / 1000,
                     "owned": node.owned(now, n).len(),
                     "owned_floor": limit.floor_of(members.me()).len(),
                     "ranges": node.owned(now, n).ranges(),
-                    "until_ms": ms(node.until(n)),
-                    "wants": node.wants(n),
-                    "asked_lately": here[n].demand.lately(now),
-                    "wait_ms": node.wait(now, n).map(|w| w / 1000),
+                    "until_ms": ms(node.lease_end(n)),
+                    "wants": node.wanted(n),
+                    "asked_lately": here[n].demand.in_window(now),
+                    "wait_ms": node.wait_time(now, n).map(|w| w / 1000),
                     "refused": here[n].refused,
                     "standings": standings,
                 })
@@ -287,11 +293,11 @@
             .collect();
         json!({
             "number": members.me(),
-            "version": budgets.book.version,
-            "voters": budgets.terms.voters,
-            "keeper": node.believes(),
+            "version": budgets.limit_set.version,
+            "voters": budgets.lease_settings.voters,
+            "keeper": node.believed_coordinator(),
             "reigns": is_coordinator,
-            "lease_ms": budgets.terms.lease / 1000,
+            "lease_ms": budgets.lease_settings.lease / 1000,
             "health": members.local_health(),
             "members": seen,
             "budgets": rows,
@@ -301,19 +307,19 @@
 
 /// A call's part of a tenant's quota within the window, in units.
 fn units_of_a_call(state: &State, n: usize, tenant: usize) -> f64 {
-    let limit = &state.budgets.book.limits[n];
+    let limit = &state.budgets.limit_set.limits[n];
     let quota = state.router.tenants.get(tenant).and_then(|t| t.quota_per_s).unwrap_or(0.0);
-    let calls = quota * limit.rest as f64 / 1e6;
+    let calls = quota * limit.cooldown as f64 / 1e6;
     f64::from(limit.units) / calls.max(1e-9)
 }
 
 fn parts(budgets: &Budgets, node: &Node, at: Time, router: &RouterSettings) -> Parts {
     let mut parts = Parts { orders: None, tenants: vec![None; router.tenants.len()] };
-    for (n, (b, limit)) in budgets.budgets.iter().zip(&budgets.book.limits).enumerate() {
+    for (n, (b, limit)) in budgets.budgets.iter().zip(&budgets.limit_set.limits).enumerate() {
         let usable = node.usable(at, n) as f64;
-        match b.of {
-            BudgetOf::Orders => parts.orders = Some(usable),
-            BudgetOf::Tenant(t) => {
+        match b.resource {
+            BudgetResource::Orders => parts.orders = Some(usable),
+            BudgetResource::Tenant(t) => {
                 let quota = router.tenants.get(t).and_then(|t| t.quota_per_s);
                 if let (Some(part), Some(quota)) = (parts.tenants.get_mut(t), quota) {
                     *part = Some(quota * usable / f64::from(limit.units));
--- a/crates/badgerwind-scale/src/rows/register/group.rs
+++ b/crates/badgerwind-scale/src/rows/register/group.rs
@@ -302,7 +302,7 @@
 
     fn write_record(&mut self, member: usize) {
         self.act(member, |node, now, out| {
-            // AnnounceError without a lease: the next one has its chance.
+            // Refused without a lease: the next one has its chance.
             let _ = node.announce(now, vec![7; RECORD_BYTES], out);
         });
     }
