--- a/crates/badgerwind-cli/tests/platform/newcomers.rs
+++ b/crates/badgerwind-cli/tests/platform/address_reuse.rs
@@ -1,5 +1,6 @@
-//! An executor goes away, and another process listens at its address. Nothing meant for the first may reach the second: it has
-//! other functions loaded, another table, and no part in what was decided for the first.
+//! An executor is removed, and another executor listens at its address. Nothing meant for the first may reach
+//! the second, which has other functions loaded and another connection table, and for which nothing was
+//! decided.
 
 use crate::rig::*;
 use badgerwind_standins::platform::discovery::record;
@@ -15,42 +16,46 @@
 const DRAINING: u8 = 1;
 const GONE: u8 = 2;
 
-/// The newcomer's id.
-const NEWCOMER: u32 = 0xb000_0000;
+/// The id of the second executor.
+const SUCCESSOR: u32 = 0xb000_0000;
 
 fn long(n: u64) -> WebRequest {
     WebRequest { wait_ms: 120_000, ..WebRequest::new(n) }
 }
 
+/// A call that must not run twice.
 fn book(n: u64) -> WebRequest {
     WebRequest { class: "book".into(), ..long(n) }
 }
 
-/// How the board says that an executor is gone from its address and that another one is there.
+/// How service discovery announces that an executor has left its address and that another one is there.
 #[derive(Clone, Copy, Debug)]
-enum Told {
+enum Announcement {
     /// Both change in one event.
     Together,
-    /// It drains first.
+    /// The first executor drains before it is removed.
     Drains,
-    /// A whole list that it is not in.
-    Whole,
-    /// It has another address.
+    /// A full list without the first executor.
+    FullList,
+    /// The first executor has another address.
     Moves,
 }
 
-/// While a connection to an executor comes up, the executor goes, and a newcomer listens at its address when it is up. What
-/// waited for the connection, a call or the load order ahead of it, is not written on it.
+/// An executor is removed while a connection to it is being established, and its successor accepts that
+/// connection. The call that waited for the connection, or the load order ahead of it, must not be written on
+/// it.
 #[test]
-fn what_waits_for_an_executor_that_has_gone_never_reaches_the_newcomer_at_its_address() {
-    for told in [Told::Together, Told::Drains, Told::Whole, Told::Moves] {
+fn work_waiting_for_a_removed_executor_never_reaches_its_successor_at_the_address() {
+    use Announcement::{Drains, FullList, Moves, Together};
+    for announcement in [Together, Drains, FullList, Moves] {
         for placement in [false, true] {
             let door = FullBacklog::start().unwrap();
             let listed = [list_member(id(0), door.address, "in_service")];
-            let rig = Rig::with(vec![], |config| {
+            let rig = Rig::start_with(vec![], |config| {
                 config["known"]["notices"][0]["pool"]["members"] = json!(listed);
                 config["settings"]["allowed"]["connectTimeout"] = json!(20_000_000);
-                // What was queued may still go out long after a drain was told: that alone keeps nothing back.
+                // With this grace, queued work may still be sent long after a drain, so the drain alone holds
+                // nothing back.
                 config["settings"]["rules"]["stopSendingWithin"] = json!(60_000_000);
                 config["settings"]["specifics"]["placementCalls"] = json!(placement);
             });
@@ -60,17 +65,17 @@
             let old = door.pending_ports();
 
             let elsewhere = Executor::start(succeed).unwrap();
-            let newcomer = record(NEWCOMER, door.address, READY);
-            match told {
-                Told::Together => rig.board.send_changes(&[record(id(0), door.address, GONE), newcomer]),
-                Told::Drains => {
-                    rig.board.send_changes(&[record(id(0), door.address, DRAINING)]);
-                    rig.board.send_changes(&[record(id(0), door.address, GONE), newcomer]);
+            let successor = record(SUCCESSOR, door.address, READY);
+            match announcement {
+                Together => rig.discovery.send_changes(&[record(id(0), door.address, GONE), successor]),
+                Drains => {
+                    rig.discovery.send_changes(&[record(id(0), door.address, DRAINING)]);
+                    rig.discovery.send_changes(&[record(id(0), door.address, GONE), successor]);
                 }
-                Told::Whole => rig.board.send_full_list(&[newcomer]),
-                Told::Moves => rig.board.send_changes(&[record(id(0), elsewhere.address, READY), newcomer]),
+                FullList => rig.discovery.send_full_list(&[successor]),
+                Moves => rig.discovery.send_changes(&[record(id(0), elsewhere.address, READY), successor]),
             }
-            // A connection of the newcomer's own is wanted once it has been heard of.
+            // Once the front end knows the successor, it opens a new connection for it.
             let mut n = 1;
             assert!(wait_until(|| {
                 n += 1;
@@ -82,34 +87,34 @@
             }));
 
             let address = door.address;
-            let newcomer = Executor::on(door.drain().unwrap(), usize::MAX, succeed).unwrap();
+            let successor = Executor::on(door.drain().unwrap(), usize::MAX, succeed).unwrap();
             for web in &mut webs {
-                assert_eq!(web.answer().unwrap().status, 200, "{told:?}");
+                assert_eq!(web.answer().unwrap().status, 200, "{announcement:?}");
             }
-            // Whatever was written on the old connections has been read once they have ended.
-            let meant = || -> Vec<ReceivedLine> {
-                newcomer.received().into_iter().filter(|s| old.contains(&s.peer_port)).collect()
+            // Everything written on the old connections has been read once they have ended.
+            let misdirected = || -> Vec<ReceivedLine> {
+                successor.received().into_iter().filter(|s| old.contains(&s.peer_port)).collect()
             };
             let ended = || {
                 let up = full_backlog::established_ports(address);
-                let connections = &newcomer.connections;
-                let opened = connections.accepted.load(Ordering::Relaxed);
-                let over = opened - connections.open.load(Ordering::Relaxed).min(opened);
+                let doors = &successor.connections;
+                let opened = doors.accepted.load(Ordering::Relaxed);
+                let closed = opened - doors.open.load(Ordering::Relaxed).min(opened);
                 full_backlog::connecting(address) == 0
                     && !up.iter().any(|port| old.contains(port))
-                    && over >= old.len()
+                    && closed >= old.len()
             };
-            assert!(wait_until(|| !meant().is_empty() || ended()));
-            let meant = meant();
-            assert!(meant.is_empty(), "{told:?}, placement {placement}: {meant:?}");
+            assert!(wait_until(|| !misdirected().is_empty() || ended()));
+            let misdirected = misdirected();
+            assert!(misdirected.is_empty(), "{announcement:?}, placement {placement}: {misdirected:?}");
         }
     }
 }
 
-/// A call was decided for an executor in the same turn in which it went. No connection is opened for it to the address that the
-/// executor has left, though something of the executor's is still out.
+/// A call is assigned to an executor in the same round in which the executor is removed. No connection is
+/// opened for it to the address that the executor has left, even though an earlier call there is still open.
 #[test]
-fn no_connection_is_opened_to_the_address_of_one_that_has_gone() {
+fn no_connection_is_opened_to_the_address_of_a_removed_executor() {
     let open = Arc::<AtomicBool>::default();
     let script = || -> Script {
         let open = open.clone();
@@ -121,8 +126,8 @@
             _ => succeed(s),
         })
     };
-    let rig = Rig::with(vec![script(), script()], |config| {
-        // Calls are handed over once in so long: what is read meanwhile is decided together.
+    let rig = Rig::start_with(vec![script(), script()], |config| {
+        // Calls are decided once per round: those that are read in between are decided together.
         config["settings"]["round"] = json!(1_000_000);
         config["settings"]["rules"]["stopSendingWithin"] = json!(60_000_000);
     });
@@ -133,27 +138,27 @@
     let at = rig.executors.iter().position(|e| calls(e) > 0).unwrap();
     let (leaves, stays) = (&rig.executors[at], &rig.executors[1 - at]);
 
-    // A second connection, on which nothing is, beside the one with the call that is held.
+    // Opens a second connection, idle after this call, in addition to the one with the held call.
     web.send(1, &book(2)).unwrap();
     assert_eq!(web.answer().unwrap().status, 200);
-    assert_eq!(calls(leaves), 2, "where its function is loaded");
+    assert_eq!(calls(leaves), 2, "the call goes where its function is loaded");
     let standing = || leaves.connections.open.load(Ordering::Relaxed);
     let before = standing();
-    // A turn has just been: the next call waits for the next one.
+    // A round has just ended, so the next call waits for the next round.
     web.send(1, &book(3)).unwrap();
     web.send_health_check(2).unwrap();
     assert_eq!(web.answer().unwrap().number, 2, "the call has been read");
-    rig.board
-        .send_changes(&[record(id(at), leaves.address, GONE), record(NEWCOMER, leaves.address, DRAINING)]);
-    // The news has been taken in: what was idle has gone.
+    rig.discovery
+        .send_changes(&[record(id(at), leaves.address, GONE), record(SUCCESSOR, leaves.address, DRAINING)]);
+    // Once the front end has processed the announcement, it closes the idle connection.
     assert!(wait_until(|| standing() < before));
-    assert_eq!(calls(leaves), 2, "the call has not had its turn");
+    assert_eq!(calls(leaves), 2, "the third call was sent before its round ended");
 
     assert_eq!(web.answer().unwrap().status, 200);
     let opened = leaves.connections.accepted.load(Ordering::Relaxed);
-    assert_eq!((calls(leaves), opened), (2, before), "the newcomer was connected to");
+    assert_eq!((calls(leaves), opened), (2, before), "a connection was opened to the successor");
     assert_eq!(stays.received_of_kind("FN").last().map(|s| s.req.clone()), Some(book(3).id));
-    // What is out there ends as ever.
+    // The held call ends as usual.
     open.store(true, Ordering::Relaxed);
     assert_eq!(holds.answer().unwrap().status, 200);
 }
--- a/crates/badgerwind-cli/tests/platform/crossings.rs
+++ b/crates/badgerwind-cli/tests/platform/races.rs
@@ -1,5 +1,6 @@
-//! What is owed at an instant, and what crosses it: clients that leave, connections that end, lists told again. Each test brings
-//! the front end into the exact state by peers that wait for it, not by time.
+//! Races between calls and clients that leave, connections that close, lists that are sent again and
+//! descriptors that run out. Scripted peers bring the front end into the exact state under test and wait for
+//! it, mostly without relying on time.
 
 use crate::rig::*;
 use badgerwind_platform::fcgi;
@@ -18,49 +19,54 @@
 const READY: u8 = 0;
 const DRAINING: u8 = 1;
 
-/// Longer than any test waits.
+/// Longer than any wait of these tests.
 const LONG_MS: u64 = 120_000;
 
 fn long(n: u64) -> WebRequest {
     WebRequest { wait_ms: LONG_MS, ..WebRequest::new(n) }
 }
 
+/// A call that must not run twice.
 fn book(n: u64) -> WebRequest {
     WebRequest { class: "book".into(), ..long(n) }
 }
 
-/// Does something else with calls only.
-fn calls(with: impl Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync + 'static) -> Script {
-    Box::new(move |s| if s.kind == "FN" { with(s) } else { succeed(s) })
+/// Handles calls with this function and everything else as a working executor does.
+fn on_call(handler: impl Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync + 'static) -> Script {
+    Box::new(move |s| if s.kind == "FN" { handler(s) } else { succeed(s) })
 }
 
-fn tries(executor: &Executor, ask: &WebRequest) -> usize {
+/// The number of attempts of a call that an executor has received.
+fn attempts(executor: &Executor, ask: &WebRequest) -> usize {
     executor.received_of_kind("FN").iter().filter(|s| s.req == ask.id).count()
 }
 
-/// Whatever was written to the front end before has been read once this is answered.
+/// Returns once the front end has read everything that was written to it before.
 fn barrier(rig: &Rig) {
     (0..2).for_each(|_| assert!([200, 503].contains(&rig.health())));
 }
 
 #[test]
-fn a_client_that_closes_its_connection_has_its_call_given_up() {
-    let rig = Rig::start(vec![calls(|_| vec![])]);
+fn a_call_whose_client_disconnects_is_cancelled() {
+    let rig = Rig::start(vec![on_call(|_| vec![])]);
     let mut web = rig.web();
-    // One that must not run twice is never called off for its executor's silence.
+    // A call that must not run twice is never cancelled for the silence of its executor.
     web.send(1, &book(1)).unwrap();
-    assert!(wait_until(|| tries(&rig.executors[0], &book(1)) == 1));
+    assert!(wait_until(|| attempts(&rig.executors[0], &book(1)) == 1));
     drop(web);
-    assert!(wait_until(|| !rig.executors[0].received_of_kind("KILL").is_empty()), "nobody waits for it");
+    assert!(
+        wait_until(|| !rig.executors[0].received_of_kind("KILL").is_empty()),
+        "the attempt is not cancelled"
+    );
 }
 
 #[test]
-fn no_further_attempt_begins_for_a_client_that_has_closed_its_connection() {
+fn no_further_attempt_starts_for_a_client_that_has_disconnected() {
     let shed = Arc::new(AtomicBool::new(false));
-    let told = shed.clone();
-    let rig = Rig::start(vec![calls(move |s| match s.line["data"].as_str() {
+    let may_shed = shed.clone();
+    let rig = Rig::start(vec![on_call(move |s| match s.line["data"].as_str() {
         Some("bGVhdmVz") => {
-            assert!(wait_until(|| told.load(Ordering::Relaxed)));
+            assert!(wait_until(|| may_shed.load(Ordering::Relaxed)));
             vec![ScriptStep::Write(answer_line("SHED", s))]
         }
         _ => vec![ScriptStep::Write(hit_line(s))],
@@ -68,20 +74,21 @@
     let mut web = rig.web();
     let left = WebRequest { body: b"leaves".to_vec(), ..long(1) };
     web.send(1, &left).unwrap();
-    assert!(wait_until(|| tries(&rig.executors[0], &left) == 1));
+    assert!(wait_until(|| attempts(&rig.executors[0], &left) == 1));
     drop(web);
     barrier(&rig);
     shed.store(true, Ordering::Relaxed);
-    // What comes after it is served, so that a further attempt of it would have come by then.
+    // Later calls are served, so a further attempt would have arrived by then.
     for n in 2..6 {
         assert_eq!(rig.call(&long(n)).status, 200);
     }
-    assert_eq!(tries(&rig.executors[0], &left), 1);
+    assert_eq!(attempts(&rig.executors[0], &left), 1);
 }
 
-/// A connection that takes in nothing more, because of what its client sent, still hears that the client goes.
+/// After malformed input, a connection accepts no further requests but stays open for its answers. An abort
+/// of the client and a close must still cancel its calls.
 #[test]
-fn a_doomed_connection_still_hears_its_clients_abort_and_close() {
+fn a_connection_with_malformed_input_still_handles_abort_and_close() {
     let mut too_long = Vec::new();
     fcgi::record(&mut too_long, fcgi::BEGIN_REQUEST, 2, &[0, 1, 1, 0, 0, 0, 0, 0]);
     fcgi::stream(&mut too_long, fcgi::PARAMS, 2, b"");
@@ -89,13 +96,16 @@
     for (junk, abort) in
         [(b"GET / HTTP/1.1\r\n\r\n".to_vec(), false), (too_long.clone(), true), (too_long, false)]
     {
-        let rig = Rig::start(vec![calls(|_| vec![])]);
+        let rig = Rig::start(vec![on_call(|_| vec![])]);
         let mut web = rig.web();
         web.send(1, &book(1)).unwrap();
-        assert!(wait_until(|| tries(&rig.executors[0], &book(1)) == 1));
+        assert!(wait_until(|| attempts(&rig.executors[0], &book(1)) == 1));
         web.write(&junk).unwrap();
         barrier(&rig);
-        assert!(rig.executors[0].received_of_kind("KILL").is_empty(), "it is owed its answer until then");
+        assert!(
+            rig.executors[0].received_of_kind("KILL").is_empty(),
+            "the call was cancelled before its client left"
+        );
         if abort {
             web.abort(1).unwrap();
         } else {
@@ -105,20 +115,21 @@
     }
 }
 
-/// A connection to an executor may take a second to come up. What waits for it belongs to clients that may have left by then.
+/// Establishing a connection to an executor can take a second. The clients whose calls wait for it may have
+/// left by then.
 #[test]
-fn what_waits_for_a_connection_to_come_up_stays_back_when_its_client_leaves() {
-    // By a withdrawal, where nothing may be called off; by a close, where it may.
+fn calls_waiting_for_a_connection_are_not_sent_after_their_client_left() {
+    // The client leaves by an abort or by a close, with and without the right to cancel attempts.
     for (may_cancel, abort) in [(false, true), (true, false), (false, false)] {
         let door = FullBacklog::start().unwrap();
         let listed = [list_member(id(0), door.address, "in_service")];
-        let rig = Rig::with(vec![], |config| {
+        let rig = Rig::start_with(vec![], |config| {
             config["known"]["notices"][0]["pool"]["members"] = json!(listed);
             config["settings"]["allowed"]["mayCancel"] = json!(may_cancel);
             config["settings"]["allowed"]["connectTimeout"] = json!(20_000_000);
-            // Calls go out at once, without a load order ahead of them.
+            // Calls are sent at once, without a load order before them.
             config["settings"]["specifics"]["placementCalls"] = json!(false);
-            patient(config);
+            raise_aims(config);
         });
         let mut leaves = rig.web();
         leaves.send(1, &long(1)).unwrap();
@@ -129,142 +140,145 @@
             drop(leaves);
         }
         barrier(&rig);
-        // Connected only now: one that says nothing for two seconds is closed.
+        // Connects only now, since a connection that is silent for two seconds is closed.
         let mut stays = rig.web();
         stays.send(1, &long(2)).unwrap();
         barrier(&rig);
         let executor = Executor::on(door.drain().unwrap(), usize::MAX, succeed).unwrap();
         assert_eq!(stays.answer().unwrap().status, 200);
-        assert_eq!(tries(&executor, &long(1)), 0, "cancel {may_cancel}, abort {abort}");
-        assert_eq!(tries(&executor, &long(2)), 1);
+        assert_eq!(attempts(&executor, &long(1)), 0, "cancel {may_cancel}, abort {abort}");
+        assert_eq!(attempts(&executor, &long(2)), 1);
     }
 }
 
-/// Keeps a front end busy while it lives, so that it is stopped between reading and acting rather than asleep.
-struct Busy(Arc<AtomicBool>, Vec<std::thread::JoinHandle<()>>);
+/// Sends health checks to a front end until dropped, so that SIGSTOP finds it at work rather than asleep.
+struct HealthLoad(Arc<AtomicBool>, Vec<std::thread::JoinHandle<()>>);
 
-impl Busy {
-    fn with(rig: &Rig) -> Busy {
-        let over = Arc::<AtomicBool>::default();
-        let ask = |mut web: WebConnection| {
-            let over = over.clone();
+impl HealthLoad {
+    fn start(rig: &Rig) -> HealthLoad {
+        let done = Arc::<AtomicBool>::default();
+        let check = |mut web: WebConnection| {
+            let done = done.clone();
             std::thread::spawn(move || {
-                while !over.load(Ordering::Relaxed)
+                while !done.load(Ordering::Relaxed)
                     && web.send_health_check(1).is_ok()
                     && web.answer().is_ok()
                 {}
             })
         };
-        let threads = (0..6).map(|_| ask(rig.web())).collect();
-        Busy(over, threads)
+        let threads = (0..6).map(|_| check(rig.web())).collect();
+        HealthLoad(done, threads)
     }
 }
 
-impl Drop for Busy {
+impl Drop for HealthLoad {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
         self.1.drain(..).for_each(|t| t.join().unwrap());
     }
 }
 
-/// An executor closes a connection that has been idle. Its close is here, but not read, when a call that must not run twice
-/// is put on it: that call would count as one that may have run.
+/// An executor closes an idle connection. The close has arrived but has not been read when a call that must
+/// not run twice is assigned to the connection. Written there, the call would fail, since it may have run.
 #[test]
-fn a_close_that_was_not_read_yet_costs_no_call() {
-    const CROSSINGS: usize = 30;
-    const MOST_PLAYS: u64 = 10 * CROSSINGS as u64;
+fn an_unread_close_of_an_idle_connection_fails_no_call() {
+    const RACES: usize = 30;
+    const MAX_TRIALS: u64 = 10 * RACES as u64;
     let round = Duration::from_millis(100);
-    let rig = Rig::with(vec![Box::new(succeed)], |config| {
-        // Calls are handed over once in so long: the next one waits for its turn while the executor closes.
+    let rig = Rig::start_with(vec![Box::new(succeed)], |config| {
+        // Calls are decided once per round: the next one waits for its round while the executor closes the
+        // connection.
         config["settings"]["round"] = json!(round.as_micros() as u64);
     });
-    let _busy = Busy::with(&rig);
+    let _load = HealthLoad::start(&rig);
     let mut web = rig.web();
-    let mut crossings = 0;
-    for play in 0..MOST_PLAYS {
-        let (before, crosses) = (book(2 * play), book(2 * play + 1));
+    let mut races = 0;
+    for trial in 0..MAX_TRIALS {
+        let (before, racing) = (book(2 * trial), book(2 * trial + 1));
         web.send(1, &before).unwrap();
         assert_eq!(web.answer().unwrap().status, 200);
         let began = Instant::now();
-        web.send(2, &crosses).unwrap();
+        web.send(2, &racing).unwrap();
         web.send_health_check(3).unwrap();
         assert_eq!(web.answer().unwrap().number, 3, "the call has been read");
-        rig.freeze();
-        // Frozen later than that, it may have sent the call already.
-        let waits = began.elapsed() < round / 2;
+        rig.pause();
+        // If it was paused later than that, it may have sent the call already.
+        let in_time = began.elapsed() < round / 2;
         let opened = rig.executors[0].connections.accepted.load(Ordering::Relaxed);
         (0..opened).for_each(|connection| _ = rig.executors[0].close(connection));
         std::thread::sleep((round + Duration::from_millis(10)).saturating_sub(began.elapsed()));
-        rig.thaw();
+        rig.resume();
         let answer = web.answer().unwrap();
-        if !waits {
+        if !in_time {
             continue;
         }
-        assert_eq!(answer.status, 200, "play {play}");
-        assert_eq!(tries(&rig.executors[0], &crosses), 1);
-        crossings += 1;
-        if crossings == CROSSINGS {
+        assert_eq!(answer.status, 200, "trial {trial}");
+        assert_eq!(attempts(&rig.executors[0], &racing), 1);
+        races += 1;
+        if races == RACES {
             return;
         }
     }
-    panic!("the machine was not at rest: {crossings} of {MOST_PLAYS} plays were frozen in time");
+    panic!("the machine is too busy: in {races} of {MAX_TRIALS} trials the front end was paused in time");
 }
 
-/// A second answer may come some milliseconds after the first. Taken for the answer to the next attempt of the same call, it would
-/// end that one while it runs, and a third would begin beside it.
+/// A duplicate answer can arrive some milliseconds after the first. If it were taken for the answer to the
+/// next attempt of the call, that attempt would end, and a third one would start while it runs.
 #[test]
-fn a_second_answer_never_ends_the_next_attempt_of_its_call() {
+fn a_duplicate_answer_does_not_end_the_next_attempt_of_its_call() {
     for word in ["SHED", "NONE", "FAULT"] {
-        let (first, told, ends) =
+        let (first, answered_twice, ends) =
             (OnceLock::new(), Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        let (told_twice, may_end) = (told.clone(), ends.clone());
+        let (duplicate_written, may_end) = (answered_twice.clone(), ends.clone());
         let asked = long(1);
-        let script = calls(move |s| {
+        let script = on_call(move |s| {
             if s.req != long(1).id {
                 return vec![ScriptStep::Write(hit_line(s))];
             }
             if first.set(s.connection).is_ok() {
                 return vec![ScriptStep::Write(answer_line(word, s))];
             }
-            // The second answer comes as the first did, while the next attempt is out.
+            // Repeats the first answer on its connection while the next attempt is open.
             let second = ScriptStep::WriteOn(*first.get().unwrap(), answer_line(word, s));
-            let (told, ends) = (told_twice.clone(), may_end.clone());
+            let (answered_twice, ends) = (duplicate_written.clone(), may_end.clone());
             let held = ScriptStep::WaitUntil(Arc::new(move || {
-                told.store(true, Ordering::Relaxed);
+                answered_twice.store(true, Ordering::Relaxed);
                 ends.load(Ordering::Relaxed)
             }));
             vec![second, held, ScriptStep::Write(hit_line(s))]
         });
-        // An attempt that is called off for silence would be followed by a third, rightly.
-        let rig = Rig::with(vec![script], |config| config["settings"]["allowed"]["mayCancel"] = json!(false));
+        // A cancellation for silence would rightly be followed by a third attempt.
+        let rig =
+            Rig::start_with(vec![script], |config| config["settings"]["allowed"]["mayCancel"] = json!(false));
         let mut web = rig.web();
         web.send(1, &asked).unwrap();
-        assert!(wait_until(|| told.load(Ordering::Relaxed)), "{word}");
+        assert!(wait_until(|| answered_twice.load(Ordering::Relaxed)), "{word}");
         barrier(&rig);
-        // What comes after it is served, so that a third attempt would have come by then.
+        // Later calls are served, so a third attempt would have arrived by then.
         for n in 2..6 {
             assert_eq!(rig.call(&long(n)).status, 200);
         }
-        assert_eq!(tries(&rig.executors[0], &asked), 2, "{word}");
+        assert_eq!(attempts(&rig.executors[0], &asked), 2, "{word}");
         ends.store(true, Ordering::Relaxed);
         assert_eq!(web.answer().unwrap().status, 200);
-        assert_eq!(tries(&rig.executors[0], &asked), 2, "{word}");
+        assert_eq!(attempts(&rig.executors[0], &asked), 2, "{word}");
     }
 }
 
-/// The same executor at another address is another machine: what is busy on the way to the old one leads nowhere new.
+/// An executor that moves to another address is another machine. A connection to the old address that is
+/// still in use must get no new calls.
 #[test]
-fn nothing_new_goes_to_the_address_that_an_executor_has_left() {
-    let rig = Rig::start(vec![calls(|s| match s.line["data"].as_str() {
+fn no_new_calls_go_to_the_address_that_an_executor_has_left() {
+    let rig = Rig::start(vec![on_call(|s| match s.line["data"].as_str() {
         Some("c3RheXM=") => vec![],
         _ => vec![ScriptStep::Write(hit_line(s))],
     })]);
     let mut web = rig.web();
     assert_eq!(rig.call(&long(1)).status, 200);
     web.send(1, &WebRequest { body: b"stays".to_vec(), ..long(2) }).unwrap();
-    assert!(wait_until(|| tries(&rig.executors[0], &long(2)) == 1));
+    assert!(wait_until(|| attempts(&rig.executors[0], &long(2)) == 1));
     let new = Executor::start(succeed).unwrap();
-    rig.board.send_changes(&[record(id(0), new.address, READY)]);
+    rig.discovery.send_changes(&[record(id(0), new.address, READY)]);
     let mut n = 100;
     assert!(wait_until(|| {
         n += 1;
@@ -276,30 +290,31 @@
     assert_eq!(rig.executors[0].received_of_kind("FN").len(), before);
 }
 
-/// A board that has lost events tells all from its start, also that executors were ready which drain since.
+/// Service discovery that has lost events sends its list again from the start, including events by which
+/// executors were ready that have drained since.
 #[test]
-fn a_list_told_again_from_its_start_brings_back_nobody_who_drains() {
-    let rig = Rig::well();
+fn a_list_sent_again_from_the_start_does_not_reinstate_draining_executors() {
+    let rig = Rig::start_well();
     let address = rig.executors[0].address;
     assert_eq!(rig.call(&WebRequest::new(1)).status, 200);
-    rig.board.set_initial_list(&[record(id(0), address, READY)]);
-    rig.board.send_changes(&[record(id(0), address, DRAINING)]);
+    rig.discovery.set_initial_list(&[record(id(0), address, READY)]);
+    rig.discovery.send_changes(&[record(id(0), address, DRAINING)]);
     let mut n = 10;
     assert!(wait_until(|| {
         n += 1;
         rig.call(&WebRequest { wait_ms: 200, ..WebRequest::new(n) }).status != 200
     }));
     let before = rig.executors[0].received_of_kind("FN").len();
-    // Told again, it stops after the first event: that the executor was ready.
-    rig.board.set_last_sent(1);
-    rig.board.skip_events(3);
-    rig.board.send_changes(&[record(77, address, DRAINING)]);
+    // The list sent again stops after its first event, by which the executor was ready.
+    rig.discovery.set_last_sent(1);
+    rig.discovery.skip_events(3);
+    rig.discovery.send_changes(&[record(77, address, DRAINING)]);
     assert!(
-        wait_until(|| rig.board.requested().contains(&0)),
-        "a gap is noticed: {:?}",
-        rig.board.requested()
+        wait_until(|| rig.discovery.requested().contains(&0)),
+        "the gap is not detected: {:?}",
+        rig.discovery.requested()
     );
-    // Event 1 is written in the same turn as the number is read, and an empty frame a second later.
+    // Event 1 is sent as soon as the request has been read, and an empty frame a second later.
     let since = Instant::now();
     let mut n = 500;
     while since.elapsed() < Duration::from_millis(1_500) {
@@ -307,10 +322,10 @@
         rig.call(&WebRequest { wait_ms: 100, ..WebRequest::new(n) });
     }
     assert_eq!(rig.executors[0].received_of_kind("FN").len(), before);
-    // Once it has caught up, it is followed as before.
+    // Once the list is complete, its events are followed as before.
     let new = Executor::start(succeed).unwrap();
-    rig.board.send_changes(&[record(78, new.address, READY)]);
-    rig.board.set_last_sent(u64::MAX);
+    rig.discovery.send_changes(&[record(78, new.address, READY)]);
+    rig.discovery.set_last_sent(u64::MAX);
     assert!(wait_until(|| {
         n += 1;
         rig.call(&WebRequest { wait_ms: 300, ..WebRequest::new(n) }).status == 200
@@ -318,18 +333,18 @@
     assert_eq!(rig.executors[0].received_of_kind("FN").len(), before);
 }
 
-/// A whole list with fewer executors tells that the others are gone, as well as words of their own would.
+/// A full list without some executors means that these are gone, just as an event for each of them would.
 #[test]
-fn who_is_not_in_a_whole_list_told_again_takes_nothing_new() {
+fn executors_missing_from_a_full_list_get_no_new_calls() {
     let rig = Rig::start(vec![Box::new(succeed), Box::new(succeed)]);
     let key = |n: u64| WebRequest { key: format!("{n:016x}"), ..WebRequest::new(n) };
     (1..20).for_each(|n| assert_eq!(rig.call(&key(n)).status, 200));
     assert!(rig.executors.iter().all(|e| !e.received_of_kind("FN").is_empty()));
-    rig.board.send_full_list(&[record(id(1), rig.executors[1].address, READY)]);
+    rig.discovery.send_full_list(&[record(id(1), rig.executors[1].address, READY)]);
     let new = Executor::start(succeed).unwrap();
-    rig.board.send_changes(&[record(77, new.address, READY)]);
+    rig.discovery.send_changes(&[record(77, new.address, READY)]);
     let mut n = 100;
-    // What came after it has been heard of, so that it has.
+    // Once the later event has taken effect, so has the full list.
     assert!(wait_until(|| {
         n += 1;
         assert_eq!(rig.call(&key(n)).status, 200);
@@ -340,11 +355,12 @@
     assert_eq!(rig.executors[0].received_of_kind("FN").len(), before);
 }
 
-/// A connection that has been idle may go to make room, or after a time. A request whose last byte is here is taken, read or not.
+/// An idle connection may be closed to make room, or after a timeout. A connection whose request has arrived
+/// is not idle, even if the request has not been read yet.
 #[test]
-fn a_request_that_was_not_read_yet_keeps_its_connection() {
-    // To make room: one more connection than the front end holds comes while it has no core.
-    let rig = Rig::with(vec![Box::new(succeed)], |config| config["limits"]["sockets"] = json!(64));
+fn a_connection_with_an_unread_request_is_not_closed_as_idle() {
+    // To make room: more connections than the front end may hold are opened while it is paused.
+    let rig = Rig::start_with(vec![Box::new(succeed)], |config| config["limits"]["sockets"] = json!(64));
     let held = 18;
     let mut webs: Vec<WebConnection> = Vec::new();
     for _ in 0..held {
@@ -353,50 +369,50 @@
         web.answer().unwrap();
         webs.push(web);
     }
-    rig.freeze();
-    let newcomers: Vec<WebConnection> = (0..3).map(|_| rig.web()).collect();
+    rig.pause();
+    let more: Vec<WebConnection> = (0..3).map(|_| rig.web()).collect();
     webs[0].send(1, &long(1)).unwrap();
-    rig.thaw();
+    rig.resume();
     assert_eq!(webs[0].answer().map(|a| a.status).ok(), Some(200), "to make room");
-    drop(newcomers);
+    drop(more);
 
-    // After a time: one that has said nothing goes after two seconds.
-    let rig = Rig::well();
-    let _busy = Busy::with(&rig);
+    // After a timeout: a connection that has been silent for two seconds is closed.
+    let rig = Rig::start_well();
+    let _load = HealthLoad::start(&rig);
     for round in 0..3u64 {
         let mut webs: Vec<WebConnection> = (0..4).map(|_| rig.web()).collect();
         barrier(&rig);
-        rig.freeze();
+        rig.pause();
         webs.iter_mut().zip(1..).for_each(|(web, n)| web.send(1, &long(10 * round + n)).unwrap());
         std::thread::sleep(Duration::from_millis(2_300));
-        rig.thaw();
+        rig.resume();
         for web in &mut webs {
-            assert_eq!(web.answer().map(|a| a.status).ok(), Some(200), "after a time");
+            assert_eq!(web.answer().map(|a| a.status).ok(), Some(200), "after a timeout");
         }
     }
 }
 
-/// The machine gives fewer descriptors than the configuration says: those who only hold theirs go, those who ask are served, and
-/// a board that moves is followed.
+/// The process gets fewer file descriptors than the configuration says. Idle connections are then closed,
+/// calls are served, and service discovery is followed to another address.
 #[test]
-fn a_machine_short_of_descriptors_serves_those_who_ask_and_follows_its_board() {
-    let board = DiscoveryServer::start(2).unwrap();
+fn a_front_end_short_of_descriptors_serves_calls_and_follows_discovery() {
+    let discovery = DiscoveryServer::start(2).unwrap();
     let executors: Vec<_> = (0..3).map(|_| Executor::start(succeed).unwrap()).collect();
     let listed: Vec<_> =
         executors.iter().enumerate().map(|(n, e)| list_member(id(n), e.address, "in_service")).collect();
-    let config = configuration("127.0.0.1:0".parse().unwrap(), board.address, &listed);
-    let front = Front::start_with_descriptors(40, config.clone());
-    assert!(wait_until(|| !board.requested().is_empty()));
-    let over = Arc::<AtomicBool>::default();
+    let config = configuration("127.0.0.1:0".parse().unwrap(), discovery.address, &listed);
+    let front = FrontEnd::start_with_descriptors(40, config.clone());
+    assert!(wait_until(|| !discovery.requested().is_empty()));
+    let done = Arc::<AtomicBool>::default();
     let mut holders = Vec::new();
     for _ in 0..60 {
         let mut web = front.web();
         web.send_health_check(1).unwrap();
         assert_eq!(web.answer().map(|a| a.status).ok(), Some(200), "holder {}", holders.len());
-        // Each says something now and then, so that it is never closed for its silence alone.
-        let over = over.clone();
+        // Each one sends health checks, so that it is never closed for its silence alone.
+        let done = done.clone();
         holders.push(std::thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) && web.send_health_check(1).is_ok() && web.answer().is_ok() {
+            while !done.load(Ordering::Relaxed) && web.send_health_check(1).is_ok() && web.answer().is_ok() {
                 std::thread::sleep(Duration::from_millis(200));
             }
         }));
@@ -408,25 +424,26 @@
     let other = DiscoveryServer::start(2).unwrap();
     let mut moved = config;
     moved["board"] = json!(other.address);
-    front.replace(&moved.to_string());
+    front.replace_config(&moved.to_string());
     front.signal("-HUP");
     assert!(wait_until(|| !other.requested().is_empty()));
     assert!(front.descriptors() <= 40);
-    over.store(true, Ordering::Relaxed);
+    done.store(true, Ordering::Relaxed);
     holders.into_iter().for_each(|t| t.join().unwrap());
 }
 
-/// A configuration told while every descriptor is in use must not be lost: discovery has moved, and nobody tells so again.
+/// A reload while every descriptor is in use must not be lost: service discovery has moved, and no second
+/// SIGHUP announces it.
 #[test]
-fn a_configuration_is_read_again_though_every_descriptor_is_in_use() {
-    const MOST: usize = 40;
-    let board = DiscoveryServer::start(2).unwrap();
-    let config = configuration("127.0.0.1:0".parse().unwrap(), board.address, &[]);
-    let front = Front::start_with_descriptors(MOST, config.clone());
-    assert!(wait_until(|| !board.requested().is_empty()));
+fn a_configuration_is_reloaded_while_every_descriptor_is_in_use() {
+    const LIMIT: usize = 40;
+    let discovery = DiscoveryServer::start(2).unwrap();
+    let config = configuration("127.0.0.1:0".parse().unwrap(), discovery.address, &[]);
+    let front = FrontEnd::start_with_descriptors(LIMIT, config.clone());
+    assert!(wait_until(|| !discovery.requested().is_empty()));
     let mut holders = Vec::new();
-    // Those beyond its limit were handed to it at its start.
-    while front.descriptors_below(MOST) < MOST {
+    // Descriptors with numbers above the limit were inherited at the start and do not count.
+    while front.descriptors_below(LIMIT) < LIMIT {
         let mut web = front.web();
         web.send_health_check(1).unwrap();
         assert!(web.answer().is_ok());
@@ -435,7 +452,7 @@
     let other = DiscoveryServer::start(2).unwrap();
     let mut moved = config;
     moved["board"] = json!(other.address);
-    front.replace(&moved.to_string());
+    front.replace_config(&moved.to_string());
     front.signal("-HUP");
-    assert!(wait_until(|| !other.requested().is_empty()), "{:?}", front.lines());
+    assert!(wait_until(|| !other.requested().is_empty()), "{:?}", front.log_lines());
 }
