--- a/crates/badgerwind-gateway/src/answers.rs
+++ b/crates/badgerwind-gateway/src/answers.rs
@@ -12,9 +12,9 @@
     Forget,
 }
 
-/// Decides what a repeat of the message gets. A served call is not run again. A refused call never ran, or may run
-/// again, so a repeat starts a new call. A failed call may have run: a repeat starts a new call only if running twice is
-/// harmless, if every runner drops repeats, or if no attempt was sent and so nothing ran.
+/// Decides what a repeat of the message gets. A served call is not run again. A refused call never ran, or
+/// may run again, so a repeat starts a new call. A failed call may have run: a repeat starts a new call only
+/// if running twice is harmless, if every runner drops repeats, or if no attempt was sent and so nothing ran.
 pub fn retention<R>(effect: Effect, group: Group, answer: &FinalAnswer<R>, attempts: u32) -> Retention {
     match answer {
         FinalAnswer::Served(_) => Retention::Remember,
--- a/crates/badgerwind-gateway/src/answers_due.rs
+++ b/crates/badgerwind-gateway/src/answers_due.rs
@@ -1,5 +1,5 @@
-//! Gives tasks with answers to write priority over new messages, so that an overloaded front end first finishes the
-//! calls it has accepted.
+//! Gives tasks with answers to write priority over new messages, so that an overloaded front end first
+//! finishes the calls it has accepted.
 
 use futures_lite::future::yield_now;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -24,7 +24,8 @@
         AnswerDue(self.0.clone())
     }
 
-    /// Yields while answers wait to be written; each turn queues the caller behind all tasks that are ready to run.
+    /// Yields while answers wait to be written; each turn queues the caller behind all tasks that are ready
+    /// to run.
     pub(crate) async fn yield_to_answers(&self) {
         for _ in 0..MAX_TURNS {
             if self.0.load(Ordering::Relaxed) == 0 {
--- a/crates/badgerwind-gateway/src/callbacks.rs
+++ b/crates/badgerwind-gateway/src/callbacks.rs
@@ -1,6 +1,7 @@
-//! Result callbacks: the final answer of a call that requested it is also posted as a signed webhook, only ever to an
-//! address from the settings. Delivery is at least once while the process runs, on the retry schedule of the webhook
-//! specification. Pending callbacks are held in memory only and are lost when the process ends.
+//! Result callbacks: the final answer of a call that requested it is also posted as a signed webhook, only
+//! ever to an address from the settings. Delivery is at least once while the process runs, on the retry
+//! schedule of the webhook specification. Pending callbacks are held in memory only and are lost when the
+//! process ends.
 
 use crate::clock::unix_seconds;
 use badgerwind_http::{Exchange, ExchangeError, Pool, PoolBounds};
--- a/crates/badgerwind-gateway/src/clock.rs
+++ b/crates/badgerwind-gateway/src/clock.rs
@@ -1,5 +1,5 @@
-//! The daemon's clock: monotonic, in microseconds, starting from the wall time at the start of the process. Changes of
-//! the wall clock affect only the check of webhook timestamps.
+//! The daemon's clock: monotonic, in microseconds, starting from the wall time at the start of the process.
+//! Changes of the wall clock affect only the check of webhook timestamps.
 
 use badgerwind::interface::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/badgerwind-gateway/src/control.rs
+++ b/crates/badgerwind-gateway/src/control.rs
@@ -1,6 +1,6 @@
-//! The client of the control service: polls for configuration over HTTP, validates new settings on a separate thread by
-//! loading their keys and replaying recent calls, stores the active parts on disk, and applies changes to front, runners
-//! and engine. The state machine that decides what to do is in `badgerwind-config`.
+//! The client of the control service: polls for configuration over HTTP, validates new settings on a separate
+//! thread by loading their keys and replaying recent calls, stores the active parts on disk, and applies
+//! changes to front, runners and engine. The state machine that decides what to do is in `badgerwind-config`.
 
 use crate::clock::Clock;
 use crate::engine::{Control, Terms};
@@ -44,8 +44,8 @@
     pub stored: Vec<Part>,
 }
 
-/// Reads the parts that were active last, from the newer file, or from the previous one if that is corrupt or of an
-/// unknown format. Also returns a message for each file that was skipped.
+/// Reads the parts that were active last, from the newer file, or from the previous one if that is corrupt or
+/// of an unknown format. Also returns a message for each file that was skipped.
 pub fn read_stored(path: &Path) -> (Vec<Part>, Vec<String>) {
     let mut skipped = Vec::new();
     for file in [path.to_owned(), previous_path(path)] {
@@ -66,8 +66,8 @@
     path.with_extension("before")
 }
 
-/// Writes a temporary file and syncs it, keeps the old file under the previous path, renames the new file into place and
-/// syncs the directory.
+/// Writes a temporary file and syncs it, keeps the old file under the previous path, renames the new file
+/// into place and syncs the directory.
 fn write_stored(path: &Path, parts: &[Part]) -> std::io::Result<()> {
     let temporary = path.with_extension("new");
     let mut file = std::fs::File::create(&temporary)?;
@@ -299,8 +299,8 @@
             let PreparedSettings { secrets } = *prepared;
             let config = follower.front.config();
             let (old, mut module) = (config.settings.clone(), config.module);
-            // A router's settings are fixed at its start, so a change of them starts a new router. They do not implement
-            // `PartialEq`, so their debug output is compared.
+            // A router's settings are fixed at its start, so a change of them starts a new router. They do
+            // not implement `PartialEq`, so their debug output is compared.
             if format!("{:?}", old.router) != format!("{:?}", settings.router)
                 || old.max_calls != settings.max_calls
             {
@@ -321,7 +321,8 @@
             if let (Some(zones), Some(leaving)) = (&follower.zones, &settings.leaving) {
                 zones.set_directives(leaving);
             }
-            // New calls use the new settings from now on, after the module with their classes has been started.
+            // New calls use the new settings from now on, after the module with their classes has been
+            // started.
             follower.runners.update(settings.clone(), secrets.runners, secrets.runners_tls);
             follower.front.set_config(FrontConfig {
                 settings,
--- a/crates/badgerwind-gateway/src/dispatch.rs
+++ b/crates/badgerwind-gateway/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! The engine's backend for the webhook front: calls come from signed webhooks, attempts go out through the runner client.
-//! The driver's outputs are carried out by tasks that report their results as inputs.
+//! The engine's backend for the webhook front: calls come from signed webhooks, attempts go out through the
+//! runner client. The driver's outputs are carried out by tasks that report their results as inputs.
 
 use crate::clock::Clock;
 use crate::engine::{Backend, InputOf, OutputOf};
@@ -177,8 +177,8 @@
                 .detach();
             }
             Output::Cancel { id, attempt, reason, .. } => {
-                // A full channel means that it was cancelled before; a closed one that it has ended and its report is
-                // queued.
+                // A full channel means that it was cancelled before; a closed one that it has ended and its
+                // report is queued.
                 if let Some(active) = self.attempts.active.get(&(id, attempt)) {
                     let _ = active.signals.try_send(AttemptSignal::Cancel(reason));
                 }
--- a/crates/badgerwind-gateway/src/evidence.rs
+++ b/crates/badgerwind-gateway/src/evidence.rs
@@ -1,5 +1,6 @@
-//! The last event of each pair of runner and function, logged with an attempt. It shows the evidence that the decision
-//! module had, not its reasons, which its actions do not carry. Recorded only while attempts are logged.
+//! The last event of each pair of runner and function, logged with an attempt. It shows the evidence that the
+//! decision module had, not its reasons, which its actions do not carry. Recorded only while attempts are
+//! logged.
 
 use badgerwind::interface::{Time, WorkerId};
 use std::collections::HashMap;
--- a/crates/badgerwind-gateway/src/fleet.rs
+++ b/crates/badgerwind-gateway/src/fleet.rs
@@ -1,6 +1,6 @@
-//! A standalone member of the fleet's budgets: runs the state machines of `badgerwind-budgets` over the authenticated
-//! datagrams between front ends, on one thread. Spending takes the same lock, so that the lease is checked at the moment a
-//! unit is spent.
+//! A standalone member of the fleet's budgets: runs the state machines of `badgerwind-budgets` over the
+//! authenticated datagrams between front ends, on one thread. Spending takes the same lock, so that the lease
+//! is checked at the moment a unit is spent.
 
 use crate::peers::{open, seal};
 use badgerwind_budgets::{
@@ -63,8 +63,8 @@
     pub fn start(options: MemberOptions) -> Result<FleetMember, MemberError> {
         options.lease_settings.validate(&options.limit_set.limits)?;
         let socket = crate::peers::bind(options.listen).map_err(|e| MemberError::Bind(options.listen, e))?;
-        // The incarnation grows from start to start as long as the wall clock does; otherwise the coordinator's answer
-        // corrects it.
+        // The incarnation grows from start to start as long as the wall clock does; otherwise the
+        // coordinator's answer corrects it.
         let identity = (options.number, wall_micros());
         let random = StdRng::seed_from_u64(identity.1).random();
         let node = Node::new(0, identity, options.limit_set.clone(), options.lease_settings.clone(), random);
@@ -83,8 +83,8 @@
         (micros + micros * i128::from(self.options.clock_skew_ppm) / 1_000_000) as Time
     }
 
-    /// The wall time of a moment of [`FleetMember::now`], so that records show when a lease was checked under the lock, not
-    /// when the record was written.
+    /// The wall time of a moment of [`FleetMember::now`], so that records show when a lease was checked under
+    /// the lock, not when the record was written.
     pub fn wall_at(&self, now: Time) -> u64 {
         let clock_rate = 1_000_000 + i128::from(self.options.clock_skew_ppm);
         self.start_wall + (i128::from(now) * 1_000_000 / clock_rate.max(1)) as u64
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -1,5 +1,5 @@
-//! The front for signed webhooks: HTTP, signature checks and the replay cache of webhook ids. Routing is left to the
-//! engine, which takes each call and returns exactly one final answer.
+//! The front for signed webhooks: HTTP, signature checks and the replay cache of webhook ids. Routing is left
+//! to the engine, which takes each call and returns exactly one final answer.
 //!
 //! `docs/protocols/webhook.md` specifies the protocol as senders see it.
 
@@ -33,11 +33,12 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::Duration;
 
-/// Pause after a failed `accept`, so that the loop does not spin; the usual cause is a lack of file descriptors.
+/// Pause after a failed `accept`, so that the loop does not spin; the usual cause is a lack of file
+/// descriptors.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Request header: how long the sender waits, in milliseconds. The class's deadline applies where the header is
-/// missing or longer.
+/// Request header: how long the sender waits, in milliseconds. The class's deadline applies where the header
+/// is missing or longer.
 const DEADLINE_HEADER: &str = "badgerwind-deadline-ms";
 /// Request header: `1` marks a repeat by the sender.
 const RETRY_HEADER: &str = "badgerwind-retry";
@@ -122,7 +123,8 @@
     pub failed: AtomicU64,
 }
 
-/// A call that has not been answered yet. If it is dropped unanswered, those that wait for it find the channel closed.
+/// A call that has not been answered yet. If it is dropped unanswered, those that wait for it find the
+/// channel closed.
 struct ActiveCall {
     front: Arc<Front>,
     settings: Arc<Settings>,
@@ -287,16 +289,16 @@
     }
 }
 
-/// Largest body, in bytes, that is read to its end after its message was rejected, so that the connection can be
-/// reused.
+/// Largest body, in bytes, that is read to its end after its message was rejected, so that the connection can
+/// be reused.
 const MAX_DRAINED_BODY: u64 = 16 * 1024;
 
-/// Largest body, in bytes, whose signature is checked in place; the check of a larger one runs on a separate thread so
-/// that it does not block other connections.
+/// Largest body, in bytes, whose signature is checked in place; the check of a larger one runs on a separate
+/// thread so that it does not block other connections.
 const MAX_INLINE_CHECK: u64 = 32 * 1024;
 
-/// Upper bound, in bytes, on a remembered id's memory besides the body of its answer: up to 240 bytes for the id, as
-/// measured by `cargo bench -p badgerwind-webhook --bench replay`; the rest is for the answer's head.
+/// Upper bound, in bytes, on a remembered id's memory besides the body of its answer: up to 240 bytes for the
+/// id, as measured by `cargo bench -p badgerwind-webhook --bench replay`; the rest is for the answer's head.
 const RECORD_OVERHEAD: usize = 512;
 
 /// A message whose signature is valid.
@@ -373,7 +375,8 @@
     /// Accepts connections until the task is dropped.
     pub(crate) async fn listen(self: Arc<Self>, listener: TcpListener) {
         loop {
-            // The limit may change while connections are open; a closed connection or a new limit wakes this loop.
+            // The limit may change while connections are open; a closed connection or a new limit wakes this
+            // loop.
             while self.open_connections.load(Ordering::Relaxed)
                 >= self.config().settings.webhook.max_connections
             {
@@ -472,8 +475,8 @@
         }
     }
 
-    /// The checks that run before the body is read: the source's limit of failed signatures, the form of the signature
-    /// headers, and the timestamp.
+    /// The checks that run before the body is read: the source's limit of failed signatures, the form of the
+    /// signature headers, and the timestamp.
     fn check_headers(
         &self,
         config: &FrontConfig,
@@ -614,8 +617,8 @@
                         "the daemon stops",
                     ))));
                 }
-                // A started call that must not run twice is finished after its sender disconnects, so that its answer can
-                // be remembered.
+                // A started call that must not run twice is finished after its sender disconnects, so that
+                // its answer can be remembered.
                 let finish_started = config.settings.router.classes[class].effect != Effect::Repeatable;
                 let disconnected = async {
                     conn.gone().await;
@@ -689,7 +692,8 @@
             self.metrics.lag.set(lag.get(arrived_at) as f64 / 1e6);
             lag.usable_wait(arrived_at, sender_timeout)
         };
-        // Twice the slack is reserved: once for the module's final decision, once for the answer's way to the sender.
+        // Twice the slack is reserved: once for the module's final decision, once for the answer's way to the
+        // sender.
         let due = (arrived_at + sender_timeout).saturating_sub(2 * router.answer_slack);
         if due <= self.clock.now() + router.round {
             return Err(rejection(503, "no-time", "too little of the sender's time is left"));
@@ -710,8 +714,8 @@
         let in_time = config.rings[route.sender].in_time(self.signature_time(), sent);
         in_time.map_err(|e| self.reject_unverified(&sender.name, source, &e))?;
         let now = self.clock.now();
-        // The callback's slot is reserved before the id is entered into the cache, so that a concurrent repeat never
-        // waits for a call that will not run. An id already in the cache needs no slot.
+        // The callback's slot is reserved before the id is entered into the cache, so that a concurrent
+        // repeat never waits for a call that will not run. An id already in the cache needs no slot.
         let callback = match callback.filter(|_| !cache.knows(now, &scoped)) {
             None => None,
             Some(index) => {
--- a/crates/badgerwind-gateway/src/front/responses.rs
+++ b/crates/badgerwind-gateway/src/front/responses.rs
@@ -35,7 +35,8 @@
     });
     let response = Response::new(rejection.status, "application/problem+json", body.to_string().into_bytes());
     match rejection.retry_after {
-        // Retry-After is in whole seconds (RFC 9110 section 10.2.3), rounded up; a second header has milliseconds.
+        // Retry-After is in whole seconds (RFC 9110 section 10.2.3), rounded up; a second header has
+        // milliseconds.
         Some(span) => response
             .with("retry-after", span.div_ceil(1_000_000).to_string())
             .with("badgerwind-retry-after-ms", span.div_ceil(1000).to_string()),
@@ -48,8 +49,8 @@
     Arc::new(answer.clone().with(REPLAYED_HEADER, "1"))
 }
 
-/// Forwards a streamed answer. If the stream ends early, the connection is closed without the final chunk, so that the
-/// sender sees it as incomplete.
+/// Forwards a streamed answer. If the stream ends early, the connection is closed without the final chunk, so
+/// that the sender sees it as incomplete.
 pub(super) async fn forward_stream(
     conn: &mut Conn<Stream>,
     response: &Response,
--- a/crates/badgerwind-gateway/src/lib.rs
+++ b/crates/badgerwind-gateway/src/lib.rs
@@ -1,6 +1,6 @@
-//! The gateway daemon. Fronts implement a protocol; the engine runs the driver and carries out its outputs; clients talk
-//! to runners, the list service and other front ends. Where a call goes and whether it is retried is decided by the
-//! decision module, not here.
+//! The gateway daemon. Fronts implement a protocol; the engine runs the driver and carries out its outputs;
+//! clients talk to runners, the list service and other front ends. Where a call goes and whether it is
+//! retried is decided by the decision module, not here.
 
 #![warn(missing_docs)]
 
--- a/crates/badgerwind-gateway/src/list.rs
+++ b/crates/badgerwind-gateway/src/list.rs
@@ -34,13 +34,15 @@
 
 /// Time allowed for a response beyond the poll timeout, for which the service may hold a request open.
 const RESPONSE_GRACE: Duration = Duration::from_secs(2);
-/// How long a start waits for the service before it uses the cached list, which may miss runners that have drained since.
+/// How long a start waits for the service before it uses the cached list, which may miss runners that have
+/// drained since.
 const STARTUP_WAIT: Duration = Duration::from_secs(1);
 /// Largest list, in bytes.
 const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
 impl ListClient {
-    /// Follows the service until the task is dropped. The cached list is used if the service does not answer at the start.
+    /// Follows the service until the task is dropped. The cached list is used if the service does not answer
+    /// at the start.
     pub(crate) async fn run(self) {
         let mut known: BTreeMap<u32, Runner> = BTreeMap::new();
         let mut cached = self.load_cache();
@@ -56,7 +58,8 @@
         let (mut watching, mut version, mut failing) = (!on_request, None, false);
         loop {
             if !watching && cached.is_none() {
-                // Fetches only what the module requests, apart from the first request, which replaces a cached list.
+                // Fetches only what the module requests, apart from the first request, which replaces a
+                // cached list.
                 match self.requests.recv().await {
                     Ok(ListRequest::Watch(on)) => watching = on,
                     Ok(ListRequest::Fetch) => version = None,
@@ -183,8 +186,8 @@
     }
 }
 
-/// Writes a temporary file, syncs it and renames it into place, so that a crash leaves either the old list or the new
-/// one.
+/// Writes a temporary file, syncs it and renames it into place, so that a crash leaves either the old list or
+/// the new one.
 fn write_cache(path: &Path, list: &List) -> std::io::Result<()> {
     let temporary = path.with_extension("new");
     let mut file = std::fs::File::create(&temporary)?;
--- a/crates/badgerwind-gateway/src/peers.rs
+++ b/crates/badgerwind-gateway/src/peers.rs
@@ -1,8 +1,8 @@
 //! Messages between front ends: one authenticated datagram each. Lost datagrams do no harm.
 //!
-//! `number(4) counter(8) bytes(0..=256) tag(16)`, big-endian; the tag is HMAC-SHA256 over all preceding bytes, truncated
-//! to 16 bytes (RFC 2104 section 5). A sender's counter starts at its wall clock and only grows while the process runs, so
-//! a replayed datagram is dropped.
+//! `number(4) counter(8) bytes(0..=256) tag(16)`, big-endian; the tag is HMAC-SHA256 over all preceding
+//! bytes, truncated to 16 bytes (RFC 2104 section 5). A sender's counter starts at its wall clock and only
+//! grows while the process runs, so a replayed datagram is dropped.
 
 use crate::dispatch::Input;
 use crate::shares::Shares;
@@ -47,8 +47,8 @@
     Some(datagram)
 }
 
-/// Checks a datagram and returns the sender's number, its counter and the message; `None` if the tag is invalid or the
-/// length is wrong.
+/// Checks a datagram and returns the sender's number, its counter and the message; `None` if the tag is
+/// invalid or the length is wrong.
 pub(crate) fn open<'a>(key: &Key, datagram: &'a [u8]) -> Option<(u32, u64, &'a [u8])> {
     let (message, tag) = datagram.split_at_checked(datagram.len().checked_sub(TAG_BYTES)?)?;
     mac_of(key, message)?.verify_truncated_left(tag).ok()?;
@@ -63,8 +63,9 @@
 /// Pause between those attempts.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Binds a datagram socket. Retries while the address is in use: a process that has just ended may still hold it, and so
-/// may a process being spawned that has inherited a copy of the descriptor until it runs its program.
+/// Binds a datagram socket. Retries while the address is in use: a process that has just ended may still hold
+/// it, and so may a process being spawned that has inherited a copy of the descriptor until it runs its
+/// program.
 pub(crate) fn bind(address: SocketAddr) -> std::io::Result<UdpSocket> {
     for _ in 1..BIND_ATTEMPTS {
         match UdpSocket::bind(address) {
--- a/crates/badgerwind-gateway/src/runners.rs
+++ b/crates/badgerwind-gateway/src/runners.rs
@@ -1,4 +1,5 @@
-//! The client of the runners: their endpoints, and the calls, cancellations, load orders and probes sent to them.
+//! The client of the runners: their endpoints, and the calls, cancellations, load orders and probes sent to
+//! them.
 
 use crate::dispatch::{Content, Input};
 use async_channel::{Receiver, Sender};
@@ -22,8 +23,8 @@
 pub(crate) struct Reply {
     pub content_type: Option<String>,
     pub body: Arc<[u8]>,
-    /// The remaining body of a streamed answer. An empty chunk marks the regular end; a close without one means that the
-    /// stream broke off.
+    /// The remaining body of a streamed answer. An empty chunk marks the regular end; a close without one
+    /// means that the stream broke off.
     pub rest: Option<Receiver<Vec<u8>>>,
 }
 
@@ -39,8 +40,8 @@
 /// The endpoint of a runner.
 struct Endpoint {
     pool: Arc<Pool>,
-    /// The runner is draining: no new work is sent to it, even while its grace period lasts. On an overloaded machine the
-    /// notice of the drain may have been delayed for an unknown time.
+    /// The runner is draining: no new work is sent to it, even while its grace period lasts. On an overloaded
+    /// machine the notice of the drain may have been delayed for an unknown time.
     draining: bool,
 }
 
@@ -73,7 +74,8 @@
         Runners { settings, signing_key, tls, clock, endpoints: Mutex::default() }
     }
 
-    /// Replaces settings, key and certificates; calls already accepted keep the settings they were accepted under.
+    /// Replaces settings, key and certificates; calls already accepted keep the settings they were accepted
+    /// under.
     pub(crate) fn update(&self, settings: Arc<Settings>, key: Key, tls: Option<ClientTls>) {
         let bounds = pool_bounds(&settings);
         let mut current_tls = self.tls.write().unwrap_or_else(PoisonError::into_inner);
@@ -98,7 +100,8 @@
         self.endpoints.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies a list: endpoints, draining and removed runners. Attempts at a removed runner keep their connections.
+    /// Applies a list: endpoints, draining and removed runners. Attempts at a removed runner keep their
+    /// connections.
     pub(crate) fn apply_list(&self, list: &list::List) {
         let bounds = pool_bounds(&self.settings());
         let tls = self.tls.read().unwrap_or_else(PoisonError::into_inner);
@@ -127,8 +130,9 @@
         self.endpoints().get(&worker).map(|p| p.pool.clone())
     }
 
-    /// Whether new work may start at a runner over a connection of this pool. Checked when the first byte can be sent:
-    /// while the connection was established, the runner may have started to drain, been removed, or changed its address.
+    /// Whether new work may start at a runner over a connection of this pool. Checked when the first byte can
+    /// be sent: while the connection was established, the runner may have started to drain, been removed, or
+    /// changed its address.
     fn may_start(&self, worker: WorkerId, pool: &Arc<Pool>) -> bool {
         self.endpoints().get(&worker).is_some_and(|p| !p.draining && Arc::ptr_eq(&p.pool, pool))
     }
@@ -172,8 +176,8 @@
         }
     }
 
-    /// Runs one attempt to its end. When cancelled it asks the runner to stop, and drops its connection once the runner
-    /// has confirmed; an answer that arrives first counts.
+    /// Runs one attempt to its end. When cancelled it asks the runner to stop, and drops its connection once
+    /// the runner has confirmed; an answer that arrives first counts.
     pub(crate) async fn attempt(
         &self,
         id: &RequestId,
@@ -190,7 +194,8 @@
                 Err(_) => futures_lite::future::pending().await,
             }
         };
-        // Until the connection is established nothing has started, and nothing has to be stopped at the runner.
+        // Until the connection is established nothing has started, and nothing has to be stopped at the
+        // runner.
         let connection = match async { Race::Signal(next_signal().await) }
             .or(async { Race::Completed(pool.way().await) })
             .await
--- a/crates/badgerwind-gateway/src/secrets.rs
+++ b/crates/badgerwind-gateway/src/secrets.rs
@@ -1,5 +1,5 @@
-//! Loads keys and certificates from files. A key file that other users can read is rejected; errors never contain key
-//! material.
+//! Loads keys and certificates from files. A key file that other users can read is rejected; errors never
+//! contain key material.
 
 use badgerwind_http::{ClientTls, Identity, ServerTls, TlsError};
 use badgerwind_settings::{Problem, Settings};
@@ -111,7 +111,8 @@
     ClientTls::new(&authority, &tls.server_name, identity).map_err(tls_problem)
 }
 
-/// Loads all keys and certificates; relative paths are relative to `folder`. All problems are returned together.
+/// Loads all keys and certificates; relative paths are relative to `folder`. All problems are returned
+/// together.
 pub fn load(file: &str, folder: &Path, settings: &Settings) -> Result<Secrets, Vec<Problem>> {
     let mut problems = Vec::new();
     let mut tls_problems = Vec::new();
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -61,8 +61,8 @@
 /// Reads the settings again.
 pub type SettingsReader = Box<dyn Fn() -> Result<Settings, Vec<Problem>> + Send + Sync>;
 
-/// The running settings, with the reloadable parts from another version. Calls refer to their sender by its index, so
-/// the senders must be the same in the same order.
+/// The running settings, with the reloadable parts from another version. Calls refer to their sender by its
+/// index, so the senders must be the same in the same order.
 fn merge_reloadable(running: &Settings, from: Settings) -> Result<Settings, Vec<Problem>> {
     let names =
         |s: &Settings| s.webhook.senders.iter().map(|s| (s.name.clone(), s.tenant)).collect::<Vec<_>>();
@@ -78,7 +78,8 @@
     let mut settings = running.clone();
     settings.webhook.senders = from.webhook.senders;
     settings.webhook.guard = from.webhook.guard;
-    // TLS is only turned on or off by a restart: a reload would cut off clients that have not been reconfigured.
+    // TLS is only turned on or off by a restart: a reload would cut off clients that have not been
+    // reconfigured.
     if settings.webhook.tls.is_some() && from.webhook.tls.is_some() {
         settings.webhook.tls = from.webhook.tls;
     }
@@ -90,7 +91,8 @@
     if settings.budgets.is_some() && from.budgets.is_some() {
         settings.budgets = from.budgets;
     }
-    // Only the operator's directives are reloaded. They refer to zones by index, so the zones must be the same.
+    // Only the operator's directives are reloaded. They refer to zones by index, so the zones must be the
+    // same.
     if let (Some(current), Some(new)) = (&mut settings.leaving, from.leaving) {
         if settings.zones == from.zones {
             current.directives = new.directives;
@@ -203,8 +205,8 @@
         let (report, shares, zones) = (report.clone(), shares.clone(), zones.clone());
         tasks.push(smol::spawn(async move { peers.listen(report, shares, zones).await }));
     }
-    // With zone evacuation the list passes through `Zones`, so that one task reports everything about runners to the
-    // engine.
+    // With zone evacuation the list passes through `Zones`, so that one task reports everything about runners
+    // to the engine.
     let list_updates = match zones.clone() {
         Some(zones) => {
             let (list_updates, received_updates) = async_channel::bounded(16);
@@ -359,10 +361,10 @@
 }
 
 impl Running {
-    /// Returns a function that reloads the key files and certificates. It applies all or none: if one is invalid, nothing
-    /// changes and the problems are returned. `reread` reads the settings again, of which these parts are applied: the
-    /// senders' secrets and callbacks, the guard, budgets, zone directives, certificates and the runners' key. Without it
-    /// the settings stay unchanged.
+    /// Returns a function that reloads the key files and certificates. It applies all or none: if one is
+    /// invalid, nothing changes and the problems are returned. `reread` reads the settings again, of which
+    /// these parts are applied: the senders' secrets and callbacks, the guard, budgets, zone directives,
+    /// certificates and the runners' key. Without it the settings stay unchanged.
     pub fn reloader(
         &self,
         reread: Option<SettingsReader>,
@@ -394,8 +396,9 @@
         }
     }
 
-    /// Serves until `stop` completes, then shuts down gracefully: no new call is accepted, and open calls are answered by
-    /// the module. Calls still open when the stop timeout ends or `now` completes are answered as failed.
+    /// Serves until `stop` completes, then shuts down gracefully: no new call is accepted, and open calls are
+    /// answered by the module. Calls still open when the stop timeout ends or `now` completes are answered as
+    /// failed.
     pub async fn serve_until(
         self,
         stop: impl std::future::Future<Output = ()>,
@@ -424,7 +427,8 @@
         tracing::info!(owed = unanswered.load(Ordering::Relaxed), "stopping");
         let deadline = Instant::now() + stop_timeout;
         let idle = async {
-            // A call accepted by a front reaches the engine within a round, so the count must be zero twice in a row.
+            // A call accepted by a front reaches the engine within a round, so the count must be zero twice
+            // in a row.
             let mut zero_counts = 0;
             while zero_counts < 2 && Instant::now() < deadline {
                 Timer::after(Duration::from_millis(20)).await;
--- a/crates/badgerwind-gateway/src/shares.rs
+++ b/crates/badgerwind-gateway/src/shares.rs
@@ -1,6 +1,7 @@
-//! The fleet's budgets in a front end: runs the state machines of `badgerwind-budgets` and `badgerwind-members` over the
-//! datagrams between front ends. A lease is checked and its unit spent under one lock. The decision module receives its
-//! local quotas as an ordinary input. A front end that receives no messages keeps its floors and its local limits.
+//! The fleet's budgets in a front end: runs the state machines of `badgerwind-budgets` and
+//! `badgerwind-members` over the datagrams between front ends. A lease is checked and its unit spent under
+//! one lock. The decision module receives its local quotas as an ordinary input. A front end that receives no
+//! messages keeps its floors and its local limits.
 
 use crate::clock::Clock;
 use crate::dispatch::Input;
@@ -111,7 +112,8 @@
         Ok(())
     }
 
-    /// Applies other settings, in which quotas and the order of tenants may differ. Ownership of units does not change.
+    /// Applies other settings, in which quotas and the order of tenants may differ. Ownership of units does
+    /// not change.
     pub(crate) fn apply_settings(&self, settings: &Settings) {
         let mut state = self.state();
         state.router = settings.router.clone();
--- a/crates/badgerwind-gateway/src/zones.rs
+++ b/crates/badgerwind-gateway/src/zones.rs
@@ -1,6 +1,7 @@
-//! Moves traffic away from a failing zone: runs the state machines of `badgerwind-zones` over the datagrams between front
-//! ends. It sits between the runner list and the engine and reports runners of an evacuated zone to the decision module as
-//! draining, so that work there ends and nothing new is sent. The module still decides each call.
+//! Moves traffic away from a failing zone: runs the state machines of `badgerwind-zones` over the datagrams
+//! between front ends. It sits between the runner list and the engine and reports runners of an evacuated
+//! zone to the decision module as draining, so that work there ends and nothing new is sent. The module still
+//! decides each call.
 
 use crate::clock::Clock;
 use crate::dispatch::Input;
@@ -51,8 +52,8 @@
             Some(Evidence::Observed(Observation::Answered))
         }
         Outcome::ConnectFailed | Outcome::Reset => Some(Evidence::Observed(Observation::Lost)),
-        // The module cancels overdue attempts. A caller that disconnected is the rarer case; the next answer corrects
-        // the count.
+        // The module cancels overdue attempts. A caller that disconnected is the rarer case; the next answer
+        // corrects the count.
         Outcome::Timeout | Outcome::Cancelled => Some(Evidence::Unanswered),
         Outcome::Moot => None,
     }
@@ -128,7 +129,8 @@
         true
     }
 
-    /// Forwards the runner list as the module is to see it, and every change of open zones, until the list's sender ends.
+    /// Forwards the runner list as the module is to see it, and every change of open zones, until the list's
+    /// sender ends.
     pub(crate) async fn run(self: Arc<Self>, lists: Receiver<Input>, report: Sender<Input>) {
         let mut heartbeats = 0;
         loop {
--- a/crates/badgerwind-gateway/tests/unit/answers_due.rs
+++ b/crates/badgerwind-gateway/tests/unit/answers_due.rs
@@ -1,4 +1,5 @@
-//! Unit tests of `answers_due.rs`: an overloaded front end writes pending answers before it takes new messages.
+//! Unit tests of `answers_due.rs`: an overloaded front end writes pending answers before it takes new
+//! messages.
 
 use super::{AnswersDue, MAX_TURNS};
 use futures_lite::future;
