--- a/crates/badgerwind-cli/examples/blind_to_drains.rs
+++ b/crates/badgerwind-cli/examples/blind_to_drains.rs
@@ -1,5 +1,5 @@
-//! A front end that is never told of a drain. It shows that a bad day can find one that does not keep them: run
-//! `badgerwind bad-day --like drain --gateway` with this program.
+//! A front end that sees draining runners as ready. It shows that `badgerwind bad-day` detects a gateway that
+//! ignores drains: run `badgerwind bad-day --like drain --gateway` with this program.
 
 use badgerwind_cli::serve::{load, serve_with};
 use badgerwind_gateway::Options;
@@ -13,22 +13,23 @@
     Serve(badgerwind_cli::serve::Args),
 }
 
-fn blind(list: &mut List) {
+/// Marks draining runners as ready.
+fn hide_drains(list: &mut List) {
     list.runners.iter_mut().filter(|r| r.state == State::Draining).for_each(|r| r.state = State::Ready);
 }
 
 fn main() -> ExitCode {
     let Args::Serve(args) = Args::parse();
-    let served = load(&args.settings).and_then(|(settings, secrets, folder)| {
+    let result = load(&args.settings).and_then(|(settings, secrets, folder)| {
         let mut options = Options::new(Arc::new(settings), secrets, folder);
-        options.list_filter = Some(blind);
+        options.list_filter = Some(hide_drains);
         serve_with(options, args.ready_file.as_deref(), None)
     });
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(stop) => {
-            eprintln!("{}", stop.text);
-            ExitCode::from(stop.code)
+        Err(error) => {
+            eprintln!("{}", error.message);
+            ExitCode::from(error.exit_code)
         }
     }
 }
--- a/crates/badgerwind-cli/src/budgets/day.rs
+++ b/crates/badgerwind-cli/src/budgets/day.rs
@@ -3,7 +3,7 @@
 use super::net::Net;
 use super::schedule::{Act, Schedule};
 use super::Trial;
-use crate::{write_whole, Stop};
+use crate::{write_atomically, CommandError};
 use badgerwind_check::budgets::{judge, Line, Sums};
 use badgerwind_webhook::{Key, KeyKind};
 use rand::rngs::StdRng;
@@ -38,12 +38,12 @@
 struct Process(Child);
 
 impl Process {
-    fn signal(&self, name: &str) -> Result<(), Stop> {
+    fn signal(&self, name: &str) -> Result<(), CommandError> {
         // The standard library has only SIGKILL.
         let done = Command::new("kill").args([name, &self.0.id().to_string()]).status();
         match done {
             Ok(status) if status.success() => Ok(()),
-            other => Err(Stop::failed(format!("cannot send {name}: {other:?}"))),
+            other => Err(CommandError::failed(format!("cannot send {name}: {other:?}"))),
         }
     }
 }
@@ -67,7 +67,7 @@
 }
 
 impl Fleet<'_> {
-    fn start(&mut self, n: u16) -> Result<(), Stop> {
+    fn start(&mut self, n: u16) -> Result<(), CommandError> {
         let at = usize::from(n);
         if self.processes[at].is_some() {
             return Ok(());
@@ -76,7 +76,7 @@
         let file = |name: String| self.folder.join(name);
         self.logs[at] = file(format!("member-{n}-{}.log", self.starts));
         let log = File::create(&self.logs[at]);
-        let log = log.map_err(|e| Stop::failed(format!("cannot write a log: {e}")))?;
+        let log = log.map_err(|e| CommandError::failed(format!("cannot write a log: {e}")))?;
         let child = Command::new(self.program)
             .arg("fleet-member")
             .args(["--number", &n.to_string(), "--listen", &self.net.listen[at].to_string()])
@@ -90,7 +90,7 @@
             .stdin(Stdio::null())
             .stderr(log)
             .spawn();
-        let child = child.map_err(|e| Stop::failed(format!("cannot start a member: {e}")))?;
+        let child = child.map_err(|e| CommandError::failed(format!("cannot start a member: {e}")))?;
         self.processes[at] = Some(Process(child));
         Ok(())
     }
@@ -108,8 +108,8 @@
     }
 }
 
-fn lines(folder: &Path) -> Result<Vec<Line>, Stop> {
-    let failed = |e: std::io::Error| Stop::failed(format!("cannot read the records: {e}"));
+fn lines(folder: &Path) -> Result<Vec<Line>, CommandError> {
+    let failed = |e: std::io::Error| CommandError::failed(format!("cannot read the records: {e}"));
     let mut all = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(failed)? {
         let path: PathBuf = entry.map_err(failed)?.path();
@@ -121,25 +121,25 @@
         text.truncate(text.rfind('\n').map_or(0, |at| at + 1));
         for line in text.lines() {
             let line = serde_json::from_str(line);
-            all.push(line.map_err(|e| Stop::failed(format!("{}: {e}", path.display())))?);
+            all.push(line.map_err(|e| CommandError::failed(format!("{}: {e}", path.display())))?);
         }
     }
     Ok(all)
 }
 
 /// Plays a schedule with members of this program, and judges it. The folder keeps what they wrote.
-pub fn play(schedule: &Schedule, program: &Path, folder: &Path) -> Result<Played, Stop> {
-    let failed = |e: std::io::Error| Stop::failed(format!("no network: {e}"));
+pub fn play(schedule: &Schedule, program: &Path, folder: &Path) -> Result<Played, CommandError> {
+    let failed = |e: std::io::Error| CommandError::failed(format!("no network: {e}"));
     let net = Net::start(usize::from(schedule.members), schedule.seed).map_err(failed)?;
     net.change(|w| {
         (w.loss, w.twice) = (schedule.loss, schedule.twice);
         w.delay = Duration::from_millis(schedule.delay_ms);
     });
-    let key = Key::generate(KeyKind::Shared).map_err(|e| Stop::failed(format!("no key: {e}")))?;
+    let key = Key::generate(KeyKind::Shared).map_err(|e| CommandError::failed(format!("no key: {e}")))?;
     let path = folder.join("key");
     let file = OpenOptions::new().write(true).create_new(true).mode(0o600).open(&path);
     file.and_then(|mut f| f.write_all(key.to_text().as_bytes()))
-        .map_err(|e| Stop::failed(format!("cannot write {}: {e}", path.display())))?;
+        .map_err(|e| CommandError::failed(format!("cannot write {}: {e}", path.display())))?;
     let mut trial = Trial {
         version: 1,
         units: schedule.units,
@@ -153,9 +153,9 @@
         peers: (0..).zip(net.known.iter().copied()).collect(),
         wants: (0..schedule.members).map(|n| (n, schedule.units)).collect(),
     };
-    let tell = |trial: &Trial| -> Result<(), Stop> {
-        let text = serde_json::to_string(trial).map_err(|e| Stop::failed(e.to_string()))?;
-        write_whole(&folder.join("trial.json"), &text)
+    let tell = |trial: &Trial| -> Result<(), CommandError> {
+        let text = serde_json::to_string(trial).map_err(|e| CommandError::failed(e.to_string()))?;
+        write_atomically(&folder.join("trial.json"), &text)
     };
     tell(&trial)?;
     let mut rng = StdRng::seed_from_u64(schedule.seed);
@@ -169,7 +169,7 @@
     for (at, act) in &schedule.acts {
         std::thread::sleep(Duration::from_millis(*at).saturating_sub(began.elapsed()));
         fleet.look();
-        let each = |who: &[u16], signal: &str| -> Result<(), Stop> {
+        let each = |who: &[u16], signal: &str| -> Result<(), CommandError> {
             let mut all = who.iter().filter_map(|n| fleet.processes[usize::from(*n)].as_ref());
             all.try_for_each(|p| p.signal(signal))
         };
@@ -214,17 +214,17 @@
     pub shrink: usize,
 }
 
-fn read(path: &Path) -> Result<Schedule, Stop> {
+fn read(path: &Path) -> Result<Schedule, CommandError> {
     let shown = path.display();
-    let text = std::fs::read(path).map_err(|e| Stop::usage(format!("cannot read {shown}: {e}")))?;
-    let schedule: Schedule =
-        serde_json::from_slice(&text).map_err(|e| Stop::usage(format!("{shown}: not a schedule: {e}")))?;
-    schedule.check().map_err(|what| Stop::usage(format!("{shown}: {what}")))?;
+    let text = std::fs::read(path).map_err(|e| CommandError::usage(format!("cannot read {shown}: {e}")))?;
+    let schedule: Schedule = serde_json::from_slice(&text)
+        .map_err(|e| CommandError::usage(format!("{shown}: not a schedule: {e}")))?;
+    schedule.check().map_err(|what| CommandError::usage(format!("{shown}: {what}")))?;
     Ok(schedule)
 }
 
 /// `bad-day --budgets`: draws or reads a schedule, plays it, tells what it came to.
-pub fn run(day: &Day<'_>) -> Result<(), Stop> {
+pub fn run(day: &Day<'_>) -> Result<(), CommandError> {
     let drawn = || {
         let members = day
             .fronts
@@ -235,22 +235,25 @@
     let made;
     let folder = match day.keep {
         Some(folder) => {
-            std::fs::create_dir(folder).map_err(|e| Stop::usage(format!("{}: {e}", folder.display())))?;
+            std::fs::create_dir(folder)
+                .map_err(|e| CommandError::usage(format!("{}: {e}", folder.display())))?;
             folder
         }
         None => {
-            made = tempfile::tempdir().map_err(|e| Stop::failed(format!("no temporary folder: {e}")))?;
+            made =
+                tempfile::tempdir().map_err(|e| CommandError::failed(format!("no temporary folder: {e}")))?;
             made.path()
         }
     };
-    let text = |s: &Schedule| serde_json::to_string_pretty(s).map_err(|e| Stop::failed(e.to_string()));
-    write_whole(&folder.join("schedule.json"), &text(&schedule)?)?;
-    let program =
-        std::env::current_exe().map_err(|e| Stop::failed(format!("cannot find this program: {e}")))?;
+    let text =
+        |s: &Schedule| serde_json::to_string_pretty(s).map_err(|e| CommandError::failed(e.to_string()));
+    write_atomically(&folder.join("schedule.json"), &text(&schedule)?)?;
+    let program = std::env::current_exe()
+        .map_err(|e| CommandError::failed(format!("cannot find this program: {e}")))?;
     let Played { sums, wrong, carried } = play(&schedule, &program, folder)?;
     if day.keep.is_some() {
         let picture = super::draw::svg(&schedule, &lines(folder)?);
-        write_whole(&folder.join("ownership.svg"), &picture.map_err(Stop::failed)?)?;
+        write_atomically(&folder.join("ownership.svg"), &picture.map_err(CommandError::failed)?)?;
     }
     println!(
         "seed {}, {} s, {} members ({} vote), {} units, floors of {}, {} troubles",
@@ -281,5 +284,5 @@
         println!("the smallest that still breaks, by {} plays at the most:\n{}", day.shrink, text(&least)?);
     }
     println!("budgets: broken, {} times", sums.broken.len() + wrong.len());
-    Err(Stop::failed(String::new()))
+    Err(CommandError::failed(String::new()))
 }
--- a/crates/badgerwind-cli/src/budgets/mod.rs
+++ b/crates/badgerwind-cli/src/budgets/mod.rs
@@ -11,7 +11,7 @@
 pub use schedule::{Act, Schedule};
 pub use shrink::shrink;
 
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_budgets::{LeaseSettings, Limit, LimitSet, Member, Unit};
 use badgerwind_check::budgets::{Line, What};
 use badgerwind_gateway::fleet::{wall, FleetMember, MemberOptions};
@@ -77,10 +77,11 @@
 }
 
 impl Trial {
-    fn read(path: &Path) -> Result<Trial, Stop> {
+    fn read(path: &Path) -> Result<Trial, CommandError> {
         let shown = path.display();
-        let text = std::fs::read(path).map_err(|e| Stop::usage(format!("cannot read {shown}: {e}")))?;
-        serde_json::from_slice(&text).map_err(|e| Stop::usage(format!("{shown}: {e}")))
+        let text =
+            std::fs::read(path).map_err(|e| CommandError::usage(format!("cannot read {shown}: {e}")))?;
+        serde_json::from_slice(&text).map_err(|e| CommandError::usage(format!("{shown}: {e}")))
     }
 
     fn book(&self) -> LimitSet {
@@ -99,19 +100,20 @@
 struct Record(File);
 
 impl Record {
-    fn write(&mut self, line: &Line) -> Result<(), Stop> {
-        let mut text = serde_json::to_vec(line).map_err(|e| Stop::failed(e.to_string()))?;
+    fn write(&mut self, line: &Line) -> Result<(), CommandError> {
+        let mut text = serde_json::to_vec(line).map_err(|e| CommandError::failed(e.to_string()))?;
         text.push(b'\n');
-        self.0.write_all(&text).map_err(|e| Stop::failed(format!("cannot write the record: {e}")))
+        self.0.write_all(&text).map_err(|e| CommandError::failed(format!("cannot write the record: {e}")))
     }
 }
 
 /// A member that would spend more than it may, until it is killed.
-pub fn member(args: &MemberArgs) -> Result<(), Stop> {
+pub fn member(args: &MemberArgs) -> Result<(), CommandError> {
     let trial = Trial::read(&args.trial)?;
     let text = std::fs::read_to_string(&args.key);
-    let text = text.map_err(|e| Stop::usage(format!("cannot read {}: {e}", args.key.display())))?;
-    let key = Key::parse(text.trim()).map_err(|e| Stop::usage(format!("{}: {e}", args.key.display())))?;
+    let text = text.map_err(|e| CommandError::usage(format!("cannot read {}: {e}", args.key.display())))?;
+    let key =
+        Key::parse(text.trim()).map_err(|e| CommandError::usage(format!("{}: {e}", args.key.display())))?;
     let options = MemberOptions {
         number: args.number,
         listen: args.listen,
@@ -121,10 +123,11 @@
         terms: trial.terms(),
         clock_fast: args.clock_fast,
     };
-    let member = FleetMember::start(options).map_err(|e| Stop::usage(e.to_string()))?;
+    let member = FleetMember::start(options).map_err(|e| CommandError::usage(e.to_string()))?;
     let member = Arc::new(member);
     let file = File::create(&args.record);
-    let file = file.map_err(|e| Stop::usage(format!("cannot write {}: {e}", args.record.display())))?;
+    let file =
+        file.map_err(|e| CommandError::usage(format!("cannot write {}: {e}", args.record.display())))?;
     let mut record = Record(file);
     let speaks = member.clone();
     std::thread::spawn(move || speaks.run(&AtomicBool::new(false)));
@@ -141,7 +144,7 @@
                     node.set_wanted(0, wants);
                     node.apply_limits(now, &next.book())
                 });
-                set.map_err(|e| Stop::usage(format!("{}: {e}", args.trial.display())))?;
+                set.map_err(|e| CommandError::usage(format!("{}: {e}", args.trial.display())))?;
             }
         }
         turn += 1;
--- a/crates/badgerwind-cli/src/control.rs
+++ b/crates/badgerwind-cli/src/control.rs
@@ -1,6 +1,6 @@
 //! `control`.
 
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_config::parts::Kind;
 use badgerwind_config::waves::{RolloutPolicy, Stage};
 use badgerwind_control::{folder, serve, Pin, Status};
@@ -107,34 +107,34 @@
     })
 }
 
-fn unfit(e: folder::FolderError) -> Stop {
+fn unfit(e: folder::FolderError) -> CommandError {
     match e {
-        folder::FolderError::Io(..) => Stop::failed(e.to_string()),
-        _ => Stop::usage(e.to_string()),
+        folder::FolderError::Io(..) => CommandError::failed(e.to_string()),
+        _ => CommandError::usage(e.to_string()),
     }
 }
 
 /// Asks the service something.
-fn ask(at: SocketAddr, method: &'static str, target: &str, body: Vec<u8>) -> Result<Vec<u8>, Stop> {
+fn ask(at: SocketAddr, method: &'static str, target: &str, body: Vec<u8>) -> Result<Vec<u8>, CommandError> {
     let time = Duration::from_secs(10);
     let bounds = PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 64 << 20 };
     let request = Exchange { method, target: target.into(), headers: vec![], body: Arc::from(body) };
     let (head, body) = smol::block_on(Pool::new(at, bounds).exchange(&request))
-        .map_err(|e| Stop::failed(format!("the control service at {at}: {e}")))?;
+        .map_err(|e| CommandError::failed(format!("the control service at {at}: {e}")))?;
     match head.status {
         200 => Ok(body),
-        404 => Err(Stop::usage("no front end of that name has been heard of")),
-        status => Err(Stop::failed(format!("status {status}: {}", String::from_utf8_lossy(&body)))),
+        404 => Err(CommandError::usage("no front end of that name has been heard of")),
+        status => Err(CommandError::failed(format!("status {status}: {}", String::from_utf8_lossy(&body)))),
     }
 }
 
-fn pin(at: SocketAddr, id: &str, pinned: bool) -> Result<(), Stop> {
+fn pin(at: SocketAddr, id: &str, pinned: bool) -> Result<(), CommandError> {
     let body = serde_json::to_vec(&Pin { id: id.to_owned(), pinned });
-    ask(at, "POST", "/pin", body.map_err(|e| Stop::failed(e.to_string()))?).map(|_| ())
+    ask(at, "POST", "/pin", body.map_err(|e| CommandError::failed(e.to_string()))?).map(|_| ())
 }
 
 /// Runs a sub-command.
-pub fn run(command: &Command) -> Result<(), Stop> {
+pub fn run(command: &Command) -> Result<(), CommandError> {
     match command {
         Command::Serve { folder, listen, name, first, settle_ms, most_rejected, most_worse, ready_file } => {
             badgerwind_gateway::logging::start(true, "info");
@@ -146,12 +146,16 @@
                 front_end_timeout: 60_000_000,
             };
             smol::block_on(async {
-                let failed = |e: std::io::Error| Stop::failed(format!("cannot listen on {listen}: {e}"));
+                let failed =
+                    |e: std::io::Error| CommandError::failed(format!("cannot listen on {listen}: {e}"));
                 let listener = TcpListener::bind(listen).await.map_err(failed)?;
                 let address = listener.local_addr().map_err(failed)?;
                 match ready_file {
                     Some(path) => {
-                        crate::write_whole(path, &serde_json::json!({ "address": address }).to_string())?;
+                        crate::write_atomically(
+                            path,
+                            &serde_json::json!({ "address": address }).to_string(),
+                        )?;
                     }
                     None => println!("listening on {address}"),
                 }
@@ -161,7 +165,7 @@
         }
         Command::Publish { folder, kind, file } => {
             let text = std::fs::read_to_string(file)
-                .map_err(|e| Stop::usage(format!("cannot read {}: {e}", file.display())))?;
+                .map_err(|e| CommandError::usage(format!("cannot read {}: {e}", file.display())))?;
             let number = folder::publish(folder, *kind, &text).map_err(unfit)?;
             println!("{} {number}", kind.name());
             Ok(())
@@ -181,8 +185,8 @@
                 println!("{}", String::from_utf8_lossy(&body));
                 return Ok(());
             }
-            let status: Status =
-                serde_json::from_slice(&body).map_err(|e| Stop::failed(format!("not a status: {e}")))?;
+            let status: Status = serde_json::from_slice(&body)
+                .map_err(|e| CommandError::failed(format!("not a status: {e}")))?;
             print!("{}", table(&status));
             Ok(())
         }
--- a/crates/badgerwind-cli/src/day/fleet.rs
+++ b/crates/badgerwind-cli/src/day/fleet.rs
@@ -3,7 +3,7 @@
 use super::script::Act;
 use super::world::World;
 use crate::standin::RunnerFile;
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_check::What;
 use badgerwind_protocol::list::{Runner, State};
 use badgerwind_standins::list::Lag;
@@ -73,8 +73,8 @@
     ports: Ports,
 }
 
-fn failed(what: &str, e: impl std::fmt::Display) -> Stop {
-    Stop::failed(format!("{what}: {e}"))
+fn failed(what: &str, e: impl std::fmt::Display) -> CommandError {
+    CommandError::failed(format!("{what}: {e}"))
 }
 
 /// Ports of one fleet alone, under the range from which outgoing connections take theirs. The first of a block is
@@ -89,26 +89,27 @@
 const BLOCK: u16 = 64;
 
 impl Ports {
-    fn take(rng: &mut StdRng) -> Result<Ports, Stop> {
+    fn take(rng: &mut StdRng) -> Result<Ports, CommandError> {
         for _ in 0..1_000 {
             let first = 20_000 + BLOCK * rng.random_range(0..187);
             if let Ok(held) = TcpListener::bind(("127.0.0.1", first)) {
                 return Ok(Ports { _held: held, rest: first + 1..first + BLOCK });
             }
         }
-        Err(Stop::failed("no block of free ports found"))
+        Err(CommandError::failed("no block of free ports found"))
     }
 
-    fn next(&mut self) -> Result<SocketAddr, Stop> {
+    fn next(&mut self) -> Result<SocketAddr, CommandError> {
         let free = |port: &u16| TcpListener::bind(("127.0.0.1", *port)).is_ok();
-        let port = self.rest.find(free).ok_or_else(|| Stop::failed("no free port left in the block"))?;
+        let port =
+            self.rest.find(free).ok_or_else(|| CommandError::failed("no free port left in the block"))?;
         Ok(SocketAddr::from(([127, 0, 0, 1], port)))
     }
 }
 
 impl Fleet {
     /// Starts all of it; returns once every process serves.
-    pub fn start(world: World, folder: &Path, programs: Programs) -> Result<Fleet, Stop> {
+    pub fn start(world: World, folder: &Path, programs: Programs) -> Result<Fleet, CommandError> {
         // Settings name files from their own place, so that a folder is named in full.
         let folder = &std::path::absolute(folder).map_err(|e| failed("cannot find the folder", e))?;
         // Ports differ from run to run: two days may run side by side.
@@ -163,7 +164,7 @@
     }
 
     /// Starts a program with its output in a file of the folder.
-    fn spawn(&mut self, name: &str, program: &Path, args: &[String]) -> Result<(), Stop> {
+    fn spawn(&mut self, name: &str, program: &Path, args: &[String]) -> Result<(), CommandError> {
         let log = self.folder.join(format!("{name}.log"));
         let log =
             File::options().create(true).append(true).open(&log).map_err(|e| failed("cannot log", e))?;
@@ -175,7 +176,7 @@
     }
 
     /// Waits for a ready file and returns the address in it.
-    fn ready(&mut self, name: &str, file: &Path, field: &str) -> Result<SocketAddr, Stop> {
+    fn ready(&mut self, name: &str, file: &Path, field: &str) -> Result<SocketAddr, CommandError> {
         let until = Instant::now() + READY_WITHIN;
         loop {
             if let Ok(text) = std::fs::read_to_string(file) {
@@ -188,7 +189,7 @@
             if exited.is_some() || Instant::now() > until {
                 let log =
                     std::fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default();
-                return Err(Stop::failed(format!("{name} does not serve:\n{log}")));
+                return Err(CommandError::failed(format!("{name} does not serve:\n{log}")));
             }
             sleep(Duration::from_millis(5));
         }
@@ -201,12 +202,12 @@
         spec: &impl Serialize,
         listen: SocketAddr,
         more: &[&str],
-    ) -> Result<SocketAddr, Stop> {
+    ) -> Result<SocketAddr, CommandError> {
         self.starts += 1;
         let spec_file = self.folder.join(format!("{name}.json"));
         let ready = self.folder.join(format!("{name}-{}.ready", self.starts));
         let text = serde_json::to_string(spec).map_err(|e| failed("cannot write a spec", e))?;
-        crate::write_whole(&spec_file, &text)?;
+        crate::write_atomically(&spec_file, &text)?;
         let record = self.folder.join(format!("record-{name}.jsonl"));
         let mut args = vec!["standin".to_owned(), kind.to_owned()];
         let paths = [("--spec", &spec_file), ("--ready-file", &ready), ("--record", &record)];
@@ -218,7 +219,7 @@
         self.ready(name, &ready, "address")
     }
 
-    fn start_runner(&mut self, id: u32, address: SocketAddr, cold: bool) -> Result<(), Stop> {
+    fn start_runner(&mut self, id: u32, address: SocketAddr, cold: bool) -> Result<(), CommandError> {
         let file = RunnerFile {
             id,
             spec: self.world.runners[id as usize - 1].clone(),
@@ -237,7 +238,7 @@
         Ok(())
     }
 
-    fn start_control(&mut self) -> Result<(), Stop> {
+    fn start_control(&mut self) -> Result<(), CommandError> {
         let Some(at) = self.world.control else { return Ok(()) };
         self.starts += 1;
         let ready = self.folder.join(format!("control-{}.ready", self.starts));
@@ -253,14 +254,14 @@
         self.ready("control", &ready, "address").map(|_| ())
     }
 
-    fn start_front(&mut self, number: u32) -> Result<(), Stop> {
+    fn start_front(&mut self, number: u32) -> Result<(), CommandError> {
         self.starts += 1;
         let name = format!("front-{number}");
         let (file, cache) =
             (self.folder.join(format!("{name}.xml")), self.folder.join(format!("{name}-list.json")));
         let keys = self.folder.join("keys");
         let text = self.world.settings(number, self.fronts[number as usize], self.list, &keys, &cache);
-        crate::write_whole(&file, &text)?;
+        crate::write_atomically(&file, &text)?;
         let ready = self.folder.join(format!("{name}-{}.ready", self.starts));
         let args = ["serve", "--settings", &file.display().to_string(), "--ready-file"].map(str::to_owned);
         let args = [&args[..], &[ready.display().to_string()]].concat();
@@ -287,11 +288,16 @@
     }
 
     /// Starts a process of senders with its plan.
-    pub fn start_senders(&mut self, n: usize, plan: &impl Serialize, tenant: &str) -> Result<(), Stop> {
+    pub fn start_senders(
+        &mut self,
+        n: usize,
+        plan: &impl Serialize,
+        tenant: &str,
+    ) -> Result<(), CommandError> {
         let name = format!("senders-{n}");
         let spec = self.folder.join(format!("{name}.json"));
         let text = serde_json::to_string(plan).map_err(|e| failed("cannot write a plan", e))?;
-        crate::write_whole(&spec, &text)?;
+        crate::write_atomically(&spec, &text)?;
         let key = self.folder.join(format!("keys/{tenant}.key"));
         let record = self.folder.join(format!("record-{name}.jsonl"));
         let mut args = vec!["standin".to_owned(), "senders".to_owned()];
@@ -345,7 +351,7 @@
     }
 
     /// Does something to the fleet.
-    pub fn act(&mut self, act: &Act) -> Result<(), Stop> {
+    pub fn act(&mut self, act: &Act) -> Result<(), CommandError> {
         match act {
             Act::KillFront { front } => {
                 if let Some(process) = self.processes.remove(&format!("front-{front}")) {
@@ -391,7 +397,7 @@
             Act::Publish => {
                 self.published += 1;
                 let file = self.folder.join(format!("versions/classes/{}.xml", self.published));
-                crate::write_whole(&file, &self.world.classes_version(self.published))?;
+                crate::write_atomically(&file, &self.world.classes_version(self.published))?;
             }
             Act::KillControl => {
                 if let Some(process) = self.processes.remove("control") {
--- a/crates/badgerwind-cli/src/day/mod.rs
+++ b/crates/badgerwind-cli/src/day/mod.rs
@@ -5,7 +5,7 @@
 pub mod script;
 pub mod world;
 
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_check::worth::{account, recovery, Account};
 use badgerwind_check::{judge, read, Line, Report, Rule};
 use fleet::{Fleet, Programs};
@@ -94,23 +94,24 @@
     pub load: f64,
 }
 
-fn script(args: &Args, world: &World) -> Result<Script, Stop> {
+fn script(args: &Args, world: &World) -> Result<Script, CommandError> {
     if let Some(path) = &args.script {
         let shown = path.display();
-        let text = std::fs::read(path).map_err(|e| Stop::usage(format!("cannot read {shown}: {e}")))?;
-        return serde_json::from_slice(&text).map_err(|e| Stop::usage(format!("{shown}: {e}")));
+        let text =
+            std::fs::read(path).map_err(|e| CommandError::usage(format!("cannot read {shown}: {e}")))?;
+        return serde_json::from_slice(&text).map_err(|e| CommandError::usage(format!("{shown}: {e}")));
     }
     let Some(like) = &args.like else { return Ok(Script::draw(world)) };
     let kinds: Vec<&str> = like.split('+').collect();
     if let Some(unknown) = kinds.iter().find(|k| !KINDS.contains(k) && !WORST.contains(k)) {
-        return Err(Stop::usage(format!("unknown kind {unknown}; known are {}", KINDS.join(", "))));
+        return Err(CommandError::usage(format!("unknown kind {unknown}; known are {}", KINDS.join(", "))));
     }
     Ok(Script::of(world, &kinds))
 }
 
 /// All records of a folder.
-fn records(folder: &Path) -> Result<Vec<Line>, Stop> {
-    let failed = |e: std::io::Error| Stop::failed(format!("cannot read the records: {e}"));
+fn records(folder: &Path) -> Result<Vec<Line>, CommandError> {
+    let failed = |e: std::io::Error| CommandError::failed(format!("cannot read the records: {e}"));
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(failed)? {
         let path = entry.map_err(failed)?.path();
@@ -118,14 +119,14 @@
             let mut text = std::fs::read_to_string(&path).map_err(failed)?;
             // A writer that was killed may have left half a line.
             text.truncate(text.rfind('\n').map_or(0, |at| at + 1));
-            lines.extend(read(&text).map_err(|e| Stop::failed(format!("{}: {e}", path.display())))?);
+            lines.extend(read(&text).map_err(|e| CommandError::failed(format!("{}: {e}", path.display())))?);
         }
     }
     Ok(lines)
 }
 
 /// Plays a day in a folder.
-pub fn play(args: &Args, folder: &Path) -> Result<Outcome, Stop> {
+pub fn play(args: &Args, folder: &Path) -> Result<Outcome, CommandError> {
     let dials =
         Dials { severity: args.severity, load: args.load, fronts: args.fronts, runners: args.runners };
     let mut world = World::dialled(args.seed, args.seconds, dials);
@@ -140,9 +141,8 @@
     }
     let own = match &args.standins {
         Some(program) => program.clone(),
-        None => {
-            std::env::current_exe().map_err(|e| Stop::failed(format!("cannot find this program: {e}")))?
-        }
+        None => std::env::current_exe()
+            .map_err(|e| CommandError::failed(format!("cannot find this program: {e}")))?,
     };
     let gateway = args.gateway.clone().unwrap_or_else(|| own.clone());
     let facts = world.facts();
@@ -204,7 +204,7 @@
 
 /// Plays a day, prints what it came to, and ends with 1 where a rule was broken; with 75 where only rules of time were
 /// and the machine had no CPU to keep them.
-pub fn run(args: &Args) -> Result<(), Stop> {
+pub fn run(args: &Args) -> Result<(), CommandError> {
     if args.budgets {
         let (seed, seconds, fronts, shrink) = (args.seed, args.seconds, args.fronts, args.shrink);
         let (schedule, keep) = (args.schedule.as_deref(), args.keep.as_deref());
@@ -213,11 +213,13 @@
     let made;
     let folder = match &args.keep {
         Some(folder) => {
-            std::fs::create_dir(folder).map_err(|e| Stop::usage(format!("{}: {e}", folder.display())))?;
+            std::fs::create_dir(folder)
+                .map_err(|e| CommandError::usage(format!("{}: {e}", folder.display())))?;
             folder.as_path()
         }
         None => {
-            made = tempfile::tempdir().map_err(|e| Stop::failed(format!("no temporary folder: {e}")))?;
+            made =
+                tempfile::tempdir().map_err(|e| CommandError::failed(format!("no temporary folder: {e}")))?;
             made.path()
         }
     };
@@ -293,7 +295,7 @@
                 "wasted": account.wasted, "extra": account.extra, "recovered_s": back,
                 "seconds": account.seconds.iter().map(|s| [s.asked, s.earned]).collect::<Vec<_>>(),
                 "tenants": account.tenants.iter().map(|(n, w)| (n.clone(), json!(w.share()))).collect::<serde_json::Map<_, _>>()}, "attempts": report.attempts, "orders": report.orders, "broken": broken, "wrong": wrong});
-        crate::write_whole(path, &format!("{text:#}\n"))?;
+        crate::write_atomically(path, &format!("{text:#}\n"))?;
     }
     if report.broken.is_empty() && wrong.is_empty() {
         println!("rules: kept");
@@ -304,8 +306,8 @@
             "rules: NOT JUDGED, the machine was out of CPU: a short sleep ended {} ms late",
             starved.as_millis()
         );
-        return Err(Stop { text: String::new(), code: 75 });
+        return Err(CommandError { message: String::new(), exit_code: 75 });
     }
     println!("rules: BROKEN {}", report.broken.len() + wrong.len());
-    Err(Stop { text: String::new(), code: 1 })
+    Err(CommandError { message: String::new(), exit_code: 1 })
 }
--- a/crates/badgerwind-cli/src/demo.rs
+++ b/crates/badgerwind-cli/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::day::world::World;
 use crate::send::{post, Message};
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_gateway::{secrets, Options};
 use badgerwind_protocol::list::{Runner, State};
 use badgerwind_settings::read;
@@ -23,26 +23,28 @@
     pub log: bool,
 }
 
-async fn listener() -> Result<(TcpListener, SocketAddr), Stop> {
-    let failed = |e: std::io::Error| Stop::failed(format!("cannot listen on loopback: {e}"));
+async fn listener() -> Result<(TcpListener, SocketAddr), CommandError> {
+    let failed = |e: std::io::Error| CommandError::failed(format!("cannot listen on loopback: {e}"));
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
     Ok((listener, address))
 }
 
 /// Runs it.
-pub fn run(args: &Args) -> Result<(), Stop> {
+pub fn run(args: &Args) -> Result<(), CommandError> {
     if args.log {
         badgerwind_gateway::logging::start(false, "info");
     }
     smol::block_on(show())
 }
 
-async fn show() -> Result<(), Stop> {
+async fn show() -> Result<(), CommandError> {
     let mut world = World::draw(7, 5);
     world.runners.truncate(3);
-    let folder = tempfile::tempdir().map_err(|e| Stop::failed(format!("no temporary folder: {e}")))?;
-    let key = || Key::generate(KeyKind::Shared).map_err(|e| Stop::failed(format!("no random bytes: {e}")));
+    let folder =
+        tempfile::tempdir().map_err(|e| CommandError::failed(format!("no temporary folder: {e}")))?;
+    let key =
+        || Key::generate(KeyKind::Shared).map_err(|e| CommandError::failed(format!("no random bytes: {e}")));
     let (portal, forger, gateway_key) = (key()?, key()?, key()?);
     for (name, key) in [("brolga-shire", &portal), ("tallow-creek", &key()?), ("runners", &gateway_key)] {
         crate::keys::write_key(&folder.path().join(format!("{name}.key")), key)?;
@@ -77,11 +79,12 @@
     world.fronts = 1;
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let text = world.settings(0, any, list_address, folder.path(), &folder.path().join("list.json"));
-    let problems = |p: Vec<badgerwind_settings::Problem>| Stop::failed(format!("{p:?}"));
+    let problems = |p: Vec<badgerwind_settings::Problem>| CommandError::failed(format!("{p:?}"));
     let settings = read("demo.xml", &text).map_err(problems)?;
     let keys = secrets::load("demo.xml", folder.path(), &settings).map_err(problems)?;
     let options = Options::new(Arc::new(settings), keys, folder.path().to_owned());
-    let running = badgerwind_gateway::serve(options).await.map_err(|e| Stop::failed(e.to_string()))?;
+    let running =
+        badgerwind_gateway::serve(options).await.map_err(|e| CommandError::failed(e.to_string()))?;
     let to = running.webhook;
     println!("gateway on {to}, {} runners, list and store on loopback\n", world.runners.len());
 
@@ -119,7 +122,7 @@
     tell("a path that leads nowhere", &portal, "msg_5", "/nowhere", work, 404).await;
     for address in &addresses {
         let hang = FaultCommand { on: true, fault: Fault::Hang };
-        command(*address, "/standin/fault", &hang).await.map_err(Stop::failed)?;
+        command(*address, "/standin/fault", &hang).await.map_err(CommandError::failed)?;
     }
     tell("a lodgement that every runner takes and none answers", &portal, "msg_6", lodge, work, 504).await;
     running.until(std::future::ready(()), std::future::pending()).await;
@@ -127,6 +130,6 @@
     drop(tasks);
     match wrong {
         0 => Ok(()),
-        n => Err(Stop::failed(format!("{n} calls ended otherwise than they should"))),
+        n => Err(CommandError::failed(format!("{n} calls ended otherwise than they should"))),
     }
 }
--- a/crates/badgerwind-cli/src/fleet.rs
+++ b/crates/badgerwind-cli/src/fleet.rs
@@ -1,6 +1,6 @@
 //! `fleet`: what front ends say of who is there and of the budgets that they divide, put side by side.
 
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_http::{Exchange, Pool, PoolBounds};
 use clap::Subcommand;
 use futures_lite::FutureExt;
@@ -295,7 +295,7 @@
     out
 }
 
-fn zone_word(command: &ZoneCommand) -> Result<(), Stop> {
+fn zone_word(command: &ZoneCommand) -> Result<(), CommandError> {
     let (word, share, args) = match command {
         ZoneCommand::Leave(a) => (Some("leave"), 0.0, a),
         ZoneCommand::Hold(a) => (Some("hold"), 1.0, a),
@@ -304,19 +304,19 @@
     };
     let shown = args.settings.display();
     let text = std::fs::read_to_string(&args.settings);
-    let text = text.map_err(|e| Stop::usage(format!("cannot read {shown}: {e}")))?;
+    let text = text.map_err(|e| CommandError::usage(format!("cannot read {shown}: {e}")))?;
     let why = args.why.as_str();
     if why.is_empty() || why.len() > 200 || why.contains(char::is_control) {
-        return Err(Stop::usage("give --why 1 to 200 bytes of words on one line"));
+        return Err(CommandError::usage("give --why 1 to 200 bytes of words on one line"));
     }
     let changed = badgerwind_settings::edit::set_zone_directive(&text, &args.zone, word.map(|w| (w, why)))
-        .map_err(|e| Stop::usage(format!("{shown}: {e}")))?;
+        .map_err(|e| CommandError::usage(format!("{shown}: {e}")))?;
     if args.dry_run {
         let whole = ask_all(&args.at);
         let words: Vec<ZonesWord> =
             whole.iter().filter_map(|(_, w)| w.as_ref().ok()?.zones.clone()).collect();
         if words.is_empty() {
-            return Err(Stop::failed("no front end that was asked has <leaving> in its settings"));
+            return Err(CommandError::failed("no front end that was asked has <leaving> in its settings"));
         }
         // A word that holds changes no share; one that frees or returns leads to all of it, step by step.
         let hold = matches!(command, ZoneCommand::Hold(_));
@@ -324,7 +324,7 @@
         print!("{}", dry_run(&words, &args.zone, if hold { stays } else { share }));
         return Ok(());
     }
-    crate::write_whole(&args.settings, &changed)?;
+    crate::write_atomically(&args.settings, &changed)?;
     println!(
         "{shown}: zone {}, {}. Send SIGHUP to each front end that has this file, or publish it if it is a part of kind fleet",
         args.zone,
@@ -334,7 +334,7 @@
 }
 
 /// Runs a sub-command.
-pub fn run(command: &Command) -> Result<(), Stop> {
+pub fn run(command: &Command) -> Result<(), CommandError> {
     let at = match command {
         Command::Zone(command) => return zone_word(command),
         Command::Status(at) | Command::Budgets(at) | Command::Zones(at) | Command::Explain { at, .. } => at,
@@ -353,7 +353,7 @@
         let zones: Vec<ZonesWord> =
             whole.iter().filter_map(|(_, w)| w.as_ref().ok()?.zones.clone()).collect();
         if zones.is_empty() {
-            return Err(Stop::failed("no front end that was asked has <leaving> in its settings"));
+            return Err(CommandError::failed("no front end that was asked has <leaving> in its settings"));
         }
         print!("{}", zone_table(&zones));
         return Ok(());
@@ -365,7 +365,7 @@
     if words.is_empty() {
         let why: Vec<String> =
             all.iter().filter_map(|a| Some(format!("{}: {}", a.0, a.1.as_ref().err()?))).collect();
-        return Err(Stop::failed(format!("no front end tells of budgets\n{}", why.join("\n"))));
+        return Err(CommandError::failed(format!("no front end tells of budgets\n{}", why.join("\n"))));
     }
     let text = match command {
         Command::Status(_) => status(&all),
@@ -509,11 +509,14 @@
 }
 
 /// One budget, unit by unit.
-pub fn explain(words: &[&Word], name: &str) -> Result<String, Stop> {
+pub fn explain(words: &[&Word], name: &str) -> Result<String, CommandError> {
     let mut here = words.iter().flat_map(|w| &w.budgets).filter(|b| b.name == name);
     let Some(b) = here.next() else {
         let names: Vec<&str> = words[0].budgets.iter().map(|b| b.name.as_str()).collect();
-        return Err(Stop::usage(format!("no budget is named {name}; there are {}", names.join(", "))));
+        return Err(CommandError::usage(format!(
+            "no budget is named {name}; there are {}",
+            names.join(", ")
+        )));
     };
     let members = words.iter().map(|w| w.members.len() + 1).max().unwrap_or(1);
     let floors = (usize::from(b.floor) * members).min(usize::from(b.units));
--- a/crates/badgerwind-cli/src/keys.rs
+++ b/crates/badgerwind-cli/src/keys.rs
@@ -1,6 +1,6 @@
 //! `keys`.
 
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_webhook::{Key, KeyKind};
 use clap::{Subcommand, ValueEnum};
 use std::io::Write;
@@ -72,7 +72,7 @@
 }
 
 /// Runs a sub-command.
-pub fn run(command: &Command) -> Result<(), Stop> {
+pub fn run(command: &Command) -> Result<(), CommandError> {
     let (kind, out, public_out) = match command {
         Command::New { kind, out, public_out } => (kind, out, public_out),
         Command::List { settings } => return list(settings),
@@ -83,12 +83,12 @@
     };
     let kind = match kind {
         Kind::Shared if public_out.is_some() => {
-            return Err(Stop::usage("a shared secret has no public half: leave --public-out out"));
+            return Err(CommandError::usage("a shared secret has no public half: leave --public-out out"));
         }
         Kind::Shared => KeyKind::Shared,
         Kind::Ed25519 => KeyKind::Private,
     };
-    let key = Key::generate(kind).map_err(|e| Stop::failed(format!("no random bytes: {e}")))?;
+    let key = Key::generate(kind).map_err(|e| CommandError::failed(format!("no random bytes: {e}")))?;
     write_key(out, &key)?;
     if let (Some(path), Some(public)) = (public_out, key.public()) {
         write_key(path, &public)?;
@@ -96,12 +96,13 @@
     Ok(())
 }
 
-fn read(path: &Path) -> Result<String, Stop> {
-    std::fs::read_to_string(path).map_err(|e| Stop::usage(format!("cannot read {}: {e}", path.display())))
+fn read(path: &Path) -> Result<String, CommandError> {
+    std::fs::read_to_string(path)
+        .map_err(|e| CommandError::usage(format!("cannot read {}: {e}", path.display())))
 }
 
 /// Checks a changed settings file beside the old one, then puts it in its place: a reader sees one or the other.
-fn replace(path: &Path, text: &str) -> Result<(), Stop> {
+fn replace(path: &Path, text: &str) -> Result<(), CommandError> {
     let beside = path.with_extension("new");
     let write = |p: &Path| {
         let mode = std::fs::metadata(path)?.permissions();
@@ -110,7 +111,7 @@
         file.write_all(text.as_bytes())?;
         file.sync_all()
     };
-    let told = |e: std::io::Error| Stop::failed(format!("cannot write {}: {e}", beside.display()));
+    let told = |e: std::io::Error| CommandError::failed(format!("cannot write {}: {e}", beside.display()));
     let done = write(&beside)
         .map_err(told)
         .and_then(|()| crate::serve::load(&beside).map(|_| ()))
@@ -128,16 +129,18 @@
     name: Option<&str>,
     overlap: &str,
     (kind, private_out): (Kind, Option<&Path>),
-) -> Result<(), Stop> {
-    let overlap = humantime::parse_duration(overlap)
-        .map_err(|e| Stop::usage(format!("--overlap {overlap}: {e}; give a time such as 7d or 2h")))?;
+) -> Result<(), CommandError> {
+    let overlap = humantime::parse_duration(overlap).map_err(|e| {
+        CommandError::usage(format!("--overlap {overlap}: {e}; give a time such as 7d or 2h"))
+    })?;
     let (settings, _, folder) = crate::serve::load(path)?;
     let known = settings.webhook.senders.iter().find(|s| s.name == sender);
-    let known = known.ok_or_else(|| Stop::usage(format!("the settings name no sender \"{sender}\"")))?;
+    let known =
+        known.ok_or_else(|| CommandError::usage(format!("the settings name no sender \"{sender}\"")))?;
     let now = std::time::SystemTime::now();
     let day = humantime::format_rfc3339_seconds(now).to_string();
     let name = name.unwrap_or(&day[..10]);
-    let end = now.checked_add(overlap).ok_or_else(|| Stop::usage("--overlap is too long"))?;
+    let end = now.checked_add(overlap).ok_or_else(|| CommandError::usage("--overlap is too long"))?;
     let end = humantime::format_rfc3339_seconds(end).to_string();
     // Beside the key that it follows.
     let beside = known.secrets.last().and_then(|s| s.file.parent()).unwrap_or(Path::new(""));
@@ -149,18 +152,18 @@
         &file.display().to_string(),
         &end,
     )
-    .map_err(|e| Stop::usage(e.to_string()))?;
+    .map_err(|e| CommandError::usage(e.to_string()))?;
     let kind = match (kind, private_out) {
         (Kind::Shared, None) => KeyKind::Shared,
         (Kind::Ed25519, Some(_)) => KeyKind::Private,
         (Kind::Shared, Some(_)) => {
-            return Err(Stop::usage("a shared secret has one half: leave --private-out out"));
+            return Err(CommandError::usage("a shared secret has one half: leave --private-out out"));
         }
         (Kind::Ed25519, None) => {
-            return Err(Stop::usage("--kind ed25519 needs --private-out, the half for the sender"));
+            return Err(CommandError::usage("--kind ed25519 needs --private-out, the half for the sender"));
         }
     };
-    let key = Key::generate(kind).map_err(|e| Stop::failed(format!("no random bytes: {e}")))?;
+    let key = Key::generate(kind).map_err(|e| CommandError::failed(format!("no random bytes: {e}")))?;
     let new = folder.join(&file);
     let mut written = Vec::new();
     let done = (|| {
@@ -186,10 +189,10 @@
     Ok(())
 }
 
-fn retire(path: &Path, sender: &str, name: &str) -> Result<(), Stop> {
+fn retire(path: &Path, sender: &str, name: &str) -> Result<(), CommandError> {
     let (settings, ..) = crate::serve::load(path)?;
     let (changed, file) = badgerwind_settings::edit::remove_secret(&read(path)?, sender, name)
-        .map_err(|e| Stop::usage(e.to_string()))?;
+        .map_err(|e| CommandError::usage(e.to_string()))?;
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let now = now.map_or(0, |d| d.as_secs() as i64);
     let known = settings.webhook.senders.iter().find(|s| s.name == sender);
@@ -197,7 +200,7 @@
         s.name != name && s.not_before.is_none_or(|t| now >= t) && s.not_after.is_none_or(|t| now < t)
     };
     if !known.is_some_and(|s| s.secrets.iter().any(counts)) {
-        return Err(Stop::usage(format!(
+        return Err(CommandError::usage(format!(
             "sender \"{sender}\" would have no key that counts now; rotate first: badgerwind keys rotate"
         )));
     }
@@ -207,7 +210,7 @@
     Ok(())
 }
 
-fn list(path: &Path) -> Result<(), Stop> {
+fn list(path: &Path) -> Result<(), CommandError> {
     let (settings, secrets, _) = crate::serve::load(path)?;
     let now =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |d| d.as_secs() as i64);
@@ -236,7 +239,7 @@
 }
 
 /// Writes a key to a new file that its owner alone can read.
-pub fn write_key(path: &Path, key: &Key) -> Result<(), Stop> {
+pub fn write_key(path: &Path, key: &Key) -> Result<(), CommandError> {
     let mut options = std::fs::OpenOptions::new();
     options.write(true).create_new(true);
     #[cfg(unix)]
@@ -246,5 +249,5 @@
         f.write_all(b"\n")?;
         f.sync_all()
     });
-    written.map_err(|e| Stop::failed(format!("cannot write {}: {e}", path.display())))
+    written.map_err(|e| CommandError::failed(format!("cannot write {}: {e}", path.display())))
 }
--- a/crates/badgerwind-cli/src/lib.rs
+++ b/crates/badgerwind-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of `badgerwind`, as a library so that tests can put a front end together differently.
+//! The sub-commands of `badgerwind`, as a library so that tests can build front ends with other options.
 
 pub mod budgets;
 pub mod control;
@@ -15,30 +15,30 @@
 
 use std::path::Path;
 
-/// A command that could not be carried out: what to tell, and the exit code.
+/// Failure of a command: the message and the exit code.
 #[derive(Debug)]
-pub struct Stop {
-    /// For standard error.
-    pub text: String,
-    /// 2 for what the caller wrote, 1 for all else.
-    pub code: u8,
+pub struct CommandError {
+    /// Printed to standard error.
+    pub message: String,
+    /// 2 for errors in the caller's input, 1 otherwise.
+    pub exit_code: u8,
 }
 
-impl Stop {
-    /// The caller must change something.
-    pub fn usage(text: impl Into<String>) -> Self {
-        Stop { text: text.into(), code: 2 }
+impl CommandError {
+    /// An error in the caller's arguments or files; exit code 2.
+    pub fn usage(message: impl Into<String>) -> Self {
+        CommandError { message: message.into(), exit_code: 2 }
     }
-    /// It went wrong.
-    pub fn failed(text: impl Into<String>) -> Self {
-        Stop { text: text.into(), code: 1 }
+    /// Any other failure; exit code 1.
+    pub fn failed(message: impl Into<String>) -> Self {
+        CommandError { message: message.into(), exit_code: 1 }
     }
 }
 
-/// Writes a file that whoever waits for it sees whole or not at all.
-pub fn write_whole(path: &Path, text: &str) -> Result<(), Stop> {
-    let beside = path.with_extension("part");
-    std::fs::write(&beside, text)
-        .and_then(|()| std::fs::rename(&beside, path))
-        .map_err(|e| Stop::failed(format!("cannot write {}: {e}", path.display())))
+/// Writes a file atomically: readers see the whole content or no file.
+pub fn write_atomically(path: &Path, text: &str) -> Result<(), CommandError> {
+    let temporary = path.with_extension("part");
+    std::fs::write(&temporary, text)
+        .and_then(|()| std::fs::rename(&temporary, path))
+        .map_err(|e| CommandError::failed(format!("cannot write {}: {e}", path.display())))
 }
--- a/crates/badgerwind-cli/src/main.rs
+++ b/crates/badgerwind-cli/src/main.rs
@@ -1,6 +1,8 @@
-//! `badgerwind`: a gateway that hands calls to workers which load functions or models when asked.
+//! `badgerwind`: a gateway that hands calls to workers which load functions or models on demand.
 
-use badgerwind_cli::{budgets, control, day, demo, fleet, keys, platform, send, serve, standin, trace, Stop};
+use badgerwind_cli::{
+    budgets, control, day, demo, fleet, keys, platform, send, serve, standin, trace, CommandError,
+};
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
@@ -15,37 +17,37 @@
 enum Command {
     /// Serve as a front end until SIGTERM
     Serve(serve::Args),
-    /// Serve as a front end on the platform: FastCGI in, executor lines out, by its configuration
+    /// Serve as a platform front end: accept FastCGI calls and drive executors over their line protocol
     Platform(platform::Args),
-    /// Check a settings file and the key files that it names
+    /// Check a settings file and the key files that it refers to
     Check(serve::CheckArgs),
-    /// Make keys
+    /// Create, rotate, remove and list keys
     #[command(subcommand)]
     Keys(keys::Command),
-    /// Post a signed webhook; print its answer and how long it took
+    /// Post a signed webhook; print the answer and the time it took
     Send(send::Args),
-    /// Versions of settings: serve, publish, roll back, watch
+    /// Serve, publish, roll back and inspect versions of settings
     #[command(subcommand)]
     Control(control::Command),
-    /// Who of the fleet is there, and who owns which part of its budgets
+    /// Show the fleet's members, budgets and zones
     #[command(subcommand)]
     Fleet(fleet::Command),
-    /// Print one call's whole path from the logs of front ends
+    /// Print the timeline of one call from the logs of front ends
     Trace(trace::Args),
-    /// Run a stand-in of a peer, for tests and trials
+    /// Run a stand-in for a runner, list service, handler store or sender, for tests
     #[command(subcommand)]
     Standin(standin::Command),
-    /// Run a scripted bad day on loopback sockets and judge the five rules
+    /// Run a scripted sequence of faults on loopback sockets and check the five rules
     BadDay(day::Args),
-    /// A member of a fleet's budgets that spends what it may; bad days start many
+    /// Run one member of a fleet that spends its share of the budgets; bad-day starts several
     #[command(hide = true)]
     FleetMember(budgets::MemberArgs),
-    /// Start a gateway with stand-ins on free ports, send a few signed calls, and tell what happened to each
+    /// Start a gateway with stand-ins on free ports, send a few signed calls, and print each result
     Demo(demo::Args),
 }
 
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Serve(args) => serve::serve(&args),
         Command::Platform(args) => platform::run(&args),
         Command::Check(args) => serve::check(&args),
@@ -59,13 +61,13 @@
         Command::FleetMember(args) => budgets::member(&args),
         Command::Demo(args) => demo::run(&args),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Stop { text, code }) => {
-            if !text.is_empty() {
-                eprintln!("badgerwind: {text}");
+        Err(CommandError { message, exit_code }) => {
+            if !message.is_empty() {
+                eprintln!("badgerwind: {message}");
             }
-            ExitCode::from(code)
+            ExitCode::from(exit_code)
         }
     }
 }
--- a/crates/badgerwind-cli/src/outbox.rs
+++ b/crates/badgerwind-cli/src/outbox.rs
@@ -4,7 +4,7 @@
 //! What was delivered moves to `done/`, what was given up to `dead/`, with the reason beside it.
 
 use crate::send::{post, Message, To};
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_webhook::delivery::{next, Got, Next};
 use badgerwind_webhook::Key;
 use serde::{Deserialize, Serialize};
@@ -45,13 +45,13 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
 }
 
-fn failed(path: &Path, e: impl std::fmt::Display) -> Stop {
-    Stop::failed(format!("{}: {e}", path.display()))
+fn failed(path: &Path, e: impl std::fmt::Display) -> CommandError {
+    CommandError::failed(format!("{}: {e}", path.display()))
 }
 
 impl Outbox<'_> {
     /// Delivers what is there. `once`: ends when nothing is due now; else when nothing is left.
-    pub fn deliver(&self, once: bool) -> Result<(), Stop> {
+    pub fn deliver(&self, once: bool) -> Result<(), CommandError> {
         for sub in ["done", "dead"] {
             let path = self.folder.join(sub);
             std::fs::create_dir_all(&path).map_err(|e| failed(&path, e))?;
@@ -79,7 +79,7 @@
     }
 
     /// The messages, by name.
-    fn messages(&self) -> Result<Vec<PathBuf>, Stop> {
+    fn messages(&self) -> Result<Vec<PathBuf>, CommandError> {
         let entries = std::fs::read_dir(self.folder).map_err(|e| failed(self.folder, e))?;
         let mut files = Vec::new();
         for entry in entries {
@@ -93,7 +93,7 @@
         Ok(files)
     }
 
-    fn state(&self, file: &Path) -> Result<State, Stop> {
+    fn state(&self, file: &Path) -> Result<State, CommandError> {
         let path = file.with_extension("state");
         match std::fs::read(&path) {
             Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| failed(&path, e)),
@@ -102,13 +102,13 @@
         }
     }
 
-    fn keep(&self, file: &Path, state: &State) -> Result<(), Stop> {
+    fn keep(&self, file: &Path, state: &State) -> Result<(), CommandError> {
         let text = serde_json::to_string(state).map_err(|e| failed(file, e))?;
-        crate::write_whole(&file.with_extension("state"), &text)
+        crate::write_atomically(&file.with_extension("state"), &text)
     }
 
     /// Posts a message once; when it is due again, or `None` once it is done with.
-    fn one(&self, file: &Path, mut state: State) -> Result<Option<u64>, Stop> {
+    fn one(&self, file: &Path, mut state: State) -> Result<Option<u64>, CommandError> {
         let id = id(file);
         let got = if state.open {
             // Killed in the middle of an attempt: nobody knows what became of it.
@@ -139,7 +139,7 @@
             Next::Dead(why) => {
                 println!("{id}: given up: {why}");
                 let reason = self.folder.join("dead").join(format!("{id}.reason"));
-                crate::write_whole(&reason, &format!("{why}\n"))?;
+                crate::write_atomically(&reason, &format!("{why}\n"))?;
                 self.put_away(file, "dead")?;
                 Ok(None)
             }
@@ -152,7 +152,7 @@
     }
 
     /// The message first, its state after: killed in between, the state of nothing is left over.
-    fn put_away(&self, file: &Path, sub: &str) -> Result<(), Stop> {
+    fn put_away(&self, file: &Path, sub: &str) -> Result<(), CommandError> {
         let Some(name) = file.file_name() else { return Ok(()) };
         std::fs::rename(file, self.folder.join(sub).join(name)).map_err(|e| failed(file, e))?;
         let _ = std::fs::remove_file(file.with_extension("state"));
--- a/crates/badgerwind-cli/src/platform.rs
+++ b/crates/badgerwind-cli/src/platform.rs
@@ -1,6 +1,6 @@
-//! `platform`: a front end as the platform starts it.
+//! `platform`: runs a front end on the platform.
 
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_gateway::{logging, serve_platform, PlatformError, PlatformOptions};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,23 +8,23 @@
 /// Arguments of `platform`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// The configuration file
+    /// Configuration file
     #[arg(long, env = "BALANCER_CONFIG")]
     pub config: PathBuf,
-    /// Where to listen, in place of the configuration's word
+    /// Listen address; overrides the one in the configuration
     #[arg(long, env = "BALANCER_LISTEN")]
     pub listen: Option<SocketAddr>,
-    /// The least level of log lines
+    /// Lowest level of log lines that are written
     #[arg(long, default_value = "info")]
     pub log: String,
 }
 
 /// Serves until SIGTERM.
-pub fn run(args: &Args) -> Result<(), Stop> {
+pub fn run(args: &Args) -> Result<(), CommandError> {
     logging::start(false, &args.log);
     let options = PlatformOptions { config: args.config.clone(), listen: args.listen };
     serve_platform(&options).map_err(|e| match e {
-        PlatformError::Config { .. } | PlatformError::Read { .. } => Stop::usage(e.to_string()),
-        e => Stop::failed(e.to_string()),
+        PlatformError::Config { .. } | PlatformError::Read { .. } => CommandError::usage(e.to_string()),
+        e => CommandError::failed(e.to_string()),
     })
 }
--- a/crates/badgerwind-cli/src/send.rs
+++ b/crates/badgerwind-cli/src/send.rs
@@ -1,6 +1,6 @@
 //! `send`.
 
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_gateway::secrets::read_key;
 use badgerwind_http::{ClientTls, Exchange, Identity, Pool, PoolBounds, ResponseHead};
 use badgerwind_webhook::{sign, Key, ID, SIGNATURE, TIMESTAMP};
@@ -125,23 +125,23 @@
     async { pool.exchange(&request).await.map_err(|e| e.to_string()) }.or(late).await
 }
 
-fn receiver(args: &Args) -> Result<(To, &str), Stop> {
+fn receiver(args: &Args) -> Result<(To, &str), CommandError> {
     let (secure, rest) = match (args.to.strip_prefix("https://"), args.to.strip_prefix("http://")) {
         (Some(rest), _) => (true, rest),
         (_, Some(rest)) => (false, rest),
-        _ => return Err(Stop::usage("--to starts with http:// or https://")),
+        _ => return Err(CommandError::usage("--to starts with http:// or https://")),
     };
     let (host, path) = rest.find('/').map_or((rest, "/"), |at| rest.split_at(at));
-    let at: SocketAddr = host
-        .parse()
-        .map_err(|_| Stop::usage(format!("{host} is no IP address and port, such as 127.0.0.1:8080")))?;
+    let at: SocketAddr = host.parse().map_err(|_| {
+        CommandError::usage(format!("{host} is no IP address and port, such as 127.0.0.1:8080"))
+    })?;
     let read = |path: &PathBuf| {
-        std::fs::read(path).map_err(|e| Stop::usage(format!("cannot read {}: {e}", path.display())))
+        std::fs::read(path).map_err(|e| CommandError::usage(format!("cannot read {}: {e}", path.display())))
     };
     let tls = match (secure, &args.authority) {
         (false, None) => None,
-        (false, Some(_)) => return Err(Stop::usage("--authority goes with https://")),
-        (true, None) => return Err(Stop::usage("https:// needs --authority, whom to trust")),
+        (false, Some(_)) => return Err(CommandError::usage("--authority goes with https://")),
+        (true, None) => return Err(CommandError::usage("https:// needs --authority, whom to trust")),
         (true, Some(authority)) => {
             let own = match (&args.certificate, &args.certificate_key) {
                 (Some(chain), Some(key)) => Some((read(chain)?, zeroize::Zeroizing::new(read(key)?))),
@@ -150,16 +150,17 @@
             let identity = own.as_ref().map(|(chain, key)| Identity { chain, key });
             let name = args.name.clone().unwrap_or_else(|| at.ip().to_string());
             let tls = ClientTls::new(&read(authority)?, &name, identity);
-            Some(tls.map_err(|e| Stop::usage(format!("TLS cannot be set up: {e}")))?)
+            Some(tls.map_err(|e| CommandError::usage(format!("TLS cannot be set up: {e}")))?)
         }
     };
     Ok((To { at, tls }, path))
 }
 
 /// Posts one and prints what came back; exit 1 unless it was served.
-pub fn run(args: &Args) -> Result<(), Stop> {
+pub fn run(args: &Args) -> Result<(), CommandError> {
     let (to, path) = receiver(args)?;
-    let key = read_key(&args.key_file).map_err(|(what, right)| Stop::usage(format!("{what}; {right}")))?;
+    let key =
+        read_key(&args.key_file).map_err(|(what, right)| CommandError::usage(format!("{what}; {right}")))?;
     if let Some(folder) = &args.from {
         let deadline = Duration::from_millis(args.deadline_ms);
         let outbox =
@@ -171,7 +172,7 @@
         "-" => std::io::stdin().lock().read_to_end(&mut body).map(|_| ()),
         file => std::fs::read(file).map(|b| body = b),
     };
-    read.map_err(|e| Stop::usage(format!("cannot read the body from {}: {e}", args.body)))?;
+    read.map_err(|e| CommandError::usage(format!("cannot read the body from {}: {e}", args.body)))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
     let id = args.id.clone().unwrap_or_else(|| format!("msg_{now:x}"));
     let deadline = Duration::from_millis(args.deadline_ms);
@@ -182,7 +183,7 @@
         Message { id: &id, path, deadline, retry: args.retry, callback: args.callback.as_deref(), body },
     ));
     let took = began.elapsed();
-    let (head, body) = got.map_err(|e| Stop::failed(format!("{id}: {e} after {took:.1?}")))?;
+    let (head, body) = got.map_err(|e| CommandError::failed(format!("{id}: {e} after {took:.1?}")))?;
     println!("{id}: {} in {took:.1?}", head.status);
     for (name, value) in
         head.headers.iter().filter(|(n, _)| n.starts_with("badgerwind-") || *n == "retry-after")
@@ -193,6 +194,6 @@
     if head.status == 200 {
         Ok(())
     } else {
-        Err(Stop { text: String::new(), code: 1 })
+        Err(CommandError { message: String::new(), exit_code: 1 })
     }
 }
--- a/crates/badgerwind-cli/src/standin.rs
+++ b/crates/badgerwind-cli/src/standin.rs
@@ -1,6 +1,6 @@
 //! `standin`: each peer of the gateway as a process of its own.
 
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_gateway::secrets::read_key;
 use badgerwind_protocol::list::Runner;
 use badgerwind_standins::fenced::Fenced;
@@ -77,30 +77,30 @@
     pub key_file: Option<PathBuf>,
 }
 
-fn spec<T: DeserializeOwned>(path: &Path) -> Result<T, Stop> {
+fn spec<T: DeserializeOwned>(path: &Path) -> Result<T, CommandError> {
     let shown = path.display();
-    let bytes = std::fs::read(path).map_err(|e| Stop::usage(format!("cannot read {shown}: {e}")))?;
-    serde_json::from_slice(&bytes).map_err(|e| Stop::usage(format!("{shown}: {e}")))
+    let bytes = std::fs::read(path).map_err(|e| CommandError::usage(format!("cannot read {shown}: {e}")))?;
+    serde_json::from_slice(&bytes).map_err(|e| CommandError::usage(format!("{shown}: {e}")))
 }
 
-fn recorder(path: Option<&Path>) -> Result<Recorder, Stop> {
+fn recorder(path: Option<&Path>) -> Result<Recorder, CommandError> {
     let Some(path) = path else { return Ok(Recorder::none()) };
-    Recorder::file(path).map_err(|e| Stop::failed(format!("cannot write {}: {e}", path.display())))
+    Recorder::file(path).map_err(|e| CommandError::failed(format!("cannot write {}: {e}", path.display())))
 }
 
-async fn listen(common: &Common) -> Result<TcpListener, Stop> {
-    let failed = |e: std::io::Error| Stop::failed(format!("cannot listen on {}: {e}", common.listen));
+async fn listen(common: &Common) -> Result<TcpListener, CommandError> {
+    let failed = |e: std::io::Error| CommandError::failed(format!("cannot listen on {}: {e}", common.listen));
     let listener = TcpListener::bind(common.listen).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
     match &common.ready_file {
-        Some(path) => crate::write_whole(path, &serde_json::json!({ "address": address }).to_string())?,
+        Some(path) => crate::write_atomically(path, &serde_json::json!({ "address": address }).to_string())?,
         None => println!("listening on {address}"),
     }
     Ok(listener)
 }
 
 /// Runs a stand-in until it is killed.
-pub fn run(command: Command) -> Result<(), Stop> {
+pub fn run(command: Command) -> Result<(), CommandError> {
     smol::block_on(async {
         match command {
             Command::Runner { common, cold } => {
@@ -108,7 +108,8 @@
                 let keys = match &file.key_file {
                     None => None,
                     Some(path) => {
-                        let key = read_key(path).map_err(|(w, r)| Stop::usage(format!("{w}; {r}")))?;
+                        let key =
+                            read_key(path).map_err(|(w, r)| CommandError::usage(format!("{w}; {r}")))?;
                         let ring = RingKey { name: "gateway".into(), key, not_before: None, not_after: None };
                         Some(KeyRing { keys: vec![ring], tolerance: 300 })
                     }
@@ -131,7 +132,7 @@
             }
             Command::Senders { spec: path, key_file, record } => {
                 let plan: senders::Plan = spec(&path)?;
-                let key = read_key(&key_file).map_err(|(w, r)| Stop::usage(format!("{w}; {r}")))?;
+                let key = read_key(&key_file).map_err(|(w, r)| CommandError::usage(format!("{w}; {r}")))?;
                 senders::run(plan, key, recorder(record.as_deref())?).await;
             }
         }
--- a/crates/badgerwind-cli/src/trace/mod.rs
+++ b/crates/badgerwind-cli/src/trace/mod.rs
@@ -3,7 +3,7 @@
 pub mod draw;
 pub mod read;
 
-use crate::Stop;
+use crate::CommandError;
 use read::{Event, Kind};
 use std::path::PathBuf;
 
@@ -57,21 +57,21 @@
     }
 }
 
-fn read_all(paths: &[PathBuf]) -> Result<Vec<(String, String)>, Stop> {
+fn read_all(paths: &[PathBuf]) -> Result<Vec<(String, String)>, CommandError> {
     let one = |path: &PathBuf| {
         let name = path.file_stem().map_or_else(String::new, |s| s.to_string_lossy().into_owned());
         std::fs::read_to_string(path)
             .map(|text| (name, text))
-            .map_err(|e| Stop::usage(format!("cannot read {}: {e}", path.display())))
+            .map_err(|e| CommandError::usage(format!("cannot read {}: {e}", path.display())))
     };
     paths.iter().map(one).collect()
 }
 
 /// Prints the timeline, and draws it where asked to.
-pub fn run(args: &Args) -> Result<(), Stop> {
+pub fn run(args: &Args) -> Result<(), CommandError> {
     let events = read::events(&args.id, &read_all(&args.logs)?, &read_all(&args.records)?);
     if events.is_empty() {
-        return Err(Stop::failed(format!(
+        return Err(CommandError::failed(format!(
             "no log has a line of {}; attempts are logged at level debug",
             args.id
         )));
@@ -81,8 +81,8 @@
     }
     if let Some(path) = &args.svg {
         let svg = draw::Chart::of(&events).svg(&args.id);
-        let svg = svg.map_err(|e| Stop::failed(format!("it cannot be drawn: {e}")))?;
-        crate::write_whole(path, &svg)?;
+        let svg = svg.map_err(|e| CommandError::failed(format!("it cannot be drawn: {e}")))?;
+        crate::write_atomically(path, &svg)?;
     }
     Ok(())
 }
