--- a/crates/badgerwind-cli/src/trace/draw.rs
+++ b/crates/badgerwind-cli/src/trace/draw.rs
@@ -1,57 +1,58 @@
-//! A call's path as a picture: one row for each request at a front end, each attempt, and each attempt's stay at its
-//! runner, over time. SVG by plotters.
+//! Draws the timeline of a call as SVG, with one row for each request at a front end, each attempt, and each
+//! attempt's time at its runner.
 
 use super::read::{Event, Kind};
 use plotters::prelude::*;
 
-/// What a row shows of its span.
+/// What a bar stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shade {
-    /// Held at the front end, with no attempt out.
-    Held,
-    /// Out, and it ended well.
-    Good,
-    /// Out, and it never ran: `full`, `miss`, no connection.
-    Never,
-    /// Out, and it may have run.
-    Doubt,
-    /// With a runner, waiting there or at work.
-    Work,
+pub enum BarKind {
+    /// Waiting at the front end, with no attempt in flight.
+    Waiting,
+    /// An attempt that succeeded.
+    Succeeded,
+    /// An attempt that never ran: `full`, `miss` or a failed connection.
+    NeverRan,
+    /// An attempt that may have run.
+    InDoubt,
+    /// Time at the runner, queued or executing.
+    AtRunner,
 }
 
-/// A bar: row, span in microseconds since the first event, shade.
+/// A bar of the chart; times are in microseconds since the first event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bar {
-    /// Its row.
+    /// Index of its row.
     pub row: usize,
-    /// From when.
+    /// Start.
     pub from: u64,
-    /// Until when.
+    /// End.
     pub to: u64,
-    /// What it shows.
-    pub shade: Shade,
+    /// What the bar stands for.
+    pub kind: BarKind,
 }
 
-/// The rows' names and the bars of a path.
+/// Rows and bars of a call's timeline.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Chart {
-    /// From top to bottom.
+    /// Names of the rows, from top to bottom.
     pub rows: Vec<String>,
-    /// In the rows.
+    /// The bars of all rows.
     pub bars: Vec<Bar>,
-    /// Microseconds from the first event to the last.
+    /// Time from the first event to the last, in microseconds.
     pub length: u64,
 }
 
-fn shade(outcome: &str) -> Shade {
+fn bar_kind(outcome: &str) -> BarKind {
     match outcome {
-        "ok" => Shade::Good,
-        "full" | "miss" | "connect_failed" => Shade::Never,
-        _ => Shade::Doubt,
+        "ok" => BarKind::Succeeded,
+        "full" | "miss" | "connect_failed" => BarKind::NeverRan,
+        _ => BarKind::InDoubt,
     }
 }
 
 impl Chart {
+    /// Index of the row of that name, which is added if missing.
     fn row(&mut self, name: String) -> usize {
         if let Some(n) = self.rows.iter().position(|r| *r == name) {
             return n;
@@ -60,9 +61,9 @@
         self.rows.len() - 1
     }
 
-    /// Lays events out; they are in the order of their times. What has no end lasts to the last event: its front
-    /// end or runner was killed, or its end is in no log given.
-    pub fn of(events: &[Event]) -> Chart {
+    /// Lays out events, which must be in order of time. A bar without an end event extends to the last event: its
+    /// front end or runner was killed, or the end is in none of the given logs.
+    pub fn from_events(events: &[Event]) -> Chart {
         let mut chart = Chart::default();
         let Some(first) = events.first() else { return chart };
         let start = first.at;
@@ -72,36 +73,36 @@
             let same = |x: &&Event| x.request == e.request;
             let until = |found: Option<&Event>| found.map_or(chart.length, |x| x.at - start);
             match &e.kind {
-                Kind::Taken { .. } | Kind::Ended { .. } => {
-                    // Held until the next attempt goes out or the answer comes.
+                Kind::Accepted { .. } | Kind::Ended { .. } => {
+                    // The call waits until the next attempt is sent or the answer is given.
                     let ends = |x: &&Event| matches!(x.kind, Kind::Attempt { .. } | Kind::Answered { .. });
                     let to = until(later.iter().filter(same).find(ends));
-                    let row = chart.row(format!("{} at {}", e.request, e.place));
-                    chart.bars.push(Bar { row, from: at, to, shade: Shade::Held });
+                    let row = chart.row(format!("{} at {}", e.request, e.source));
+                    chart.bars.push(Bar { row, from: at, to, kind: BarKind::Waiting });
                 }
                 Kind::Attempt { attempt, worker, .. } => {
                     let ends = |x: &&Event| matches!(&x.kind, Kind::Ended { attempt: a, .. } if a == attempt);
                     let end = later.iter().filter(same).find(ends);
-                    let shade = match end.map(|e| &e.kind) {
-                        Some(Kind::Ended { outcome, .. }) => shade(outcome),
-                        _ => Shade::Doubt,
+                    let kind = match end.map(|e| &e.kind) {
+                        Some(Kind::Ended { outcome, .. }) => bar_kind(outcome),
+                        _ => BarKind::InDoubt,
                     };
                     let to = until(end);
                     let row = chart.row(format!("attempt {attempt} of {} to runner {worker}", e.request));
-                    chart.bars.push(Bar { row, from: at, to, shade });
+                    chart.bars.push(Bar { row, from: at, to, kind });
                 }
-                Kind::Runner { runner, attempt, did } if did == "arrived" => {
+                Kind::Runner { runner, attempt, action } if action == "arrived" => {
                     let ends = |x: &&Event| match &x.kind {
-                        Kind::Runner { runner: r, attempt: a, did } => {
+                        Kind::Runner { runner: r, attempt: a, action } => {
                             r == runner
                                 && a == attempt
-                                && (did == "finished" || did == "left" || did.starts_with("replied"))
+                                && (action == "finished" || action == "left" || action.starts_with("replied"))
                         }
                         _ => false,
                     };
                     let to = until(later.iter().filter(same).find(ends));
                     let row = chart.row(format!("runner {runner} on {}/{attempt}", e.request));
-                    chart.bars.push(Bar { row, from: at, to, shade: Shade::Work });
+                    chart.bars.push(Bar { row, from: at, to, kind: BarKind::AtRunner });
                 }
                 _ => {}
             }
@@ -109,15 +110,15 @@
         chart
     }
 
-    /// Draws it.
+    /// Renders the chart as SVG.
     pub fn svg(&self, title: &str) -> Result<String, String> {
         let mut out = String::new();
         let rows = self.rows.len().max(1);
         let height = 110 + 34 * rows as u32;
         {
-            let told = |e: DrawingAreaErrorKind<std::io::Error>| e.to_string();
+            let to_text = |e: DrawingAreaErrorKind<std::io::Error>| e.to_string();
             let area = SVGBackend::with_string(&mut out, (1000, height)).into_drawing_area();
-            area.fill(&WHITE).map_err(told)?;
+            area.fill(&WHITE).map_err(to_text)?;
             let length = self.length as f64 / 1e3;
             let mut chart = ChartBuilder::on(&area)
                 .caption(title, ("sans-serif", 18))
@@ -125,7 +126,7 @@
                 .x_label_area_size(36)
                 .y_label_area_size(300)
                 .build_cartesian_2d(0.0..length * 1.02, 0.0..rows as f64)
-                .map_err(told)?;
+                .map_err(to_text)?;
             let name = |y: &f64| {
                 let row = rows as f64 - y - 0.5;
                 match row >= 0.0 && row.fract().abs() < 1e-6 {
@@ -140,22 +141,22 @@
                 .y_label_formatter(&name)
                 .x_desc("milliseconds since the first event")
                 .draw()
-                .map_err(told)?;
+                .map_err(to_text)?;
             for bar in &self.bars {
                 let top = (rows - bar.row) as f64;
-                let color = match bar.shade {
-                    Shade::Held => RGBColor(190, 190, 190),
-                    Shade::Good => RGBColor(60, 140, 80),
-                    Shade::Never => RGBColor(230, 170, 50),
-                    Shade::Doubt => RGBColor(190, 60, 50),
-                    Shade::Work => RGBColor(70, 110, 190),
+                let color = match bar.kind {
+                    BarKind::Waiting => RGBColor(190, 190, 190),
+                    BarKind::Succeeded => RGBColor(60, 140, 80),
+                    BarKind::NeverRan => RGBColor(230, 170, 50),
+                    BarKind::InDoubt => RGBColor(190, 60, 50),
+                    BarKind::AtRunner => RGBColor(70, 110, 190),
                 };
-                // A moment still shows as a line.
+                // Bars without a duration are drawn as thin lines.
                 let to = (bar.to as f64).max(bar.from as f64 + self.length as f64 / 500.0) / 1e3;
                 let corners = [(bar.from as f64 / 1e3, top - 0.2), (to, top - 0.8)];
-                chart.draw_series([Rectangle::new(corners, color.filled())]).map_err(told)?;
+                chart.draw_series([Rectangle::new(corners, color.filled())]).map_err(to_text)?;
             }
-            area.present().map_err(told)?;
+            area.present().map_err(to_text)?;
         }
         Ok(out)
     }
--- a/crates/badgerwind-cli/tests/program.rs
+++ b/crates/badgerwind-cli/tests/program.rs
@@ -256,7 +256,7 @@
 
 #[test]
 fn a_call_is_drawn_with_what_its_runners_recorded() {
-    use badgerwind_cli::trace::draw::{Bar, Chart, Shade};
+    use badgerwind_cli::trace::draw::{Bar, BarKind, Chart};
     use badgerwind_cli::trace::read::events;
     let log = |at: u32, rest: &str| format!("{{\"timestamp\":\"2026-12-01T18:00:00.{at:03}Z\",{rest}}}\n");
     let logs = [
@@ -282,20 +282,20 @@
     let events = events("m", &[("f0".into(), logs.concat())], &[("r5".into(), records)]);
     assert_eq!(events.len(), 9, "{events:#?}");
     assert_eq!(events[0].at, start);
-    let chart = Chart::of(&events);
+    let chart = Chart::from_events(&events);
     let rows =
         ["r-1 at f0", "attempt 0 of r-1 to runner 4", "attempt 1 of r-1 to runner 5", "runner 5 on r-1/1"];
     assert_eq!(chart.rows, rows);
-    let bar = |row, from: u64, to: u64, shade| Bar { row, from: from * 1000, to: to * 1000, shade };
+    let bar = |row, from: u64, to: u64, kind| Bar { row, from: from * 1000, to: to * 1000, kind };
     assert_eq!(
         chart.bars,
         [
-            bar(0, 0, 10, Shade::Held),
-            bar(1, 10, 20, Shade::Never),
-            bar(0, 20, 25, Shade::Held),
-            bar(2, 25, 90, Shade::Doubt),
-            bar(3, 30, 80, Shade::Work),
-            bar(0, 90, 91, Shade::Held),
+            bar(0, 0, 10, BarKind::Waiting),
+            bar(1, 10, 20, BarKind::NeverRan),
+            bar(0, 20, 25, BarKind::Waiting),
+            bar(2, 25, 90, BarKind::InDoubt),
+            bar(3, 30, 80, BarKind::AtRunner),
+            bar(0, 90, 91, BarKind::Waiting),
         ]
     );
     let folder = tempfile::tempdir().unwrap();
