--- a/crates/badgerwind-cli/src/fleet.rs
+++ b/crates/badgerwind-cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: what front ends say of who is there and of the budgets that they divide, put side by side.
+//! `fleet`: queries the status endpoints of front ends and prints members, budgets and zones side by side.
 
 use crate::CommandError;
 use badgerwind_http::{Exchange, Pool, PoolBounds};
@@ -11,292 +11,309 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where to ask.
+/// Arguments that name the front ends to query.
 #[derive(clap::Args, Debug)]
-pub struct At {
-    /// Addresses of front ends' figures (<metrics listen>); give it again for each
-    #[arg(long = "at", required = true)]
-    at: Vec<SocketAddr>,
-    /// As JSON
+pub struct QueryArgs {
+    /// Metrics address of a front end (<metrics listen>); repeat for several
+    #[arg(long = "at", required = true, value_name = "AT")]
+    addresses: Vec<SocketAddr>,
+    /// Print JSON
     #[arg(long)]
     json: bool,
 }
 
-/// The sub-commands.
+/// Sub-commands of `fleet`.
 #[derive(Subcommand, Debug)]
 pub enum Command {
-    /// Who is there by each front end's view, and whom each takes for keeper
-    Status(At),
-    /// Each budget: who owns how much of it, until when, and what is in nobody's hands
-    Budgets(At),
-    /// Each zone: its stage and share at each front end, and the evidence for it
-    Zones(At),
-    /// An operator's word of a zone, written into a settings file or a part of kind fleet
+    /// Show the members and the lease coordinator as each front end sees them
+    Status(QueryArgs),
+    /// Show how many units of each budget every front end owns, until when, and how many nobody owns
+    Budgets(QueryArgs),
+    /// Show each zone's stage and share at every front end, and the evidence for it
+    Zones(QueryArgs),
+    /// Write an operator's directive for a zone into a settings file or a part of kind fleet
     #[command(subcommand)]
     Zone(ZoneCommand),
-    /// One budget unit by unit: who owns which, until when, what rests and when it may be had
+    /// Show the units of one budget: their owners, lease ends and cooldowns
     Explain {
-        /// Its name in the settings
+        /// The budget's name in the settings
         budget: String,
-        /// Where to ask
+        /// The front ends to query
         #[command(flatten)]
-        at: At,
+        query: QueryArgs,
     },
 }
 
-/// Words of a zone.
+/// Directives for a zone.
 #[derive(Subcommand, Debug)]
 pub enum ZoneCommand {
-    /// Nothing goes there until the word is taken back
+    /// Send no calls to the zone until the directive is removed
     Leave(ZoneArgs),
-    /// It stays as it is, whatever front ends find
+    /// Keep the zone's stage, whatever front ends observe
     Hold(ZoneArgs),
-    /// If it was left, its return begins now, step by step
+    /// Start the stepwise return of a zone that was left
     Return(ZoneArgs),
-    /// The word is taken back: front ends go by what they find
+    /// Remove the directive: front ends follow their own observations again
     Free(ZoneArgs),
 }
 
-/// What a word is of.
+/// Arguments of a zone directive.
 #[derive(clap::Args, Debug)]
 pub struct ZoneArgs {
-    /// The zone's name
+    /// Name of the zone
     zone: String,
-    /// Why, for the log of each front end
+    /// Reason, logged by each front end
     #[arg(long)]
     why: String,
-    /// The file that names the zones: a front end's settings, or a part to publish
+    /// File that defines the zones: a front end's settings, or a part to publish
     #[arg(long)]
     settings: PathBuf,
-    /// Change nothing; tell what would be in use
-    #[arg(long, requires = "at")]
+    /// Change nothing; print the capacity that would stay in use
+    #[arg(long, requires = "addresses")]
     dry_run: bool,
-    /// Addresses of front ends' figures, for --dry-run; give it again for each
-    #[arg(long = "at")]
-    at: Vec<SocketAddr>,
+    /// Metrics address of a front end, for --dry-run; repeat for several
+    #[arg(long = "at", value_name = "AT")]
+    addresses: Vec<SocketAddr>,
 }
 
-/// What is known of another.
+/// Another member as a front end sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct SeenMember {
-    /// Its number.
+pub struct MemberReport {
+    /// The member's number.
     pub member: u16,
-    /// What it is taken for.
+    /// Detected state: `alive`, `suspect`, `dead`, `left` or `unknown`.
     pub state: String,
-    /// Its life.
-    pub life: u64,
-    /// Its incarnation.
-    pub round: u32,
+    /// The epoch of its process.
+    #[serde(rename = "life")]
+    pub epoch: u64,
+    /// Its incarnation, by which it refutes suspicions.
+    #[serde(rename = "round")]
+    pub incarnation: u32,
 }
 
-/// Units that stand alike, by the keeper's ledger.
+/// A range of units in the same state, from the coordinator's ledger.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub struct Stretch {
+pub struct UnitRange {
     /// `owned`, `rests` or `free`.
     pub state: String,
     /// The owner.
     pub member: Option<u16>,
-    /// Until then it is so, in milliseconds from now.
-    pub ms: u64,
-    /// The first unit.
-    pub from: u16,
-    /// The last.
-    pub to: u16,
+    /// Time until the state ends, in milliseconds.
+    #[serde(rename = "ms")]
+    pub remaining_ms: u64,
+    /// First unit.
+    #[serde(rename = "from")]
+    pub first: u16,
+    /// Last unit, inclusive.
+    #[serde(rename = "to")]
+    pub last: u16,
 }
 
-/// A budget by one front end's word.
+/// A budget as reported by one front end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct BudgetHere {
-    /// Its name.
+pub struct BudgetReport {
+    /// The budget's name.
     pub name: String,
-    /// `orders` or `tenant`.
-    pub of: String,
-    /// Units in all.
+    /// What it limits: `orders` or `tenant`.
+    #[serde(rename = "of")]
+    pub resource: String,
+    /// Total number of units.
     pub units: u16,
-    /// Of these, each front end's own for good.
+    /// Units that each front end owns permanently.
     pub floor: u16,
-    /// How long a spent unit rests, in milliseconds.
+    /// Cooldown of a spent unit, in milliseconds.
     pub window_ms: u64,
-    /// Units that it owns.
+    /// Units that this front end owns.
     pub owned: usize,
-    /// Of these, its own for good.
+    /// Of these, the ones that it owns permanently.
     pub owned_floor: usize,
-    /// Which, each range without its end.
+    /// The owned units, as half-open ranges.
     pub ranges: Vec<(u16, u16)>,
-    /// What was granted counts so much longer, in milliseconds.
+    /// Remaining time of the lease on granted units, in milliseconds.
     pub until_ms: u64,
-    /// What it asked for.
-    pub wants: u16,
-    /// Units that it was asked for in the last window.
-    pub asked_lately: f64,
-    /// Until a unit may be spent, in milliseconds; nothing where it owns none.
+    /// Units that it requests.
+    #[serde(rename = "wants")]
+    pub wanted: u16,
+    /// Units that calls demanded in the last window.
+    #[serde(rename = "asked_lately")]
+    pub recent_demand: f64,
+    /// Time until a unit may be spent, in milliseconds; `None` if it owns none.
     pub wait_ms: Option<u64>,
-    /// Load orders held back.
+    /// Load orders that were refused.
     pub refused: u64,
-    /// The ledger, where it is keeper.
-    pub standings: Option<Vec<Stretch>>,
+    /// The ledger, if this front end is the coordinator.
+    #[serde(rename = "standings")]
+    pub ledger: Option<Vec<UnitRange>>,
 }
 
-/// One front end's word.
+/// Members and budgets as reported by one front end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Word {
-    /// Its number.
+pub struct BudgetsReport {
+    /// The front end's number.
     pub number: u16,
-    /// The version of the wholes that it goes by.
+    /// The version of the limits that it applies.
     pub version: u32,
-    /// Whose votes count.
+    /// Members that vote for the coordinator.
     pub voters: Vec<u16>,
-    /// Whom it takes for keeper.
-    pub keeper: Option<u16>,
-    /// It is keeper.
-    pub reigns: bool,
-    /// How long a grant counts, in milliseconds.
+    /// The member that it believes to be the lease coordinator.
+    #[serde(rename = "keeper")]
+    pub coordinator: Option<u16>,
+    /// Whether it is the coordinator itself.
+    #[serde(rename = "reigns")]
+    pub is_coordinator: bool,
+    /// Duration of a lease, in milliseconds.
     pub lease_ms: u64,
-    /// How unsure of itself it is.
+    /// Local health score of failure detection; higher means less certain of its own timing.
     pub health: u32,
-    /// The others.
-    pub members: Vec<SeenMember>,
+    /// The other members.
+    pub members: Vec<MemberReport>,
     /// The budgets.
-    pub budgets: Vec<BudgetHere>,
+    pub budgets: Vec<BudgetReport>,
 }
 
-/// What one front end saw of a zone's runners of late.
+/// Recent results of one front end's calls to a zone's runners.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct OwnSight {
-    /// They answered in time.
-    pub heard: u16,
-    /// Late.
+pub struct OwnCounts {
+    /// Answered in time.
+    #[serde(rename = "heard")]
+    pub answered: u16,
+    /// Answered late.
     pub late: u16,
-    /// Not at all.
+    /// Not answered.
     pub lost: u16,
 }
 
-/// What all that told came to.
+/// The combined evidence of all front ends that reported.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct JointSight {
-    /// Front ends that told.
-    pub fronts: usize,
-    /// Of these, that hear it.
-    pub hearing: u16,
-    /// Evidence that it is lost, in nats.
+pub struct FleetEvidence {
+    /// Front ends that reported.
+    #[serde(rename = "fronts")]
+    pub front_ends: usize,
+    /// Of these, front ends that the zone still answers.
+    #[serde(rename = "hearing")]
+    pub reached_by: u16,
+    /// Evidence that the zone is lost, in nats.
     pub lost: f64,
-    /// That it is late.
+    /// Evidence that the zone answers late, in nats.
     pub late: f64,
 }
 
-/// A zone by one front end's word.
+/// A zone as reported by one front end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ZoneHere {
-    /// Its name.
+pub struct ZoneReport {
+    /// The zone's name.
     pub name: String,
-    /// Its stage by the fleet's word.
+    /// The stage that the fleet agreed on.
     pub stage: String,
-    /// The part of its runners that this front end sends to.
+    /// Share of the zone's runners that this front end sends to.
     pub share: f64,
-    /// Changes of stage so far.
+    /// Number of stage changes so far.
     pub generation: u16,
-    /// Since when, in milliseconds.
+    /// Time since the last stage change, in milliseconds.
     pub since_ms: u64,
-    /// Returns that failed lately.
+    /// Recent returns that failed.
     pub failed_returns: u8,
-    /// This front end leaves it by its own word alone.
+    /// Whether this front end left the zone on its own evidence, without the fleet's agreement.
     pub alone: bool,
-    /// An operator's word: leave, hold or return.
-    pub word: Option<String>,
-    /// Its runners' sizes together.
+    /// An operator's directive: leave, hold or return.
+    #[serde(rename = "word")]
+    pub directive: Option<String>,
+    /// Sum of its runners' sizes.
     pub size: f64,
-    /// Its runners.
+    /// Number of its runners.
     pub runners: usize,
-    /// Its own evidence.
-    pub own: OwnSight,
-    /// The joint one, where voters answer.
-    pub fleet: Option<JointSight>,
+    /// The front end's own evidence.
+    pub own: OwnCounts,
+    /// The fleet's evidence, if voters answer.
+    pub fleet: Option<FleetEvidence>,
 }
 
-/// Zones by one front end's word.
+/// Zones as reported by one front end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ZonesWord {
-    /// Its number.
+pub struct ZonesReport {
+    /// The front end's number.
     pub number: u32,
-    /// By place.
-    pub zones: Vec<ZoneHere>,
+    /// The zones, by index in the settings.
+    pub zones: Vec<ZoneReport>,
 }
 
-/// All that a front end says.
+/// The complete answer of a front end's `/fleet` endpoint.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Whole {
-    /// Of budgets and members.
-    pub shares: Option<Word>,
-    /// Of zones.
-    pub zones: Option<ZonesWord>,
+pub struct FleetReport {
+    /// Members and budgets.
+    #[serde(rename = "shares")]
+    pub budgets: Option<BudgetsReport>,
+    /// Zones.
+    pub zones: Option<ZonesReport>,
 }
 
-/// An address and what came from there.
-pub type Asked = (SocketAddr, Result<Word, String>);
+/// The address of a front end and its answer.
+pub type QueryResult = (SocketAddr, Result<BudgetsReport, String>);
 
-/// How long a front end may take to say it.
-const WITHIN: Duration = Duration::from_secs(3);
+/// Timeout of a query to one front end.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks one front end for its word of budgets and members.
-pub async fn ask(at: SocketAddr) -> Result<Word, String> {
-    ask_whole(at).await?.shares.ok_or_else(|| "its settings name no <budgets>".into())
+/// Queries one front end for its members and budgets.
+pub async fn query_budgets(address: SocketAddr) -> Result<BudgetsReport, String> {
+    query(address).await?.budgets.ok_or_else(|| "its settings name no <budgets>".into())
 }
 
-/// Asks one front end for all that it says.
-pub async fn ask_whole(at: SocketAddr) -> Result<Whole, String> {
-    let bounds = PoolBounds { most: 1, connect_time: WITHIN, idle_time: WITHIN, body_bytes: 16 << 20 };
+/// Queries one front end for its complete report.
+pub async fn query(address: SocketAddr) -> Result<FleetReport, String> {
+    let bounds =
+        PoolBounds { most: 1, connect_time: QUERY_TIMEOUT, idle_time: QUERY_TIMEOUT, body_bytes: 16 << 20 };
     let request =
         Exchange { method: "GET", target: "/fleet".into(), headers: vec![], body: Arc::from(&b""[..]) };
-    let late = async {
-        smol::Timer::after(WITHIN).await;
+    let timeout = async {
+        smol::Timer::after(QUERY_TIMEOUT).await;
         Err("no answer in time".to_owned())
     };
-    let asked = async { Pool::new(at, bounds).exchange(&request).await.map_err(|e| e.to_string()) };
-    let (head, body) = asked.or(late).await?;
+    let answer = async { Pool::new(address, bounds).exchange(&request).await.map_err(|e| e.to_string()) };
+    let (head, body) = answer.or(timeout).await?;
     match head.status {
-        200 => serde_json::from_slice(&body).map_err(|e| format!("not a fleet's word: {e}")),
+        200 => serde_json::from_slice(&body).map_err(|e| format!("the answer is not a fleet report: {e}")),
         404 => Err("its settings name neither <budgets> nor <leaving>".into()),
         status => Err(format!("status {status}")),
     }
 }
 
-fn ask_all(at: &[SocketAddr]) -> Vec<(SocketAddr, Result<Whole, String>)> {
+fn query_all(addresses: &[SocketAddr]) -> Vec<(SocketAddr, Result<FleetReport, String>)> {
     smol::block_on(async {
-        let tasks: Vec<_> = at.iter().map(|a| (*a, smol::spawn(ask_whole(*a)))).collect();
-        let mut all = Vec::new();
-        for (a, task) in tasks {
-            all.push((a, task.await));
+        let tasks: Vec<_> = addresses.iter().map(|a| (*a, smol::spawn(query(*a)))).collect();
+        let mut answers = Vec::new();
+        for (address, task) in tasks {
+            answers.push((address, task.await));
         }
-        all
+        answers
     })
 }
 
-/// What is in use of all runners by size at each front end, now and with a zone at another share.
-pub fn dry_run(words: &[ZonesWord], zone: &str, share: f64) -> String {
+/// Prints the share of all runners by size in use at each front end, now and with `zone` at another share.
+pub fn dry_run(reports: &[ZonesReport], zone: &str, share: f64) -> String {
     let mut out = String::new();
-    for w in words {
-        let all: f64 = w.zones.iter().map(|z| z.size).sum();
-        let used = |of: &dyn Fn(&ZoneHere) -> f64| -> f64 {
-            let sum: f64 = w.zones.iter().map(|z| of(z) * z.size).sum();
-            if all > 0.0 {
-                sum / all
+    for report in reports {
+        let total: f64 = report.zones.iter().map(|z| z.size).sum();
+        let used = |share_of: &dyn Fn(&ZoneReport) -> f64| -> f64 {
+            let sum: f64 = report.zones.iter().map(|z| share_of(z) * z.size).sum();
+            if total > 0.0 {
+                sum / total
             } else {
                 0.0
             }
         };
-        let now = used(&|z| z.share);
-        let then = used(&|z| if z.name == zone { share } else { z.share });
+        let before = used(&|z| z.share);
+        let after = used(&|z| if z.name == zone { share } else { z.share });
         let _ = writeln!(
             out,
-            "front end {}: {now:.2} of all runners by size in use now, {then:.2} then; what the rest can't bear is refused",
-            w.number
+            "front end {}: {before:.2} of all runners by size in use now, {after:.2} then; calls beyond the remaining capacity are refused",
+            report.number
         );
     }
     out
 }
 
-fn zone_word(command: &ZoneCommand) -> Result<(), CommandError> {
-    let (word, share, args) = match command {
+fn set_zone_directive(command: &ZoneCommand) -> Result<(), CommandError> {
+    let (directive, share, args) = match command {
         ZoneCommand::Leave(a) => (Some("leave"), 0.0, a),
         ZoneCommand::Hold(a) => (Some("hold"), 1.0, a),
         ZoneCommand::Return(a) => (Some("return"), 1.0, a),
@@ -307,99 +324,106 @@
     let text = text.map_err(|e| CommandError::usage(format!("cannot read {shown}: {e}")))?;
     let why = args.why.as_str();
     if why.is_empty() || why.len() > 200 || why.contains(char::is_control) {
-        return Err(CommandError::usage("give --why 1 to 200 bytes of words on one line"));
+        return Err(CommandError::usage("--why needs 1 to 200 bytes of text on one line"));
     }
-    let changed = badgerwind_settings::edit::set_zone_directive(&text, &args.zone, word.map(|w| (w, why)))
-        .map_err(|e| CommandError::usage(format!("{shown}: {e}")))?;
+    let changed =
+        badgerwind_settings::edit::set_zone_directive(&text, &args.zone, directive.map(|d| (d, why)))
+            .map_err(|e| CommandError::usage(format!("{shown}: {e}")))?;
     if args.dry_run {
-        let whole = ask_all(&args.at);
-        let words: Vec<ZonesWord> =
-            whole.iter().filter_map(|(_, w)| w.as_ref().ok()?.zones.clone()).collect();
-        if words.is_empty() {
-            return Err(CommandError::failed("no front end that was asked has <leaving> in its settings"));
+        let answers = query_all(&args.addresses);
+        let reports: Vec<ZonesReport> =
+            answers.iter().filter_map(|(_, r)| r.as_ref().ok()?.zones.clone()).collect();
+        if reports.is_empty() {
+            return Err(CommandError::failed("no queried front end has <leaving> in its settings"));
         }
-        // A word that holds changes no share; one that frees or returns leads to all of it, step by step.
+        // `hold` changes no share; `free` and `return` lead to the full share step by step.
         let hold = matches!(command, ZoneCommand::Hold(_));
-        let stays = words[0].zones.iter().find(|z| z.name == args.zone).map_or(1.0, |z| z.share);
-        print!("{}", dry_run(&words, &args.zone, if hold { stays } else { share }));
+        let current = reports[0].zones.iter().find(|z| z.name == args.zone).map_or(1.0, |z| z.share);
+        print!("{}", dry_run(&reports, &args.zone, if hold { current } else { share }));
         return Ok(());
     }
     crate::write_atomically(&args.settings, &changed)?;
     println!(
         "{shown}: zone {}, {}. Send SIGHUP to each front end that has this file, or publish it if it is a part of kind fleet",
         args.zone,
-        word.unwrap_or("free")
+        directive.unwrap_or("free")
     );
     Ok(())
 }
 
 /// Runs a sub-command.
 pub fn run(command: &Command) -> Result<(), CommandError> {
-    let at = match command {
-        Command::Zone(command) => return zone_word(command),
-        Command::Status(at) | Command::Budgets(at) | Command::Zones(at) | Command::Explain { at, .. } => at,
+    let query = match command {
+        Command::Zone(command) => return set_zone_directive(command),
+        Command::Status(query)
+        | Command::Budgets(query)
+        | Command::Zones(query)
+        | Command::Explain { query, .. } => query,
     };
-    let whole = ask_all(&at.at);
-    if at.json && whole.iter().any(|a| a.1.is_ok()) {
-        let entry = |(at, word): &(SocketAddr, Result<Whole, String>)| match word {
-            Ok(word) => serde_json::json!({ "at": at, "word": word }),
+    let answers = query_all(&query.addresses);
+    if query.json && answers.iter().any(|a| a.1.is_ok()) {
+        let entry = |(at, report): &(SocketAddr, Result<FleetReport, String>)| match report {
+            Ok(report) => serde_json::json!({ "at": at, "word": report }),
             Err(e) => serde_json::json!({ "at": at, "error": e }),
         };
-        let all: Vec<_> = whole.iter().map(entry).collect();
+        let all: Vec<_> = answers.iter().map(entry).collect();
         println!("{}", serde_json::Value::from(all));
         return Ok(());
     }
     if let Command::Zones(_) = command {
-        let zones: Vec<ZonesWord> =
-            whole.iter().filter_map(|(_, w)| w.as_ref().ok()?.zones.clone()).collect();
+        let zones: Vec<ZonesReport> =
+            answers.iter().filter_map(|(_, r)| r.as_ref().ok()?.zones.clone()).collect();
         if zones.is_empty() {
-            return Err(CommandError::failed("no front end that was asked has <leaving> in its settings"));
+            return Err(CommandError::failed("no queried front end has <leaving> in its settings"));
         }
         print!("{}", zone_table(&zones));
         return Ok(());
     }
-    let no = || "its settings name no <budgets>".to_owned();
-    let all: Vec<Asked> =
-        whole.into_iter().map(|(at, w)| (at, w.and_then(|w| w.shares.ok_or_else(no)))).collect();
-    let words: Vec<&Word> = all.iter().filter_map(|a| a.1.as_ref().ok()).collect();
-    if words.is_empty() {
+    let missing = || "its settings name no <budgets>".to_owned();
+    let all: Vec<QueryResult> =
+        answers.into_iter().map(|(at, r)| (at, r.and_then(|r| r.budgets.ok_or_else(missing)))).collect();
+    let reports: Vec<&BudgetsReport> = all.iter().filter_map(|a| a.1.as_ref().ok()).collect();
+    if reports.is_empty() {
         let why: Vec<String> =
             all.iter().filter_map(|a| Some(format!("{}: {}", a.0, a.1.as_ref().err()?))).collect();
-        return Err(CommandError::failed(format!("no front end tells of budgets\n{}", why.join("\n"))));
+        return Err(CommandError::failed(format!("no front end reports budgets\n{}", why.join("\n"))));
     }
     let text = match command {
         Command::Status(_) => status(&all),
-        Command::Explain { budget, .. } => explain(&words, budget)?,
-        Command::Budgets(_) | Command::Zones(_) | Command::Zone(_) => budgets(&words),
+        Command::Explain { budget, .. } => explain(&reports, budget)?,
+        Command::Budgets(_) | Command::Zones(_) | Command::Zone(_) => budgets(&reports),
     };
     print!("{text}");
     Ok(())
 }
 
-/// Zones, as a table.
-pub fn zone_table(words: &[ZonesWord]) -> String {
+/// Formats zones as a table.
+pub fn zone_table(reports: &[ZonesReport]) -> String {
     let mut out = String::new();
     let names: Vec<&str> =
-        words.first().map_or(vec![], |w| w.zones.iter().map(|z| z.name.as_str()).collect());
+        reports.first().map_or(vec![], |w| w.zones.iter().map(|z| z.name.as_str()).collect());
     for name in names {
         let _ = writeln!(out, "{name}");
         let _ = writeln!(
             out,
-            "  {:>6} {:<9} {:>6} {:>5} {:>10} {:>6}  {:<24} joint word",
-            "number", "stage", "share", "moves", "since", "failed", "own: heard late lost"
+            "  {:>6} {:<9} {:>6} {:>5} {:>10} {:>6}  {:<24} fleet's evidence",
+            "number", "stage", "share", "moves", "since", "failed", "own: in time late lost"
         );
         for (number, z) in
-            words.iter().filter_map(|w| Some((w.number, w.zones.iter().find(|z| z.name == name)?)))
+            reports.iter().filter_map(|w| Some((w.number, w.zones.iter().find(|z| z.name == name)?)))
         {
-            let stage = match (&z.word, z.alone) {
-                (Some(word), _) => format!("{}!", word),
+            let stage = match (&z.directive, z.alone) {
+                (Some(directive), _) => format!("{directive}!"),
                 (None, true) => "alone".into(),
                 (None, false) => z.stage.clone(),
             };
             let since = format!("{:.1} s", z.since_ms as f64 / 1e3);
-            let own = format!("{} {} {}", z.own.heard, z.own.late, z.own.lost);
-            let joint = z.fleet.as_ref().map_or("no word from voters".to_owned(), |f| {
-                format!("lost {:.1} nats, late {:.1}; {} of {} hear it", f.lost, f.late, f.hearing, f.fronts)
+            let own = format!("{} {} {}", z.own.answered, z.own.late, z.own.lost);
+            let joint = z.fleet.as_ref().map_or("no answer from voters".to_owned(), |f| {
+                format!(
+                    "lost {:.1} nats, late {:.1}; answers {} of {}",
+                    f.lost, f.late, f.reached_by, f.front_ends
+                )
             });
             let (share, moves, failed) = (z.share, z.generation, z.failed_returns);
             let _ = writeln!(
@@ -411,16 +435,16 @@
     out
 }
 
-/// Who is there, as a table.
-pub fn status(all: &[Asked]) -> String {
+/// Formats each front end's view of the members as a table.
+pub fn status(all: &[QueryResult]) -> String {
     let mut out =
         format!("{:<22} {:>6} {:>8} {:>7} {:>7}  others\n", "at", "number", "settings", "keeper", "unsure");
-    for (at, word) in all {
+    for (at, report) in all {
         // Writing to a `String` cannot fail.
-        let _ = match word {
+        let _ = match report {
             Err(e) => writeln!(out, "{:<22} {e}", at.to_string()),
             Ok(w) => {
-                let keeper = match (w.reigns, w.keeper) {
+                let coordinator = match (w.is_coordinator, w.coordinator) {
                     (true, _) => "itself".to_owned(),
                     (false, Some(k)) => k.to_string(),
                     (false, None) => "none".to_owned(),
@@ -429,14 +453,14 @@
                     w.members.iter().filter(|m| m.state == state).map(|m| m.member.to_string()).collect()
                 };
                 let states = ["alive", "suspect", "dead", "left", "unknown"];
-                let told = states.iter().map(|s| (s, of(s))).filter(|(_, m)| !m.is_empty());
-                let others: Vec<String> = told.map(|(s, m)| format!("{s} {}", m.join(" "))).collect();
+                let present = states.iter().map(|s| (s, of(s))).filter(|(_, m)| !m.is_empty());
+                let others: Vec<String> = present.map(|(s, m)| format!("{s} {}", m.join(" "))).collect();
                 let (number, version) = (w.number, w.version);
                 let at = at.to_string();
-                let unsure = w.health;
+                let uncertainty = w.health;
                 writeln!(
                     out,
-                    "{at:<22} {number:>6} {version:>8} {keeper:>7} {unsure:>7}  {}",
+                    "{at:<22} {number:>6} {version:>8} {coordinator:>7} {uncertainty:>7}  {}",
                     others.join(", ")
                 )
             }
@@ -445,62 +469,65 @@
     out
 }
 
-/// The keeper's ledger of a budget: nobody else knows what is in nobody's hands.
-fn ledger<'a>(words: &[&'a Word], name: &str) -> Option<(&'a Word, &'a [Stretch])> {
-    words.iter().find_map(|w| {
+/// The coordinator's ledger of a budget. Only the coordinator knows which units nobody owns.
+fn ledger<'a>(reports: &[&'a BudgetsReport], name: &str) -> Option<(&'a BudgetsReport, &'a [UnitRange])> {
+    reports.iter().find_map(|w| {
         let b = w.budgets.iter().find(|b| b.name == name)?;
-        Some((*w, b.standings.as_deref()?))
+        Some((*w, b.ledger.as_deref()?))
     })
 }
 
-fn count<'a>(stretches: impl Iterator<Item = &'a Stretch>) -> usize {
-    stretches.map(|s| usize::from(s.to - s.from) + 1).sum()
+fn unit_count<'a>(ranges: impl Iterator<Item = &'a UnitRange>) -> usize {
+    ranges.map(|r| usize::from(r.last - r.first) + 1).sum()
 }
 
-/// Each budget, as a table.
-pub fn budgets(words: &[&Word]) -> String {
+/// Formats each budget as a table.
+pub fn budgets(reports: &[&BudgetsReport]) -> String {
     let mut out = String::new();
     let mut names: Vec<&str> = Vec::new();
-    for b in words.iter().flat_map(|w| &w.budgets) {
+    for b in reports.iter().flat_map(|w| &w.budgets) {
         if !names.contains(&b.name.as_str()) {
             names.push(&b.name);
         }
     }
     for name in names {
-        let here: Vec<(u16, &BudgetHere)> = words
+        let entries: Vec<(u16, &BudgetReport)> = reports
             .iter()
             .filter_map(|w| Some((w.number, w.budgets.iter().find(|b| b.name == name)?)))
             .collect();
-        let Some((_, first)) = here.first() else { continue };
-        let owned: usize = here.iter().map(|(_, b)| b.owned).sum();
+        let Some((_, first)) = entries.first() else { continue };
+        let owned: usize = entries.iter().map(|(_, b)| b.owned).sum();
         let _ = writeln!(
             out,
-            "{name} (of {}): {} units, floor {}, window {} ms; those asked own {owned}",
-            first.of, first.units, first.floor, first.window_ms
+            "{name} (of {}): {} units, floor {}, window {} ms; the queried front ends own {owned}",
+            first.resource, first.units, first.floor, first.window_ms
         );
         let _ = writeln!(
             out,
             "  {:>6} {:>6} {:>6} {:>10} {:>6} {:>12} {:>8}",
-            "number", "owns", "floor", "until", "wants", "asked lately", "refused"
+            "number", "owns", "floor", "until", "wants", "demand", "refused"
         );
-        for (number, b) in &here {
+        for (number, b) in &entries {
             let until = if b.owned > b.owned_floor { format!("{} ms", b.until_ms) } else { "-".into() };
             let _ = writeln!(
                 out,
                 "  {number:>6} {:>6} {:>6} {until:>10} {:>6} {:>12.1} {:>8}",
-                b.owned, b.owned_floor, b.wants, b.asked_lately, b.refused
+                b.owned, b.owned_floor, b.wanted, b.recent_demand, b.refused
             );
         }
-        let _ = match ledger(words, name) {
-            None => writeln!(out, "  no keeper among those asked: what is in nobody's hands is not known"),
+        let _ = match ledger(reports, name) {
+            None => writeln!(
+                out,
+                "  none of the queried front ends is the coordinator: units without an owner are not known"
+            ),
             Some((_, all)) => {
                 let of = |state: &'static str| all.iter().filter(move |s| s.state == state);
-                let back = of("rests").map(|s| s.ms).max().unwrap_or(0);
+                let longest_ms = of("rests").map(|s| s.remaining_ms).max().unwrap_or(0);
                 writeln!(
                     out,
-                    "  in nobody's hands: {} free, {} at rest, the last of them for {back} ms",
-                    count(of("free")),
-                    count(of("rests"))
+                    "  without an owner: {} free, {} cooling down, the last of them for {longest_ms} ms",
+                    unit_count(of("free")),
+                    unit_count(of("rests"))
                 )
             }
         };
@@ -508,69 +535,74 @@
     out
 }
 
-/// One budget, unit by unit.
-pub fn explain(words: &[&Word], name: &str) -> Result<String, CommandError> {
-    let mut here = words.iter().flat_map(|w| &w.budgets).filter(|b| b.name == name);
-    let Some(b) = here.next() else {
-        let names: Vec<&str> = words[0].budgets.iter().map(|b| b.name.as_str()).collect();
+/// Formats the units of one budget.
+pub fn explain(reports: &[&BudgetsReport], name: &str) -> Result<String, CommandError> {
+    let mut entries = reports.iter().flat_map(|w| &w.budgets).filter(|b| b.name == name);
+    let Some(b) = entries.next() else {
+        let names: Vec<&str> = reports[0].budgets.iter().map(|b| b.name.as_str()).collect();
         return Err(CommandError::usage(format!(
             "no budget is named {name}; there are {}",
             names.join(", ")
         )));
     };
-    let members = words.iter().map(|w| w.members.len() + 1).max().unwrap_or(1);
+    let members = reports.iter().map(|w| w.members.len() + 1).max().unwrap_or(1);
     let floors = (usize::from(b.floor) * members).min(usize::from(b.units));
-    let mut out = format!("{name}: {} units, a spent one rests for {} ms\n", b.units, b.window_ms);
+    let mut out = format!("{name}: {} units, a spent unit cools down for {} ms\n", b.units, b.window_ms);
     if floors > 0 {
         let _ = writeln!(
             out,
-            "{:>11}  floors: {} for each of {members} front ends, for good",
+            "{:>11}  floors: {} for each of {members} front ends, permanently",
             format!("0-{}", floors - 1),
             b.floor
         );
     }
-    match ledger(words, name) {
-        Some((keeper, all)) => {
+    match ledger(reports, name) {
+        Some((coordinator, all)) => {
             for s in all {
-                let units = if s.from == s.to { s.from.to_string() } else { format!("{}-{}", s.from, s.to) };
+                let units =
+                    if s.first == s.last { s.first.to_string() } else { format!("{}-{}", s.first, s.last) };
                 let what = match (s.state.as_str(), s.member) {
                     ("owned", Some(m)) => {
-                        let its = words.iter().find(|w| w.number == m).map(|w| {
+                        let demand = reports.iter().find(|w| w.number == m).map(|w| {
                             let state = w.budgets.iter().find(|b| b.name == name);
-                            state.map_or(String::new(), |b| format!("; it wants {}", b.wants))
+                            state.map_or(String::new(), |b| format!("; it wants {}", b.wanted))
                         });
-                        format!("front end {m}, for {} ms unless renewed{}", s.ms, its.unwrap_or_default())
+                        format!(
+                            "front end {m}, for {} ms unless renewed{}",
+                            s.remaining_ms,
+                            demand.unwrap_or_default()
+                        )
                     }
                     ("rests", _) => format!(
-                        "nobody's: it changes hands, or its owner died or was not heard of; to be had in {} ms",
-                        s.ms
+                        "no owner: transferred, or its owner failed or did not renew; available in {} ms",
+                        s.remaining_ms
                     ),
-                    _ => "nobody's: nobody wants it".to_owned(),
+                    _ => "no owner: no front end wants it".to_owned(),
                 };
                 let _ = writeln!(out, "{units:>11}  {what}");
             }
-            let _ = writeln!(out, "by the ledger of front end {}, the keeper", keeper.number);
+            let _ = writeln!(out, "by the ledger of front end {}, the coordinator", coordinator.number);
         }
         None => {
             for (number, b) in
-                words.iter().filter_map(|w| Some((w.number, w.budgets.iter().find(|b| b.name == name)?)))
+                reports.iter().filter_map(|w| Some((w.number, w.budgets.iter().find(|b| b.name == name)?)))
             {
                 let ranges: Vec<String> =
                     b.ranges.iter().map(|(from, to)| format!("{from}-{}", to - 1)).collect();
                 let _ = writeln!(
                     out,
-                    "front end {number} owns {}; what was granted for {} ms more",
+                    "front end {number} owns {}; granted units for {} ms more",
                     ranges.join(" "),
                     b.until_ms
                 );
             }
-            let voters: Vec<String> = words[0].voters.iter().map(u16::to_string).collect();
+            let voters: Vec<String> = reports[0].voters.iter().map(u16::to_string).collect();
             let _ = writeln!(
                 out,
-                "no keeper among those asked: ask {}. Without a keeper what was granted ends with its lease ({} ms) and \
-                 floors stay; more than half of these voters must be there",
+                "none of the queried front ends is the coordinator: query {}. Without a coordinator granted units expire \
+                 with their lease ({} ms) and floors stay; more than half of these voters must be live",
                 voters.join(", "),
-                words[0].lease_ms
+                reports[0].lease_ms
             );
         }
     }
--- a/crates/badgerwind-cli/tests/scale_processes.rs
+++ b/crates/badgerwind-cli/tests/scale_processes.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use badgerwind_cli::fleet::{ask, Word};
+use badgerwind_cli::fleet::{query_budgets, BudgetsReport};
 use badgerwind_scale::rows::members::{Fleet as HollowMembers, ENVELOPE};
 use badgerwind_scale::rows::network::{Conditions, SECOND};
 use badgerwind_scale::rows::zones::Fleet as HollowZones;
@@ -118,7 +118,7 @@
 
 async fn all_alive(fronts: &[Rig]) -> bool {
     for rig in fronts {
-        let words: Vec<Word> = ask(rig.metrics).await.into_iter().collect();
+        let words: Vec<BudgetsReport> = query_budgets(rig.metrics).await.into_iter().collect();
         if !words.iter().all(|w| w.members.iter().all(|m| m.state == "alive")) {
             return false;
         }
--- a/crates/badgerwind-cli/tests/shares.rs
+++ b/crates/badgerwind-cli/tests/shares.rs
@@ -5,7 +5,7 @@
 
 use badgerwind_check::What;
 use badgerwind_cli::budgets::Net;
-use badgerwind_cli::fleet::{ask, Word};
+use badgerwind_cli::fleet::{query_budgets, BudgetsReport};
 use rig::{Plan, Rig};
 use std::collections::BTreeMap;
 use std::process::Command;
@@ -111,15 +111,15 @@
         self.callers.push((over, task));
     }
 
-    async fn words(&self) -> Vec<Word> {
+    async fn words(&self) -> Vec<BudgetsReport> {
         let mut words = Vec::new();
         for rig in self.fronts.values() {
-            words.extend(ask(rig.metrics).await);
+            words.extend(query_budgets(rig.metrics).await);
         }
         words
     }
 
-    async fn until(&self, what: &str, holds: impl Fn(&[Word]) -> bool) {
+    async fn until(&self, what: &str, holds: impl Fn(&[BudgetsReport]) -> bool) {
         for _ in 0..600 {
             if holds(&self.words().await) {
                 return;
@@ -149,7 +149,7 @@
     }
 }
 
-fn owned(words: &[Word]) -> usize {
+fn owned(words: &[BudgetsReport]) -> usize {
     words.iter().map(|w| w.budgets[0].owned).sum()
 }
 
@@ -160,7 +160,7 @@
         (0..7).for_each(|n| fleet.call(n));
         fleet
             .until("all know a keeper and each other", |words| {
-                words.iter().all(|w| w.keeper.is_some() && w.members.iter().all(|m| m.state == "alive"))
+                words.iter().all(|w| w.coordinator.is_some() && w.members.iter().all(|m| m.state == "alive"))
             })
             .await;
         fleet.until("all of it is owned", |words| owned(words) == usize::from(UNITS)).await;
@@ -194,7 +194,7 @@
         fleet.until("all of it is owned", |words| owned(words) == usize::from(UNITS)).await;
         for n in [3, 0] {
             fleet.signal(n, "-STOP");
-            let others = |words: &[Word]| {
+            let others = |words: &[BudgetsReport]| {
                 words.iter().filter(|w| usize::from(w.number) != n).map(|w| w.budgets[0].owned).sum::<usize>()
             };
             // A stopped process does not answer: only the others are asked.
--- a/crates/badgerwind-cli/tests/zones.rs
+++ b/crates/badgerwind-cli/tests/zones.rs
@@ -5,7 +5,7 @@
 
 use badgerwind_check::What;
 use badgerwind_cli::budgets::Net;
-use badgerwind_cli::fleet::{ask_whole, ZoneHere};
+use badgerwind_cli::fleet::{query, ZoneReport};
 use badgerwind_cli::send::{post, Message};
 use badgerwind_protocol::list::{Runner, State};
 use badgerwind_standins::list;
@@ -156,22 +156,22 @@
     }
 
     /// The zones by a front end's word, or why it says nothing.
-    async fn ask_zones(&self, n: usize) -> Result<Vec<ZoneHere>, String> {
-        ask_whole(self.front(n).metrics).await.map(|whole| whole.zones.unwrap().zones)
+    async fn ask_zones(&self, n: usize) -> Result<Vec<ZoneReport>, String> {
+        query(self.front(n).metrics).await.map(|report| report.zones.unwrap().zones)
     }
 
-    async fn zones(&self, n: usize) -> Vec<ZoneHere> {
+    async fn zones(&self, n: usize) -> Vec<ZoneReport> {
         self.ask_zones(n).await.unwrap_or_default()
     }
 
-    async fn until(&self, what: &str, fronts: &[usize], holds: impl Fn(&[ZoneHere]) -> bool) {
+    async fn until(&self, what: &str, fronts: &[usize], holds: impl Fn(&[ZoneReport]) -> bool) {
         let mut last = BTreeMap::new();
         for _ in 0..1200 {
             last.clear();
             for n in fronts {
                 last.insert(*n, self.ask_zones(*n).await);
             }
-            let said = |zones: &Result<Vec<ZoneHere>, String>| {
+            let said = |zones: &Result<Vec<ZoneReport>, String>| {
                 zones.as_ref().is_ok_and(|z| !z.is_empty() && holds(z))
             };
             if last.values().all(said) {
@@ -299,7 +299,7 @@
             assert_eq!(run(n, &["leave", "west", "--why", "smoke in the hall"]).0, Some(0));
             hangup(n);
         }
-        fleet.until("all have left it", &all, |z| z[2].word.is_some() && z[2].share == 0.0).await;
+        fleet.until("all have left it", &all, |z| z[2].directive.is_some() && z[2].share == 0.0).await;
         smol::Timer::after(Duration::from_millis(600)).await;
         let before = fleet.arrived(2);
         smol::Timer::after(Duration::from_millis(600)).await;
@@ -308,7 +308,7 @@
             assert_eq!(run(n, &["free", "west", "--why", "all clear"]).0, Some(0));
             hangup(n);
         }
-        fleet.until("it is back", &all, |z| z[2].word.is_none() && z[2].share == 1.0).await;
+        fleet.until("it is back", &all, |z| z[2].directive.is_none() && z[2].share == 1.0).await;
         let (served, answered) = fleet.end().await;
         assert_eq!(served, answered, "a zone that is left in good health costs no call");
     });
