--- a/crates/badgerwind-cli/src/send.rs
+++ b/crates/badgerwind-cli/src/send.rs
@@ -1,4 +1,4 @@
-//! `send`.
+//! `send`: signs and posts webhooks.
 
 use crate::CommandError;
 use badgerwind_gateway::secrets::read_key;
@@ -13,84 +13,84 @@
 /// Arguments of `send`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// Deliver the messages of this folder, one a file, again and again by the specification's schedule
+    /// Deliver the messages in this folder, one per file, and retry by the Standard Webhooks schedule
     #[arg(long, conflicts_with_all = ["id", "body", "retry"])]
     pub from: Option<PathBuf>,
-    /// With --from: end once nothing is due now, with what is left for the next run
+    /// With --from: exit once nothing is due; the next run continues with the rest
     #[arg(long, requires = "from")]
     pub once: bool,
-    /// With --from: the messages must not run twice and their receiver has no fence
+    /// With --from: the messages must not run twice and the receiver has no fence
     #[arg(long, requires = "from")]
     pub lodgements: bool,
-    /// Where to, such as http://127.0.0.1:8080/lodge, or https; an IP address and port
-    #[arg(long)]
-    pub to: String,
-    /// For https: the authorities whose certificates are trusted, in PEM
+    /// URL to post to, http or https with an IP address and port, such as http://127.0.0.1:8080/lodge
+    #[arg(long = "to", value_name = "TO")]
+    pub url: String,
+    /// For https: trusted certificate authorities, in PEM
     #[arg(long)]
     pub authority: Option<PathBuf>,
-    /// For https: the name that the certificate must bear; the address where it is left out
+    /// For https: name that the server certificate must carry [default: the IP address]
     #[arg(long, requires = "authority")]
     pub name: Option<String>,
-    /// For https: the sender's own certificate, in PEM, where it is asked for
+    /// For https: client certificate, in PEM, if the server requires one
     #[arg(long, requires = "authority", requires = "certificate_key")]
     pub certificate: Option<PathBuf>,
-    /// Its private key
+    /// Private key of the client certificate
     #[arg(long, requires = "certificate")]
     pub certificate_key: Option<PathBuf>,
-    /// The file with the key that signs
+    /// File with the signing key
     #[arg(long)]
     pub key_file: PathBuf,
-    /// The message's id; drawn where it is left out
+    /// Id of the message [default: derived from the clock]
     #[arg(long)]
     pub id: Option<String>,
-    /// The body's file, or - for standard input
+    /// File with the body, or - for standard input
     #[arg(long, default_value = "-")]
     pub body: String,
     /// How long to wait for the answer, in milliseconds
     #[arg(long, default_value_t = 10_000)]
     pub deadline_ms: u64,
-    /// Mark it as a repeat
+    /// Mark the message as a repeat
     #[arg(long)]
     pub retry: bool,
-    /// Have the answer also posted to this callback of the sender
+    /// Also post the answer to this callback of the sender
     #[arg(long)]
     pub callback: Option<String>,
 }
 
-/// A receiver: where it listens, and how it is met under TLS.
+/// A receiver of webhooks: its address and TLS settings.
 #[derive(Clone, Debug)]
-pub struct To {
-    /// Where it listens.
-    pub at: SocketAddr,
-    /// How it is met; `None`: without TLS.
+pub struct Receiver {
+    /// Its address.
+    pub address: SocketAddr,
+    /// TLS settings; `None` for plain HTTP.
     pub tls: Option<ClientTls>,
 }
 
-impl From<SocketAddr> for To {
-    fn from(at: SocketAddr) -> Self {
-        To { at, tls: None }
+impl From<SocketAddr> for Receiver {
+    fn from(address: SocketAddr) -> Self {
+        Receiver { address, tls: None }
     }
 }
 
-/// A signed message.
+/// A message to sign and post.
 pub struct Message<'a> {
-    /// Its id.
+    /// The webhook id.
     pub id: &'a str,
-    /// The path.
+    /// The request path.
     pub path: &'a str,
-    /// How long to wait.
+    /// How long to wait for the answer; also sent as the call's deadline.
     pub deadline: Duration,
-    /// It is a repeat.
+    /// Whether the message is a repeat.
     pub retry: bool,
-    /// The callback to which the answer is also to be posted.
+    /// Callback of the sender to which the answer is posted as well.
     pub callback: Option<&'a str>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
 }
 
 /// Posts a signed message and waits for the answer.
 pub async fn post(
-    to: impl Into<To>,
+    receiver: impl Into<Receiver>,
     key: &Key,
     message: Message<'_>,
 ) -> Result<(ResponseHead, Vec<u8>), String> {
@@ -115,56 +115,67 @@
         idle_time: message.deadline,
         body_bytes: 64 * 1024 * 1024,
     };
-    let late = async {
+    let timeout = async {
         smol::Timer::after(message.deadline).await;
         Err("no answer in time".to_owned())
     };
-    let To { at, tls } = to.into();
-    let pool = Pool::new(at, bounds);
+    let Receiver { address, tls } = receiver.into();
+    let pool = Pool::new(address, bounds);
     pool.set_tls(tls);
-    async { pool.exchange(&request).await.map_err(|e| e.to_string()) }.or(late).await
+    async { pool.exchange(&request).await.map_err(|e| e.to_string()) }.or(timeout).await
 }
 
-fn receiver(args: &Args) -> Result<(To, &str), CommandError> {
-    let (secure, rest) = match (args.to.strip_prefix("https://"), args.to.strip_prefix("http://")) {
+/// Splits the URL into the receiver and the path, and reads the TLS files.
+fn parse_receiver(args: &Args) -> Result<(Receiver, &str), CommandError> {
+    let (secure, rest) = match (args.url.strip_prefix("https://"), args.url.strip_prefix("http://")) {
         (Some(rest), _) => (true, rest),
         (_, Some(rest)) => (false, rest),
-        _ => return Err(CommandError::usage("--to starts with http:// or https://")),
+        _ => return Err(CommandError::usage("--to must start with http:// or https://")),
     };
     let (host, path) = rest.find('/').map_or((rest, "/"), |at| rest.split_at(at));
-    let at: SocketAddr = host.parse().map_err(|_| {
-        CommandError::usage(format!("{host} is no IP address and port, such as 127.0.0.1:8080"))
+    let address: SocketAddr = host.parse().map_err(|_| {
+        CommandError::usage(format!("{host} is not an IP address with a port, such as 127.0.0.1:8080"))
     })?;
     let read = |path: &PathBuf| {
         std::fs::read(path).map_err(|e| CommandError::usage(format!("cannot read {}: {e}", path.display())))
     };
     let tls = match (secure, &args.authority) {
         (false, None) => None,
-        (false, Some(_)) => return Err(CommandError::usage("--authority goes with https://")),
-        (true, None) => return Err(CommandError::usage("https:// needs --authority, whom to trust")),
+        (false, Some(_)) => return Err(CommandError::usage("--authority needs an https:// URL")),
+        (true, None) => {
+            return Err(CommandError::usage(
+                "https:// needs --authority, the trusted certificate authorities",
+            ))
+        }
         (true, Some(authority)) => {
             let own = match (&args.certificate, &args.certificate_key) {
                 (Some(chain), Some(key)) => Some((read(chain)?, zeroize::Zeroizing::new(read(key)?))),
                 _ => None,
             };
             let identity = own.as_ref().map(|(chain, key)| Identity { chain, key });
-            let name = args.name.clone().unwrap_or_else(|| at.ip().to_string());
+            let name = args.name.clone().unwrap_or_else(|| address.ip().to_string());
             let tls = ClientTls::new(&read(authority)?, &name, identity);
             Some(tls.map_err(|e| CommandError::usage(format!("TLS cannot be set up: {e}")))?)
         }
     };
-    Ok((To { at, tls }, path))
+    Ok((Receiver { address, tls }, path))
 }
 
-/// Posts one and prints what came back; exit 1 unless it was served.
+/// Posts one message and prints the answer, or delivers a folder. A status other than 200 gives exit code 1.
 pub fn run(args: &Args) -> Result<(), CommandError> {
-    let (to, path) = receiver(args)?;
-    let key =
-        read_key(&args.key_file).map_err(|(what, right)| CommandError::usage(format!("{what}; {right}")))?;
+    let (receiver, path) = parse_receiver(args)?;
+    let key = read_key(&args.key_file)
+        .map_err(|(message, remedy)| CommandError::usage(format!("{message}; {remedy}")))?;
     if let Some(folder) = &args.from {
         let deadline = Duration::from_millis(args.deadline_ms);
-        let outbox =
-            crate::outbox::Outbox { folder, to, path, key: &key, deadline, lodgements: args.lodgements };
+        let outbox = crate::outbox::Outbox {
+            folder,
+            receiver,
+            path,
+            key: &key,
+            deadline,
+            lodgements: args.lodgements,
+        };
         return outbox.deliver(args.once);
     }
     let mut body = Vec::new();
@@ -176,15 +187,15 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
     let id = args.id.clone().unwrap_or_else(|| format!("msg_{now:x}"));
     let deadline = Duration::from_millis(args.deadline_ms);
-    let began = Instant::now();
-    let got = smol::block_on(post(
-        to,
+    let started = Instant::now();
+    let answer = smol::block_on(post(
+        receiver,
         &key,
         Message { id: &id, path, deadline, retry: args.retry, callback: args.callback.as_deref(), body },
     ));
-    let took = began.elapsed();
-    let (head, body) = got.map_err(|e| CommandError::failed(format!("{id}: {e} after {took:.1?}")))?;
-    println!("{id}: {} in {took:.1?}", head.status);
+    let elapsed = started.elapsed();
+    let (head, body) = answer.map_err(|e| CommandError::failed(format!("{id}: {e} after {elapsed:.1?}")))?;
+    println!("{id}: {} in {elapsed:.1?}", head.status);
     for (name, value) in
         head.headers.iter().filter(|(n, _)| n.starts_with("badgerwind-") || *n == "retry-after")
     {
--- a/crates/badgerwind-cli/tests/tls.rs
+++ b/crates/badgerwind-cli/tests/tls.rs
@@ -5,7 +5,7 @@
 mod rig;
 
 use authority::Authority;
-use badgerwind_cli::send::{post, Message, To};
+use badgerwind_cli::send::{post, Message, Receiver};
 use badgerwind_http::{ClientTls, Identity, ServerTls};
 use rig::*;
 use std::time::Duration;
@@ -24,7 +24,7 @@
     let deadline = Duration::from_secs(10);
     let body = br#"{"work_us": 1000, "mean_us": 1000}"#.to_vec();
     let message = Message { id, path: LODGE, deadline, retry: false, callback: None, body };
-    let (head, _) = post(To { at: rig.to, tls }, &rig.key, message).await?;
+    let (head, _) = post(Receiver { address: rig.to, tls }, &rig.key, message).await?;
     Ok(head.status)
 }
 
