--- a/crates/badgerwind-cli/src/control.rs
+++ b/crates/badgerwind-cli/src/control.rs
@@ -1,4 +1,4 @@
-//! `control`.
+//! `control`: runs the control service, publishes versions of settings and queries the service.
 
 use crate::CommandError;
 use badgerwind_config::parts::Kind;
@@ -12,137 +12,151 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What can be done with versions of settings.
+/// Sub-commands of `control`.
 #[derive(Subcommand, Debug)]
 pub enum Command {
     /// Serve the versions in a folder to front ends
     Serve {
-        /// The folder: KIND/NUMBER.xml
+        /// Folder of versions: KIND/NUMBER.xml
         folder: PathBuf,
-        /// Where to listen
+        /// Listen address
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Its name, which tells one service from another
+        /// Name that distinguishes this service from others
         #[arg(long, default_value = "control")]
         name: String,
         /// Share of the front ends that are offered a version first
-        #[arg(long, default_value_t = 0.1)]
-        first: f64,
-        /// How long all of those must run it before the rest are offered it, in milliseconds
-        #[arg(long, default_value_t = 10_000)]
-        settle_ms: u64,
-        /// A wave stops when more than this share of those that answered turned it down
-        #[arg(long, default_value_t = 0.0)]
-        most_rejected: f64,
-        /// Or when the share of calls not served rose by more than this where it runs
-        #[arg(long, default_value_t = 0.1)]
-        most_worse: f64,
-        /// Write the address to this file once it serves
+        #[arg(long = "first", value_name = "FIRST", default_value_t = 0.1)]
+        first_share: f64,
+        /// How long all of them must run it before it is offered to the rest, in milliseconds
+        #[arg(long = "settle-ms", value_name = "SETTLE_MS", default_value_t = 10_000)]
+        soak_ms: u64,
+        /// Stop a wave when more than this share of the front ends that answered rejected the version
+        #[arg(long = "most-rejected", value_name = "MOST_REJECTED", default_value_t = 0.0)]
+        max_rejected_share: f64,
+        /// Stop a wave when the share of calls not served rises by more than this where the version runs
+        #[arg(long = "most-worse", value_name = "MOST_WORSE", default_value_t = 0.1)]
+        max_failure_increase: f64,
+        /// File to write the listen address to, as JSON, once the service accepts connections
         #[arg(long)]
         ready_file: Option<PathBuf>,
     },
-    /// Check a part's form and publish it under the next number
+    /// Validate a part and publish it under the next number
     Publish {
-        /// The folder
+        /// Folder of versions
         folder: PathBuf,
-        /// fleet, classes, routes or limits
-        #[arg(value_parser = kind)]
+        /// Kind of the part: fleet, classes, routes or limits
+        #[arg(value_parser = parse_kind)]
         kind: Kind,
-        /// The part: a settings document with its elements alone
+        /// The part: a settings document with only the elements of its kind
         file: PathBuf,
     },
     /// Publish an old version's content under the next number
     Rollback {
-        /// The folder
+        /// Folder of versions
         folder: PathBuf,
-        /// fleet, classes, routes or limits
-        #[arg(value_parser = kind)]
+        /// Kind of the part: fleet, classes, routes or limits
+        #[arg(value_parser = parse_kind)]
         kind: Kind,
-        /// The old number
+        /// Number of the old version
         version: u64,
     },
-    /// What differs between two versions
+    /// Show the differences between two versions
     Diff {
-        /// The folder
+        /// Folder of versions
         folder: PathBuf,
-        /// fleet, classes, routes or limits
-        #[arg(value_parser = kind)]
+        /// Kind of the part: fleet, classes, routes or limits
+        #[arg(value_parser = parse_kind)]
         kind: Kind,
-        /// One number
+        /// Number of the first version
         from: u64,
-        /// The other
+        /// Number of the second version
         to: u64,
     },
-    /// Each front end's running, offered and rejected versions, and where the waves stand
+    /// Show each front end's running, offered and rejected versions, and the stage of each wave
     Status {
-        /// The service's address
-        #[arg(long)]
-        at: SocketAddr,
-        /// As JSON
+        /// Address of the control service
+        #[arg(long = "at", value_name = "AT")]
+        address: SocketAddr,
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Hold a front end at what it runs
+    /// Keep a front end at the versions that it runs
     Pin {
-        /// The service's address
-        #[arg(long)]
-        at: SocketAddr,
-        /// The front end's name
+        /// Address of the control service
+        #[arg(long = "at", value_name = "AT")]
+        address: SocketAddr,
+        /// Name of the front end
         id: String,
     },
-    /// Let a front end go on
+    /// Offer new versions to a pinned front end again
     Unpin {
-        /// The service's address
-        #[arg(long)]
-        at: SocketAddr,
-        /// The front end's name
+        /// Address of the control service
+        #[arg(long = "at", value_name = "AT")]
+        address: SocketAddr,
+        /// Name of the front end
         id: String,
     },
 }
 
-fn kind(text: &str) -> Result<Kind, String> {
+fn parse_kind(text: &str) -> Result<Kind, String> {
     Kind::from_name(text).ok_or_else(|| {
         let names: Vec<_> = Kind::ALL.iter().map(|k| k.name()).collect();
         format!("give one of {}", names.join(", "))
     })
 }
 
-fn unfit(e: folder::FolderError) -> CommandError {
+fn folder_error(e: folder::FolderError) -> CommandError {
     match e {
         folder::FolderError::Io(..) => CommandError::failed(e.to_string()),
         _ => CommandError::usage(e.to_string()),
     }
 }
 
-/// Asks the service something.
-fn ask(at: SocketAddr, method: &'static str, target: &str, body: Vec<u8>) -> Result<Vec<u8>, CommandError> {
-    let time = Duration::from_secs(10);
-    let bounds = PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 64 << 20 };
+/// Sends one request to the control service and returns the body of its answer.
+fn request(
+    address: SocketAddr,
+    method: &'static str,
+    target: &str,
+    body: Vec<u8>,
+) -> Result<Vec<u8>, CommandError> {
+    let timeout = Duration::from_secs(10);
+    let bounds = PoolBounds { most: 1, connect_time: timeout, idle_time: timeout, body_bytes: 64 << 20 };
     let request = Exchange { method, target: target.into(), headers: vec![], body: Arc::from(body) };
-    let (head, body) = smol::block_on(Pool::new(at, bounds).exchange(&request))
-        .map_err(|e| CommandError::failed(format!("the control service at {at}: {e}")))?;
+    let (head, body) = smol::block_on(Pool::new(address, bounds).exchange(&request))
+        .map_err(|e| CommandError::failed(format!("the control service at {address}: {e}")))?;
     match head.status {
         200 => Ok(body),
-        404 => Err(CommandError::usage("no front end of that name has been heard of")),
+        404 => Err(CommandError::usage("no front end of that name is known")),
         status => Err(CommandError::failed(format!("status {status}: {}", String::from_utf8_lossy(&body)))),
     }
 }
 
-fn pin(at: SocketAddr, id: &str, pinned: bool) -> Result<(), CommandError> {
+fn set_pinned(address: SocketAddr, id: &str, pinned: bool) -> Result<(), CommandError> {
     let body = serde_json::to_vec(&Pin { id: id.to_owned(), pinned });
-    ask(at, "POST", "/pin", body.map_err(|e| CommandError::failed(e.to_string()))?).map(|_| ())
+    request(address, "POST", "/pin", body.map_err(|e| CommandError::failed(e.to_string()))?).map(|_| ())
 }
 
 /// Runs a sub-command.
 pub fn run(command: &Command) -> Result<(), CommandError> {
     match command {
-        Command::Serve { folder, listen, name, first, settle_ms, most_rejected, most_worse, ready_file } => {
+        Command::Serve {
+            folder,
+            listen,
+            name,
+            first_share,
+            soak_ms,
+            max_rejected_share,
+            max_failure_increase,
+            ready_file,
+        } => {
             badgerwind_gateway::logging::start(true, "info");
-            let rules = RolloutPolicy {
-                first_share: first.clamp(0.0, 1.0),
-                soak_time: settle_ms * 1000,
-                max_rejected_share: *most_rejected,
-                max_failure_increase: *most_worse,
+            let policy = RolloutPolicy {
+                first_share: first_share.clamp(0.0, 1.0),
+                soak_time: soak_ms * 1000,
+                max_rejected_share: *max_rejected_share,
+                max_failure_increase: *max_failure_increase,
                 front_end_timeout: 60_000_000,
             };
             smol::block_on(async {
@@ -159,43 +173,43 @@
                     }
                     None => println!("listening on {address}"),
                 }
-                serve(listener, folder, name, rules).await;
+                serve(listener, folder, name, policy).await;
                 Ok(())
             })
         }
         Command::Publish { folder, kind, file } => {
             let text = std::fs::read_to_string(file)
                 .map_err(|e| CommandError::usage(format!("cannot read {}: {e}", file.display())))?;
-            let number = folder::publish(folder, *kind, &text).map_err(unfit)?;
+            let number = folder::publish(folder, *kind, &text).map_err(folder_error)?;
             println!("{} {number}", kind.name());
             Ok(())
         }
         Command::Rollback { folder, kind, version } => {
-            let number = folder::roll_back(folder, *kind, *version).map_err(unfit)?;
+            let number = folder::roll_back(folder, *kind, *version).map_err(folder_error)?;
             println!("{} {number} has the content of {version}", kind.name());
             Ok(())
         }
         Command::Diff { folder, kind, from, to } => {
-            print!("{}", folder::diff(folder, *kind, *from, *to).map_err(unfit)?);
+            print!("{}", folder::diff(folder, *kind, *from, *to).map_err(folder_error)?);
             Ok(())
         }
-        Command::Status { at, json } => {
-            let body = ask(*at, "GET", "/status", Vec::new())?;
+        Command::Status { address, json } => {
+            let body = request(*address, "GET", "/status", Vec::new())?;
             if *json {
                 println!("{}", String::from_utf8_lossy(&body));
                 return Ok(());
             }
             let status: Status = serde_json::from_slice(&body)
-                .map_err(|e| CommandError::failed(format!("not a status: {e}")))?;
+                .map_err(|e| CommandError::failed(format!("the answer is not a status report: {e}")))?;
             print!("{}", table(&status));
             Ok(())
         }
-        Command::Pin { at, id } => pin(*at, id, true),
-        Command::Unpin { at, id } => pin(*at, id, false),
+        Command::Pin { address, id } => set_pinned(*address, id, true),
+        Command::Unpin { address, id } => set_pinned(*address, id, false),
     }
 }
 
-/// The status as a table for people.
+/// Formats the status as a table.
 pub fn table(status: &Status) -> String {
     let mut lines = Vec::new();
     for k in &status.kinds {
--- a/crates/badgerwind-cli/src/keys.rs
+++ b/crates/badgerwind-cli/src/keys.rs
@@ -1,4 +1,4 @@
-//! `keys`.
+//! `keys`: creates keys and rotates, removes and lists the keys of a settings file.
 
 use crate::CommandError;
 use badgerwind_webhook::{Key, KeyKind};
@@ -6,63 +6,63 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// What can be done with keys.
+/// Sub-commands of `keys`.
 #[derive(Subcommand, Debug)]
 pub enum Command {
-    /// Make a key, in a file that its owner alone can read
+    /// Create a key in a new file that only its owner can read
     New {
-        /// What kind
+        /// Kind of key
         #[arg(long, value_enum, default_value = "shared")]
         kind: Kind,
-        /// The file; it must not exist
+        /// File for the key; it must not exist
         #[arg(long)]
         out: PathBuf,
-        /// For ed25519: the file for the public half, which the other side verifies with
+        /// For ed25519: file for the public key, with which the other side verifies
         #[arg(long)]
         public_out: Option<PathBuf>,
     },
-    /// Give a sender a new key beside its old ones, which count for some days more; the settings file is changed
+    /// Add a new key for a sender to the settings file; its old keys stay valid for the overlap
     Rotate {
-        /// The settings file
+        /// Settings file
         #[arg(long)]
         settings: PathBuf,
-        /// The sender
+        /// Name of the sender
         #[arg(long)]
         sender: String,
-        /// The new key's name in logs; the day where it is left out
+        /// Name of the new key in logs [default: today's date]
         #[arg(long)]
         name: Option<String>,
-        /// For how long the old keys count, such as 7d or 2h
+        /// How long the old keys stay valid, such as 7d or 2h
         #[arg(long, default_value = "7d")]
         overlap: String,
-        /// What kind of key
+        /// Kind of key
         #[arg(long, value_enum, default_value = "shared")]
         kind: Kind,
-        /// For ed25519: the file for the private half, which the sender signs with
+        /// For ed25519: file for the private key, with which the sender signs
         #[arg(long)]
         private_out: Option<PathBuf>,
     },
-    /// Take a sender's key out of the settings file; its key file stays where it is
+    /// Remove a sender's key from the settings file; its key file is not deleted
     Retire {
-        /// The settings file
+        /// Settings file
         #[arg(long)]
         settings: PathBuf,
-        /// The sender
+        /// Name of the sender
         #[arg(long)]
         sender: String,
-        /// The key's name
+        /// Name of the key
         #[arg(long)]
         name: String,
     },
-    /// List the keys that a settings file names, by name, kind and time; never their bytes
+    /// List the keys of a settings file with name, kind and validity; never prints key material
     List {
-        /// The settings file
+        /// Settings file
         #[arg(long)]
         settings: PathBuf,
     },
 }
 
-/// A kind of key.
+/// Kind of key.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum Kind {
     /// A shared secret (`v1`, HMAC-SHA256)
@@ -83,7 +83,7 @@
     };
     let kind = match kind {
         Kind::Shared if public_out.is_some() => {
-            return Err(CommandError::usage("a shared secret has no public half: leave --public-out out"));
+            return Err(CommandError::usage("a shared secret has no public half: omit --public-out"));
         }
         Kind::Shared => KeyKind::Shared,
         Kind::Ed25519 => KeyKind::Private,
@@ -101,9 +101,10 @@
         .map_err(|e| CommandError::usage(format!("cannot read {}: {e}", path.display())))
 }
 
-/// Checks a changed settings file beside the old one, then puts it in its place: a reader sees one or the other.
-fn replace(path: &Path, text: &str) -> Result<(), CommandError> {
-    let beside = path.with_extension("new");
+/// Writes the changed settings to a temporary file, validates it and renames it over the old one, so that readers
+/// see either the old or the new content.
+fn replace_settings(path: &Path, text: &str) -> Result<(), CommandError> {
+    let temporary = path.with_extension("new");
     let write = |p: &Path| {
         let mode = std::fs::metadata(path)?.permissions();
         let mut file = std::fs::File::create(p)?;
@@ -111,16 +112,17 @@
         file.write_all(text.as_bytes())?;
         file.sync_all()
     };
-    let told = |e: std::io::Error| CommandError::failed(format!("cannot write {}: {e}", beside.display()));
-    let done = write(&beside)
-        .map_err(told)
-        .and_then(|()| crate::serve::load(&beside).map(|_| ()))
-        .and_then(|()| std::fs::rename(&beside, path).map_err(told));
-    if done.is_err() {
-        // What is left beside is of no use to anyone; that it cannot be taken away changes nothing.
-        let _ = std::fs::remove_file(&beside);
+    let write_error =
+        |e: std::io::Error| CommandError::failed(format!("cannot write {}: {e}", temporary.display()));
+    let result = write(&temporary)
+        .map_err(write_error)
+        .and_then(|()| crate::serve::load(&temporary).map(|_| ()))
+        .and_then(|()| std::fs::rename(&temporary, path).map_err(write_error));
+    if result.is_err() {
+        // The temporary file is of no use any more; a failure to remove it changes nothing.
+        let _ = std::fs::remove_file(&temporary);
     }
-    done
+    result
 }
 
 fn rotate(
@@ -131,20 +133,20 @@
     (kind, private_out): (Kind, Option<&Path>),
 ) -> Result<(), CommandError> {
     let overlap = humantime::parse_duration(overlap).map_err(|e| {
-        CommandError::usage(format!("--overlap {overlap}: {e}; give a time such as 7d or 2h"))
+        CommandError::usage(format!("--overlap {overlap}: {e}; give a duration such as 7d or 2h"))
     })?;
     let (settings, _, folder) = crate::serve::load(path)?;
-    let known = settings.webhook.senders.iter().find(|s| s.name == sender);
-    let known =
-        known.ok_or_else(|| CommandError::usage(format!("the settings name no sender \"{sender}\"")))?;
+    let configured = settings.webhook.senders.iter().find(|s| s.name == sender);
+    let configured =
+        configured.ok_or_else(|| CommandError::usage(format!("the settings name no sender \"{sender}\"")))?;
     let now = std::time::SystemTime::now();
-    let day = humantime::format_rfc3339_seconds(now).to_string();
-    let name = name.unwrap_or(&day[..10]);
+    let date = humantime::format_rfc3339_seconds(now).to_string();
+    let name = name.unwrap_or(&date[..10]);
     let end = now.checked_add(overlap).ok_or_else(|| CommandError::usage("--overlap is too long"))?;
     let end = humantime::format_rfc3339_seconds(end).to_string();
-    // Beside the key that it follows.
-    let beside = known.secrets.last().and_then(|s| s.file.parent()).unwrap_or(Path::new(""));
-    let file = beside.join(format!("{sender}-{name}.key").replace(':', "_"));
+    // The new key file goes into the folder of the newest existing key.
+    let key_folder = configured.secrets.last().and_then(|s| s.file.parent()).unwrap_or(Path::new(""));
+    let file = key_folder.join(format!("{sender}-{name}.key").replace(':', "_"));
     let changed = badgerwind_settings::edit::rotate_secrets(
         &read(path)?,
         sender,
@@ -157,34 +159,36 @@
         (Kind::Shared, None) => KeyKind::Shared,
         (Kind::Ed25519, Some(_)) => KeyKind::Private,
         (Kind::Shared, Some(_)) => {
-            return Err(CommandError::usage("a shared secret has one half: leave --private-out out"));
+            return Err(CommandError::usage("a shared secret has one half: omit --private-out"));
         }
         (Kind::Ed25519, None) => {
-            return Err(CommandError::usage("--kind ed25519 needs --private-out, the half for the sender"));
+            return Err(CommandError::usage(
+                "--kind ed25519 needs --private-out, the file for the sender's private key",
+            ));
         }
     };
     let key = Key::generate(kind).map_err(|e| CommandError::failed(format!("no random bytes: {e}")))?;
-    let new = folder.join(&file);
+    let key_path = folder.join(&file);
     let mut written = Vec::new();
-    let done = (|| {
+    let result = (|| {
         if let Some(out) = private_out {
             write_key(out, &key)?;
             written.push(out.to_owned());
         }
-        write_key(&new, &key.public().unwrap_or(key))?;
-        written.push(new.clone());
-        replace(path, &changed)
+        write_key(&key_path, &key.public().unwrap_or(key))?;
+        written.push(key_path.clone());
+        replace_settings(path, &changed)
     })();
-    if done.is_err() {
-        // Keys that nothing names are taken away again.
+    if result.is_err() {
+        // No settings refer to these key files: remove them again.
         written.iter().for_each(|f| _ = std::fs::remove_file(f));
-        return done;
+        return result;
     }
-    let give = private_out.unwrap_or(&new);
-    println!("sender {sender}: key {name} counts from now on, its others until {end}");
+    let sender_file = private_out.unwrap_or(&key_path);
+    println!("sender {sender}: key {name} is valid from now on, its other keys until {end}");
     println!(
         "give {} to the sender, and send SIGHUP to each front end that has these settings",
-        give.display()
+        sender_file.display()
     );
     Ok(())
 }
@@ -195,18 +199,18 @@
         .map_err(|e| CommandError::usage(e.to_string()))?;
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let now = now.map_or(0, |d| d.as_secs() as i64);
-    let known = settings.webhook.senders.iter().find(|s| s.name == sender);
-    let counts = |s: &badgerwind_settings::Secret| {
+    let configured = settings.webhook.senders.iter().find(|s| s.name == sender);
+    let is_valid = |s: &badgerwind_settings::Secret| {
         s.name != name && s.not_before.is_none_or(|t| now >= t) && s.not_after.is_none_or(|t| now < t)
     };
-    if !known.is_some_and(|s| s.secrets.iter().any(counts)) {
+    if !configured.is_some_and(|s| s.secrets.iter().any(is_valid)) {
         return Err(CommandError::usage(format!(
             "sender \"{sender}\" would have no key that counts now; rotate first: badgerwind keys rotate"
         )));
     }
-    replace(path, &changed)?;
-    println!("sender {sender}: key {name} is out; send SIGHUP to each front end that has these settings");
-    println!("its file {file} stays: delete it once no front end needs it");
+    replace_settings(path, &changed)?;
+    println!("sender {sender}: key {name} is removed; send SIGHUP to each front end that has these settings");
+    println!("its file {file} is kept: delete it once no front end needs it");
     Ok(())
 }
 
@@ -217,7 +221,7 @@
     println!("{:<20} {:<16} {:<8} {:<8} file", "sender", "name", "kind", "counts");
     for (sender, ring) in settings.webhook.senders.iter().zip(&secrets.rings) {
         for (secret, key) in sender.secrets.iter().zip(&ring.keys) {
-            let counts = match (secret.not_before, secret.not_after) {
+            let validity = match (secret.not_before, secret.not_after) {
                 (Some(from), _) if now < from => "later",
                 (_, Some(to)) if now >= to => "no more",
                 _ => "now",
@@ -228,7 +232,7 @@
                 KeyKind::Public => "public",
             };
             println!(
-                "{:<20} {:<16} {kind:<8} {counts:<8} {}",
+                "{:<20} {:<16} {kind:<8} {validity:<8} {}",
                 sender.name,
                 secret.name,
                 secret.file.display()
@@ -238,7 +242,7 @@
     Ok(())
 }
 
-/// Writes a key to a new file that its owner alone can read.
+/// Writes a key to a new file that only its owner can read.
 pub fn write_key(path: &Path, key: &Key) -> Result<(), CommandError> {
     let mut options = std::fs::OpenOptions::new();
     options.write(true).create_new(true);
--- a/crates/badgerwind-cli/src/standin.rs
+++ b/crates/badgerwind-cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: each peer of the gateway as a process of its own.
+//! `standin`: runs a stand-in for one of the gateway's peers as a separate process.
 
 use crate::CommandError;
 use badgerwind_gateway::secrets::read_key;
@@ -14,85 +14,85 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// What every stand-in with a listener takes.
+/// Arguments shared by the stand-ins that listen.
 #[derive(clap::Args, Debug)]
-pub struct Common {
-    /// What it is made of: a JSON file
+pub struct ServerArgs {
+    /// Specification, a JSON file
     #[arg(long)]
     pub spec: PathBuf,
-    /// Where it listens
+    /// Listen address
     #[arg(long, default_value = "127.0.0.1:0")]
     pub listen: SocketAddr,
-    /// Write its address to this file once it serves
+    /// File to write the listen address to, as JSON, once the stand-in accepts connections
     #[arg(long)]
     pub ready_file: Option<PathBuf>,
-    /// Append what it sees to this file
+    /// Append records of observed events to this file
     #[arg(long)]
     pub record: Option<PathBuf>,
 }
 
-/// The stand-ins.
+/// Stand-ins that can be run.
 #[derive(Subcommand, Debug)]
 pub enum Command {
-    /// A runner
+    /// Run a runner
     Runner {
-        /// Common arguments
+        /// Arguments of a server
         #[command(flatten)]
-        common: Common,
-        /// It has just started, cold and empty
+        args: ServerArgs,
+        /// Start without any loaded functions
         #[arg(long)]
         cold: bool,
     },
-    /// The list service; its spec is the list of runners
-    List(Common),
-    /// The handler store
-    Store(Common),
-    /// Senders; they end when all their calls have
+    /// Run the list service; its spec is the list of runners
+    List(ServerArgs),
+    /// Run the handler store
+    Store(ServerArgs),
+    /// Run senders until all their calls have ended
     Senders {
-        /// Their plan: a JSON file
+        /// Plan of the calls, a JSON file
         #[arg(long)]
         spec: PathBuf,
-        /// The file with the key that signs
+        /// File with the signing key
         #[arg(long)]
         key_file: PathBuf,
-        /// Append what they see to this file
+        /// Append records of observed events to this file
         #[arg(long)]
         record: Option<PathBuf>,
     },
 }
 
-/// A runner's spec file.
+/// Specification file of a runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunnerFile {
-    /// Its id in the list.
+    /// The runner's id in the list.
     pub id: u32,
-    /// What it is made of.
+    /// The model of the runner.
     pub spec: model::Spec,
-    /// Classes that its group fences, by the ledger that the store keeps.
+    /// Classes whose attempts its group fences with the ledger in the handler store.
     #[serde(default)]
     pub fenced: Vec<String>,
-    /// The handler store.
+    /// Address of the handler store.
     pub store: Option<SocketAddr>,
-    /// The key by which gateways sign; without one it takes any call.
+    /// File with the key with which gateways sign; `None` accepts unsigned calls.
     pub key_file: Option<PathBuf>,
 }
 
-fn spec<T: DeserializeOwned>(path: &Path) -> Result<T, CommandError> {
-    let shown = path.display();
-    let bytes = std::fs::read(path).map_err(|e| CommandError::usage(format!("cannot read {shown}: {e}")))?;
-    serde_json::from_slice(&bytes).map_err(|e| CommandError::usage(format!("{shown}: {e}")))
+fn read_spec<T: DeserializeOwned>(path: &Path) -> Result<T, CommandError> {
+    let file = path.display();
+    let bytes = std::fs::read(path).map_err(|e| CommandError::usage(format!("cannot read {file}: {e}")))?;
+    serde_json::from_slice(&bytes).map_err(|e| CommandError::usage(format!("{file}: {e}")))
 }
 
-fn recorder(path: Option<&Path>) -> Result<Recorder, CommandError> {
+fn open_recorder(path: Option<&Path>) -> Result<Recorder, CommandError> {
     let Some(path) = path else { return Ok(Recorder::none()) };
     Recorder::file(path).map_err(|e| CommandError::failed(format!("cannot write {}: {e}", path.display())))
 }
 
-async fn listen(common: &Common) -> Result<TcpListener, CommandError> {
-    let failed = |e: std::io::Error| CommandError::failed(format!("cannot listen on {}: {e}", common.listen));
-    let listener = TcpListener::bind(common.listen).await.map_err(failed)?;
+async fn listen(args: &ServerArgs) -> Result<TcpListener, CommandError> {
+    let failed = |e: std::io::Error| CommandError::failed(format!("cannot listen on {}: {e}", args.listen));
+    let listener = TcpListener::bind(args.listen).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
-    match &common.ready_file {
+    match &args.ready_file {
         Some(path) => crate::write_atomically(path, &serde_json::json!({ "address": address }).to_string())?,
         None => println!("listening on {address}"),
     }
@@ -103,37 +103,39 @@
 pub fn run(command: Command) -> Result<(), CommandError> {
     smol::block_on(async {
         match command {
-            Command::Runner { common, cold } => {
-                let file: RunnerFile = spec(&common.spec)?;
+            Command::Runner { args, cold } => {
+                let file: RunnerFile = read_spec(&args.spec)?;
                 let keys = match &file.key_file {
                     None => None,
                     Some(path) => {
-                        let key =
-                            read_key(path).map_err(|(w, r)| CommandError::usage(format!("{w}; {r}")))?;
+                        let key = read_key(path).map_err(|(message, remedy)| {
+                            CommandError::usage(format!("{message}; {remedy}"))
+                        })?;
                         let ring = RingKey { name: "gateway".into(), key, not_before: None, not_after: None };
                         Some(KeyRing { keys: vec![ring], tolerance: 300 })
                     }
                 };
-                let recorder = recorder(common.record.as_deref())?;
+                let recorder = open_recorder(args.record.as_deref())?;
                 let RunnerFile { id, spec, store, fenced, .. } = file;
                 let fenced = store.filter(|_| !fenced.is_empty()).map(|at| Fenced::there(fenced, at));
                 let options =
                     runner::Options { id, spec, cold, store, keys, group: None, fenced, recorder, tls: None };
-                runner::serve(listen(&common).await?, options).await;
+                runner::serve(listen(&args).await?, options).await;
             }
-            Command::List(common) => {
-                let runners: Vec<Runner> = spec(&common.spec)?;
-                let recorder = recorder(common.record.as_deref())?;
-                list::serve(listen(&common).await?, runners, recorder).await;
+            Command::List(args) => {
+                let runners: Vec<Runner> = read_spec(&args.spec)?;
+                let recorder = open_recorder(args.record.as_deref())?;
+                list::serve(listen(&args).await?, runners, recorder).await;
             }
-            Command::Store(common) => {
-                let made: store::Spec = spec(&common.spec)?;
-                store::server::serve(listen(&common).await?, made).await;
+            Command::Store(args) => {
+                let spec: store::Spec = read_spec(&args.spec)?;
+                store::server::serve(listen(&args).await?, spec).await;
             }
             Command::Senders { spec: path, key_file, record } => {
-                let plan: senders::Plan = spec(&path)?;
-                let key = read_key(&key_file).map_err(|(w, r)| CommandError::usage(format!("{w}; {r}")))?;
-                senders::run(plan, key, recorder(record.as_deref())?).await;
+                let plan: senders::Plan = read_spec(&path)?;
+                let key = read_key(&key_file)
+                    .map_err(|(message, remedy)| CommandError::usage(format!("{message}; {remedy}")))?;
+                senders::run(plan, key, open_recorder(record.as_deref())?).await;
             }
         }
         Ok(())
