--- a/crates/badgerwind-cli/src/keys.rs
+++ b/crates/badgerwind-cli/src/keys.rs
@@ -101,8 +101,8 @@
         .map_err(|e| CommandError::usage(format!("cannot read {}: {e}", path.display())))
 }
 
-/// Writes the changed settings to a temporary file, validates it and renames it over the old one, so that readers
-/// see either the old or the new content.
+/// Writes the changed settings to a temporary file, validates it and renames it over the old one, so that
+/// readers see either the old or the new content.
 fn replace_settings(path: &Path, text: &str) -> Result<(), CommandError> {
     let temporary = path.with_extension("new");
     let write = |p: &Path| {
--- a/crates/badgerwind-cli/src/outbox.rs
+++ b/crates/badgerwind-cli/src/outbox.rs
@@ -1,5 +1,5 @@
-//! `send --from`: delivers a folder of messages by the retry schedule of the Standard Webhooks specification. Each
-//! file is one message, named by its id.
+//! `send --from`: delivers a folder of messages by the retry schedule of the Standard Webhooks specification.
+//! Each file is one message, named by its id.
 //!
 //! The delivery state of a pending message is stored in `ID.state`, so that a run that was killed is resumed.
 //! Delivered messages move to `done/`; abandoned ones move to `dead/`, with a file that gives the reason.
@@ -54,7 +54,7 @@
 }
 
 impl Outbox<'_> {
-    /// Delivers the messages in the folder. With `once` it returns when none is due, otherwise when none is left.
+    /// Delivers the messages in the folder. Returns when none is due with `once`, otherwise when none is left.
     pub fn deliver(&self, once: bool) -> Result<(), CommandError> {
         for sub in ["done", "dead"] {
             let path = self.folder.join(sub);
@@ -113,7 +113,7 @@
         crate::write_atomically(&file.with_extension("state"), &text)
     }
 
-    /// Makes one attempt. Returns the time of the next one, or `None` if the message is delivered or abandoned.
+    /// Makes one attempt. Returns the time of the next one, or `None` after delivery or abandonment.
     fn attempt(&self, file: &Path, mut state: DeliveryState) -> Result<Option<u64>, CommandError> {
         let id = message_id(file);
         let result = if state.in_doubt {
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Moves a message to a sub-folder, then removes its state. A run killed in between leaves only an unused state
-    /// file.
+    /// Moves a message to a sub-folder, then removes its state. A run killed in between leaves only an unused
+    /// state file.
     fn archive(&self, file: &Path, sub: &str) -> Result<(), CommandError> {
         let Some(name) = file.file_name() else { return Ok(()) };
         std::fs::rename(file, self.folder.join(sub).join(name)).map_err(|e| file_error(file, e))?;
--- a/crates/badgerwind-cli/src/serve.rs
+++ b/crates/badgerwind-cli/src/serve.rs
@@ -107,8 +107,8 @@
     serve_with(options, args.ready_file.as_deref(), reread)
 }
 
-/// Returns a function that reads the settings file again. It warns if the file differs from the running settings
-/// in more than what a reload applies.
+/// Returns a function that reads the settings file again. It warns if the file differs from the running
+/// settings in more than what a reload applies.
 fn settings_reader(path: PathBuf, running: Node) -> Reread {
     Box::new(move || {
         let file = path.display().to_string();
