--- a/crates/badgerwind/tests/sockets.rs
+++ b/crates/badgerwind/tests/sockets.rs
@@ -13,15 +13,15 @@
     checked.request("warm", "f", 3000 * MS);
     checked.now += 100 * MS;
     checked.answer("warm", 0, Outcome::Ok, CopyMark::Warm);
-    let w = checked.sends("warm")[0];
-    (checked, w)
+    let worker = checked.sends("warm")[0];
+    (checked, worker)
 }
 
 /// 6% of connections broke while their executors kept serving. Each break tripped an executor and forgot its
 /// copies, and four calls in ten were refused.
 #[test]
 fn one_broken_connection_does_not_take_a_worker_out_but_a_second_does() {
-    let (mut checked, w) = warmed();
+    let (mut checked, worker) = warmed();
     checked.request("a", "f", 3000 * MS);
     checked.now += 10 * MS;
     checked.answer("a", 0, Outcome::Reset, CopyMark::Untold);
@@ -30,19 +30,19 @@
         checked.answer("a", 1, Outcome::Ok, CopyMark::Warm);
     }
     checked.request("b", "f", 3000 * MS);
-    assert_eq!(checked.sends("b"), [w], "its copy is still believed");
+    assert_eq!(checked.sends("b"), [worker], "its copy is still believed");
     checked.now += 10 * MS;
     checked.answer("b", 0, Outcome::Reset, CopyMark::Untold);
     checked.advance(20 * MS);
     checked.request("c", "f", 3000 * MS);
-    assert_ne!(checked.sends("c"), [w], "two breaks in a row, without a success between");
+    assert_ne!(checked.sends("c"), [worker], "two breaks in a row, without a success between");
 }
 
 /// The broken connection of an order made the router forget copies that were loaded.
 #[test]
 fn an_order_cut_off_says_nothing_of_the_copies() {
     for (outcome, trusted) in [(Outcome::Reset, true), (Outcome::ConnectFailed, false)] {
-        let (mut checked, w) = warmed();
+        let (mut checked, worker) = warmed();
         // Renewal asks for the copies before they expire.
         (0..30).for_each(|n| {
             checked.request(&format!("{n}"), "f", 3000 * MS);
@@ -52,11 +52,11 @@
         });
         checked.advance(9_800 * MS);
         let order = checked.loads.len().checked_sub(1).expect("it is renewed");
-        assert_eq!(checked.loads[order].1, w);
+        assert_eq!(checked.loads[order].1, worker);
         checked.now += 5 * MS;
         checked.loaded(order, outcome, 0);
         checked.request("after", "f", 3000 * MS);
-        assert_eq!(checked.sends("after") == [w], trusted, "{outcome:?}");
+        assert_eq!(checked.sends("after") == [worker], trusted, "{outcome:?}");
     }
 }
 
@@ -73,7 +73,7 @@
         checked.advance(500 * MS);
         checked.answer("warm", 0, Outcome::Ok, CopyMark::Warm);
         // No worker is left from now on: requests over their share are refused at once.
-        let entries = vec![entry(1, Availability::Gone, None)];
+        let entries = vec![entry(1, Availability::Removed, None)];
         checked.event(Event::List { kind: ListKind::Changes, entries });
         for n in 0..200 {
             checked.request(&format!("{n}"), "f", 3000 * MS);
@@ -90,7 +90,7 @@
         let early = |a: &&Action| matches!(a, Action::Refuse { id, .. } if checked.answered[id] + 2500 * MS < checked.due[id]);
         assert_eq!(checked.actions.iter().filter(early).count() > 50, refused, "{others:?}");
         let sent = checked.actions.iter().filter_map(|a| match a {
-            Action::Tell { to: Some(to), bytes } => Some((*to, bytes.len())),
+            Action::SendMessage { to: Some(to), bytes } => Some((*to, bytes.len())),
             _ => None,
         });
         let sent: Vec<_> = sent.collect();
@@ -103,7 +103,7 @@
 /// end.
 #[test]
 fn a_local_quota_takes_precedence_over_the_quota_of_all_until_the_next() {
-    let over = |quotas: Vec<Parts>| {
+    let over = |quotas: Vec<LocalQuotas>| {
         let mut set = settings(Effect::Repeatable);
         set.front_ends = 3;
         set.tenants = vec![Tenant { quota_per_s: Some(30.0) }];
@@ -112,9 +112,9 @@
         checked.advance(500 * MS);
         checked.answer("warm", 0, Outcome::Ok, CopyMark::Warm);
         for quotas in quotas {
-            checked.event(Event::Parts(quotas));
+            checked.event(Event::LocalQuotas(quotas));
         }
-        let entries = vec![entry(1, Availability::Gone, None)];
+        let entries = vec![entry(1, Availability::Removed, None)];
         checked.event(Event::List { kind: ListKind::Changes, entries });
         for n in 0..200 {
             checked.request(&format!("{n}"), "f", 3000 * MS);
@@ -123,7 +123,7 @@
         let early = |a: &&Action| matches!(a, Action::Refuse { id, .. } if checked.answered[id] + 2500 * MS < checked.due[id]);
         checked.actions.iter().filter(early).count() > 50
     };
-    let quota = |quota| Parts { orders: None, tenants: vec![quota] };
+    let quota = |quota| LocalQuotas { orders: None, tenants: vec![quota] };
     assert!(over(vec![]), "20 a second here and, as assumed, at the two others: 60 of 30");
     assert!(!over(vec![quota(Some(25.0))]));
     assert!(over(vec![quota(Some(25.0)), quota(Some(10.0))]));
@@ -137,7 +137,7 @@
         let mut set = settings(Effect::Repeatable);
         (set.when_absent, set.load_window, set.load_free) = (WhenAbsent::Miss, 60_000 * MS, 20.0);
         let mut checked = CheckedRouter::new(set, 1);
-        checked.event(Event::Parts(Parts { orders: quota, tenants: vec![] }));
+        checked.event(Event::LocalQuotas(LocalQuotas { orders: quota, tenants: vec![] }));
         for n in 0..46 {
             let known = checked.loads.len();
             checked.request(&format!("{n}"), &format!("f{n}"), 3000 * MS);
@@ -184,7 +184,8 @@
         let mut stayed = 0;
         for n in 0..40 {
             // Means of 8 and of 1 by a mass of 8, as two logarithms.
-            let announced = |w: u32| [0, w as u8, if loaded && w == preferred { 224 } else { 128 }, 176];
+            let announced =
+                |worker: u32| [0, worker as u8, if loaded && worker == preferred { 224 } else { 128 }, 176];
             let bytes = std::iter::once(0).chain((1..=6).flat_map(announced)).collect();
             checked.event(Event::Message { from: 1 + n % 200, bytes });
             let id = format!("{n}");
@@ -213,7 +214,7 @@
         .actions
         .iter()
         .filter_map(|a| match a {
-            Action::Tell { to: Some(to), bytes } => Some((*to, bytes.clone())),
+            Action::SendMessage { to: Some(to), bytes } => Some((*to, bytes.clone())),
             _ => None,
         })
         .collect();
@@ -271,7 +272,7 @@
 #[test]
 fn errors_of_functions_never_served_do_not_count_against_workers() {
     for known in [false, true] {
-        let (mut checked, w) = warmed();
+        let (mut checked, worker) = warmed();
         for n in 0..6 {
             let id = format!("bad {n}");
             checked.request(&id, if known { "f" } else { "nobody's" }, 3000 * MS);
@@ -284,7 +285,7 @@
             }
         }
         checked.request("good", "f", 3000 * MS);
-        assert_eq!(checked.sends("good") == [w], !known, "known: {known}");
+        assert_eq!(checked.sends("good") == [worker], !known, "known: {known}");
         if !known {
             let tried: usize = (0..6).map(|n| checked.sends(&format!("bad {n}")).len()).sum();
             assert!(tried <= 8, "each is answered at its first error once the name is doubtful: {tried}");
@@ -331,7 +332,7 @@
         let worker = 100 + n;
         let mut entries = vec![entry(worker, Availability::Ready, None)];
         if n > 0 {
-            entries.push(entry(worker - 1, Availability::Gone, None));
+            entries.push(entry(worker - 1, Availability::Removed, None));
         }
         checked.event(Event::List { kind: ListKind::Changes, entries });
         let id = format!("{n}");
