--- a/crates/badgerwind-cli/src/outbox.rs
+++ b/crates/badgerwind-cli/src/outbox.rs
@@ -54,7 +54,7 @@
 }
 
 impl Outbox<'_> {
-    /// Delivers the messages in the folder. Returns when none is due with `once`, otherwise when none is left.
+    /// Delivers the messages in the folder until none is left, or with `once` until none is due.
     pub fn deliver(&self, once: bool) -> Result<(), CommandError> {
         for sub in ["done", "dead"] {
             let path = self.folder.join(sub);
--- a/crates/badgerwind-cli/src/trace/draw.rs
+++ b/crates/badgerwind-cli/src/trace/draw.rs
@@ -61,8 +61,8 @@
         self.rows.len() - 1
     }
 
-    /// Lays out events, which must be in order of time. A bar without an end event extends to the last event: its
-    /// front end or runner was killed, or the end is in none of the given logs.
+    /// Lays out events, which must be in order of time. A bar without an end event extends to the last event:
+    /// its front end or runner was killed, or the end is in none of the given logs.
     pub fn from_events(events: &[Event]) -> Chart {
         let mut chart = Chart::default();
         let Some(first) = events.first() else { return chart };
