--- a/crates/badgerwind-cli/src/trace/read.rs
+++ b/crates/badgerwind-cli/src/trace/read.rs
@@ -132,8 +132,8 @@
 }
 
 /// Returns the events of a call from all logs and records, each given as `(name, text)`, in order of time.
-/// `id` is a webhook id, a request id or a trace id. A webhook id or a trace id may match several requests, if the
-/// sender tried several front ends.
+/// `id` is a webhook id, a request id or a trace id. A webhook id or a trace id may match several requests, if
+/// the sender tried several front ends.
 pub fn events(id: &str, logs: &[(String, String)], records: &[(String, String)]) -> Vec<Event> {
     let lines: Vec<(&str, Value)> = logs
         .iter()
