--- a/crates/badgerwind-cli/tests/shares.rs
+++ b/crates/badgerwind-cli/tests/shares.rs
@@ -6,7 +6,7 @@
 
 use badgerwind_check::Event;
 use badgerwind_cli::budgets::Net;
-use badgerwind_cli::fleet::{ask, Word};
+use badgerwind_cli::fleet::{query_budgets, BudgetsReport};
 use rig::{Plan, Rig};
 use std::collections::BTreeMap;
 use std::process::Command;
@@ -117,15 +117,15 @@
         self.callers.push((stop, task));
     }
 
-    async fn reports(&self) -> Vec<Word> {
+    async fn reports(&self) -> Vec<BudgetsReport> {
         let mut reports = Vec::new();
         for rig in self.fronts.values() {
-            reports.extend(ask(rig.metrics).await);
+            reports.extend(query_budgets(rig.metrics).await);
         }
         reports
     }
 
-    async fn until(&self, what: &str, holds: impl Fn(&[Word]) -> bool) {
+    async fn until(&self, what: &str, holds: impl Fn(&[BudgetsReport]) -> bool) {
         for _ in 0..600 {
             if holds(&self.reports().await) {
                 return;
@@ -156,7 +156,7 @@
     }
 }
 
-fn owned(reports: &[Word]) -> usize {
+fn owned(reports: &[BudgetsReport]) -> usize {
     reports.iter().map(|w| w.budgets[0].owned).sum()
 }
 
@@ -167,7 +167,9 @@
         (0..7).for_each(|n| fleet.start_caller(n));
         fleet
             .until("all know a lease coordinator and each other", |reports| {
-                reports.iter().all(|w| w.keeper.is_some() && w.members.iter().all(|m| m.state == "alive"))
+                reports
+                    .iter()
+                    .all(|w| w.coordinator.is_some() && w.members.iter().all(|m| m.state == "alive"))
             })
             .await;
         fleet.until("all units are owned", |reports| owned(reports) == usize::from(UNITS)).await;
@@ -206,7 +208,7 @@
         fleet.until("all units are owned", |reports| owned(reports) == usize::from(UNITS)).await;
         for n in [3, 0] {
             fleet.signal(n, "-STOP");
-            let others = |reports: &[Word]| {
+            let others = |reports: &[BudgetsReport]| {
                 reports
                     .iter()
                     .filter(|w| usize::from(w.number) != n)
