--- a/crates/badgerwind-cli/src/budgets/mod.rs
+++ b/crates/badgerwind-cli/src/budgets/mod.rs
@@ -11,10 +11,10 @@
 pub use schedule::{Act, Schedule};
 pub use shrink::shrink;
 
-use crate::Stop;
+use crate::CommandError;
 use badgerwind_budgets::{LeaseSettings, Limit, LimitSet, Member, Unit};
-use badgerwind_check::budgets::{Line, What};
-use badgerwind_gateway::fleet::{wall, FleetMember, MemberOptions};
+use badgerwind_check::budgets::{Event, Line};
+use badgerwind_gateway::fleet::{wall_micros, FleetMember, MemberOptions};
 use badgerwind_webhook::Key;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -77,10 +77,11 @@
 }
 
 impl Trial {
-    fn read(path: &Path) -> Result<Trial, Stop> {
+    fn read(path: &Path) -> Result<Trial, CommandError> {
         let shown = path.display();
-        let text = std::fs::read(path).map_err(|e| Stop::usage(format!("cannot read {shown}: {e}")))?;
-        serde_json::from_slice(&text).map_err(|e| Stop::usage(format!("{shown}: {e}")))
+        let text =
+            std::fs::read(path).map_err(|e| CommandError::usage(format!("cannot read {shown}: {e}")))?;
+        serde_json::from_slice(&text).map_err(|e| CommandError::usage(format!("{shown}: {e}")))
     }
 
     fn book(&self) -> LimitSet {
@@ -99,54 +100,56 @@
 struct Record(File);
 
 impl Record {
-    fn write(&mut self, line: &Line) -> Result<(), Stop> {
-        let mut text = serde_json::to_vec(line).map_err(|e| Stop::failed(e.to_string()))?;
+    fn write(&mut self, line: &Line) -> Result<(), CommandError> {
+        let mut text = serde_json::to_vec(line).map_err(|e| CommandError::failed(e.to_string()))?;
         text.push(b'\n');
-        self.0.write_all(&text).map_err(|e| Stop::failed(format!("cannot write the record: {e}")))
+        self.0.write_all(&text).map_err(|e| CommandError::failed(format!("cannot write the record: {e}")))
     }
 }
 
 /// A member that would spend more than it may, until it is killed.
-pub fn member(args: &MemberArgs) -> Result<(), Stop> {
+pub fn member(args: &MemberArgs) -> Result<(), CommandError> {
     let trial = Trial::read(&args.trial)?;
     let text = std::fs::read_to_string(&args.key);
-    let text = text.map_err(|e| Stop::usage(format!("cannot read {}: {e}", args.key.display())))?;
-    let key = Key::parse(text.trim()).map_err(|e| Stop::usage(format!("{}: {e}", args.key.display())))?;
+    let text = text.map_err(|e| CommandError::usage(format!("cannot read {}: {e}", args.key.display())))?;
+    let key =
+        Key::parse(text.trim()).map_err(|e| CommandError::usage(format!("{}: {e}", args.key.display())))?;
     let options = MemberOptions {
         number: args.number,
         listen: args.listen,
         peers: trial.peers.clone(),
         key,
-        book: trial.book(),
-        terms: trial.terms(),
-        clock_fast: args.clock_fast,
+        limit_set: trial.book(),
+        lease_settings: trial.terms(),
+        clock_skew_ppm: args.clock_fast,
     };
-    let member = FleetMember::start(options).map_err(|e| Stop::usage(e.to_string()))?;
+    let member = FleetMember::start(options).map_err(|e| CommandError::usage(e.to_string()))?;
     let member = Arc::new(member);
     let file = File::create(&args.record);
-    let file = file.map_err(|e| Stop::usage(format!("cannot write {}: {e}", args.record.display())))?;
+    let file =
+        file.map_err(|e| CommandError::usage(format!("cannot write {}: {e}", args.record.display())))?;
     let mut record = Record(file);
     let speaks = member.clone();
     std::thread::spawn(move || speaks.run(&AtomicBool::new(false)));
-    let life = wall();
+    let life = wall_micros();
     let number = args.number;
-    let line = |at, what| Line { at, member: number, life, what };
+    let line = |at, event| Line { at, member: number, incarnation: life, event };
     let mut told = None;
     let mut turn = 0u32;
     loop {
         if turn % 16 == 0 {
             if let Ok(next) = Trial::read(&args.trial) {
                 let wants = next.wants.get(&number).copied().unwrap_or(0);
-                let set = member.with(|node, now| {
+                let set = member.with_node(|node, now| {
                     node.set_wanted(0, wants);
                     node.apply_limits(now, &next.book())
                 });
-                set.map_err(|e| Stop::usage(format!("{}: {e}", args.trial.display())))?;
+                set.map_err(|e| CommandError::usage(format!("{}: {e}", args.trial.display())))?;
             }
         }
         turn += 1;
         // A line bears the moment at which its matter was looked at: a stop before it is written changes nothing.
-        let (floor, granted, left, now) = member.with(|node, now| {
+        let (floor, granted, left, now) = member.with_node(|node, now| {
             let limit = &node.limit_set().limits[0];
             let (floor, all) = (limit.floor_of(number), node.owned(now, 0));
             let granted = all.filter_units(|u| !floor.contains(u));
@@ -156,12 +159,12 @@
         let until = if granted.is_empty() { at } else { at + left };
         let news = (floor.clone(), granted.clone(), until / 20_000);
         if told.as_ref() != Some(&news) {
-            record.write(&line(at, What::Owns { floor, granted, until }))?;
+            record.write(&line(at, Event::Owns { floor, granted, until }))?;
             told = Some(news);
         }
         for _ in 0..4 {
             let Some((unit, now)) = member.spend(0) else { break };
-            record.write(&line(member.wall_at(now), What::Spent { unit }))?;
+            record.write(&line(member.wall_at(now), Event::Spent { unit }))?;
         }
         std::thread::sleep(Duration::from_millis(3));
     }
--- a/crates/badgerwind-cli/src/day/world.rs
+++ b/crates/badgerwind-cli/src/day/world.rs
@@ -1,6 +1,6 @@
 //! A small fleet drawn from a seed: what it is made of, and the same told to each side: settings, specs, facts.
 
-use badgerwind_check::{ClassFacts, Effect, Facts, Group, Loads, RunnerFacts};
+use badgerwind_check::{ClassFacts, Effect, Facts, Group, LoadLimit, RunnerFacts};
 use badgerwind_standins::model::Spec;
 use badgerwind_standins::senders::{Class, Phase, Plan};
 use badgerwind_standins::store;
@@ -119,7 +119,7 @@
     /// How hard the day is.
     pub severity: Severity,
     /// The limit on load orders, where there is one.
-    pub loads: Loads,
+    pub loads: LoadLimit,
     /// Quotas, as multiples of each tenant's part of the rate.
     pub quotas: Vec<f64>,
     /// Senders' wait before they try again, in milliseconds.
@@ -135,7 +135,7 @@
 const COLD_SPAN_MS: u64 = 5_000;
 const FALL_MULTIPLE: f64 = 2.5;
 const FALL_WINDOW_MS: u64 = 1_500;
-const LOADS: Loads = Loads { window: 10_000_000, free: 8.0, share: 0.15 };
+const LOADS: LoadLimit = LoadLimit { window: 10_000_000, free: 8.0, share: 0.15 };
 /// What a message may take between two writers on a busy machine.
 const TRANSIT_US: u64 = 60_000;
 /// Share of its worth that a late answer earns.
@@ -189,7 +189,11 @@
                 class("save-draft", "draft-", true, 3.0, 0.27, &mut rng),
                 class("lodge-return", "lodge-", false, 2.0, 0.23, &mut rng),
             ],
-            store: store::Spec { fetch: rng.random_range(80_000..200_000), wide: 6.0, most: 24 },
+            store: store::Spec {
+                fetch: rng.random_range(80_000..200_000),
+                full_rate_fetches: 6.0,
+                max_fetches: 24,
+            },
             tenants: vec![("brolga-shire", 0.67), ("tallow-creek", 0.33)],
             marks: rng.random::<bool>(),
             fenced: false,
@@ -245,7 +249,7 @@
             Severity::Brutal => (Some(rng.random_range(1.2..2.0)), Some(1.6)),
         };
         if w.severity >= Severity::Hard {
-            w.loads = Loads { free: 3.0, share: 0.05, ..LOADS };
+            w.loads = LoadLimit { free: 3.0, share: 0.05, ..LOADS };
             // One tenant is over its share all day.
             w.quotas = vec![1.5, 0.5];
             (w.wait_ms, w.marks, w.retries) = (20, false, 3);
@@ -254,7 +258,7 @@
             }
         }
         if w.severity == Severity::Brutal {
-            w.store = store::Spec { most: 4, wide: 2.0, ..w.store };
+            w.store = store::Spec { max_fetches: 4, full_rate_fetches: 2.0, ..w.store };
         }
         if let Some(crowding) = crowding {
             let one = w.classes.iter().map(|c| f64::from(c.count) * c.memory_mb).sum::<f64>();
@@ -420,7 +424,7 @@
             drain_grace: DRAIN_GRACE_MS * 1000,
             fall_multiple: FALL_MULTIPLE,
             fall_window: FALL_WINDOW_MS * 1000,
-            loads: if self.rationed { self.loads } else { Loads { window: 0, free: 0.0, share: 0.0 } },
+            loads: if self.rationed { self.loads } else { LoadLimit { window: 0, free: 0.0, share: 0.0 } },
             transit: TRANSIT_US,
         }
     }
@@ -444,7 +448,7 @@
                     count: c.count,
                     share: c.share,
                     mean_us: c.mean_us,
-                    patience_ms: c.deadline_ms,
+                    timeout_ms: c.deadline_ms,
                     repeatable: c.repeatable || self.fenced || self.reckless,
                 })
                 .collect(),
--- a/crates/badgerwind-cli/tests/platform/peers.rs
+++ b/crates/badgerwind-cli/tests/platform/peers.rs
@@ -1,22 +1,23 @@
 //! Datagrams between front ends.
 
 use crate::rig::*;
-use badgerwind_standins::platform::executor::well;
-use badgerwind_standins::platform::web::Ask;
+use badgerwind_standins::platform::executor::succeed;
+use badgerwind_standins::platform::web::WebRequest;
 use badgerwind_standins::reserved::unused_address;
 use serde_json::json;
 use std::net::UdpSocket;
 use std::time::Duration;
 
-/// It tells another in few bytes from its own address, and what comes from strangers or is too long harms nothing.
+/// A front end sends its peers short datagrams from its own address. Datagrams from other senders, and
+/// malformed or too long ones, do not disturb it.
 #[test]
-fn front_ends_are_told_in_short_datagrams_and_strangers_are_passed_over() {
+fn peers_get_short_datagrams_and_those_of_other_senders_are_ignored() {
     let all = UdpSocket::bind("127.0.0.1:0").unwrap();
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = unused_address();
-    let mut rig = Rig::with(vec![Box::new(well)], |c| {
+    let mut rig = Rig::start_with(vec![Box::new(succeed)], |c| {
         c["settings"]["allowed"]["peers"] = json!(true);
         c["settings"]["peersTotal"] = json!(2);
         c["peer_listen"] = json!(own);
@@ -28,12 +29,12 @@
             from.send_to(bytes, own).unwrap();
         }
     }
-    assert_eq!(rig.call(&Ask::new(1)).status, 200);
+    assert_eq!(rig.call(&WebRequest::new(1)).status, 200);
     let mut buf = [0u8; 2048];
     for _ in 0..2 {
         let (n, from) =
-            peer.recv_from(&mut buf).expect("it tells its tenants' rates and its executors' loads");
+            peer.recv_from(&mut buf).expect("a datagram with rates of tenants and loads of executors");
         assert_eq!((n, from), (1 + 4 + 4, own), "one tenant, one executor");
     }
-    assert!(rig.runs());
+    assert!(rig.is_running());
 }
--- a/crates/badgerwind-cli/tests/scale_processes.rs
+++ b/crates/badgerwind-cli/tests/scale_processes.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use badgerwind_cli::fleet::{ask, Word};
+use badgerwind_cli::fleet::{query_budgets, BudgetsReport};
 use badgerwind_scale::rows::members::{Fleet as HollowMembers, ENVELOPE};
 use badgerwind_scale::rows::network::{Conditions, SECOND};
 use badgerwind_scale::rows::zones::Fleet as HollowZones;
@@ -118,7 +118,7 @@
 
 async fn all_alive(fronts: &[Rig]) -> bool {
     for rig in fronts {
-        let words: Vec<Word> = ask(rig.metrics).await.into_iter().collect();
+        let words: Vec<BudgetsReport> = query_budgets(rig.metrics).await.into_iter().collect();
         if !words.iter().all(|w| w.members.iter().all(|m| m.state == "alive")) {
             return false;
         }
@@ -144,12 +144,12 @@
     let relays = Relays::start(members);
     let mut fronts: Vec<Rig> = Vec::new();
     for n in 0..members {
-        let (runners, beside) = match fronts.first() {
+        let (runners, shared) = match fronts.first() {
             None => (ZONES, None),
-            Some(first) => (0, first.beside()),
+            Some(first) => (0, first.shared()),
         };
         let edits = edits(n, &relays);
-        let plan = Plan { runners, zones: ZONES as u32, process: true, edits, beside, ..Plan::default() };
+        let plan = Plan { runners, zones: ZONES as u32, process: true, edits, shared, ..Plan::default() };
         fronts.push(Rig::start(plan).await);
     }
     let mut looks = 0;
--- a/crates/badgerwind-cli/tests/zones.rs
+++ b/crates/badgerwind-cli/tests/zones.rs
@@ -3,9 +3,9 @@
 
 mod rig;
 
-use badgerwind_check::What;
+use badgerwind_check::Event;
 use badgerwind_cli::budgets::Net;
-use badgerwind_cli::fleet::{ask_whole, ZoneHere};
+use badgerwind_cli::fleet::{query, ZoneReport};
 use badgerwind_cli::send::{post, Message};
 use badgerwind_protocol::list::{Runner, State};
 use badgerwind_standins::list;
@@ -99,15 +99,15 @@
         let mut links = vec![];
         for r in &self.fronts[0].runners {
             let link = Relay::start(r.address).await.unwrap();
-            listed.push(Runner { address: link.at, state: State::Ready, ..r.clone() });
+            listed.push(Runner { address: link.address, state: State::Ready, ..r.clone() });
             links.push(link);
         }
-        let (listener, at) = rig::socket().await;
+        let (listener, at) = rig::bind_loopback().await;
         self.lists.push(smol::spawn(list::serve(listener, listed, self.fronts[0].recorder.clone())));
-        let (runners, _, keys, recorder) = self.fronts[0].beside().unwrap();
+        let (runners, _, keys, recorder) = self.fronts[0].shared().unwrap();
         let edits = edits(n, &self.net, self.leaving);
-        let beside = Some((runners, at, keys, recorder));
-        let plan = Plan { runners: 0, process: true, edits, beside, ..Plan::default() };
+        let shared = Some((runners, at, keys, recorder));
+        let plan = Plan { runners: 0, process: true, edits, shared, ..Plan::default() };
         self.fronts.push(Rig::start(plan).await);
         self.links.push(links);
     }
@@ -121,7 +121,7 @@
         for lane in 0..4 {
             let c = &self.callers;
             let (over, served, answered) = (c.over.clone(), c.served.clone(), c.answered.clone());
-            let (to, key, book) = (self.front(n).to, self.front(n).key.clone(), c.book.clone());
+            let (to, key, book) = (self.front(n).webhook, self.front(n).sender_key.clone(), c.book.clone());
             self.callers.tasks.push(smol::spawn(async move {
                 for i in 0.. {
                     if over.load(Ordering::Relaxed) {
@@ -156,22 +156,22 @@
     }
 
     /// The zones by a front end's word, or why it says nothing.
-    async fn ask_zones(&self, n: usize) -> Result<Vec<ZoneHere>, String> {
-        ask_whole(self.front(n).metrics).await.map(|whole| whole.zones.unwrap().zones)
+    async fn ask_zones(&self, n: usize) -> Result<Vec<ZoneReport>, String> {
+        query(self.front(n).metrics).await.map(|report| report.zones.unwrap().zones)
     }
 
-    async fn zones(&self, n: usize) -> Vec<ZoneHere> {
+    async fn zones(&self, n: usize) -> Vec<ZoneReport> {
         self.ask_zones(n).await.unwrap_or_default()
     }
 
-    async fn until(&self, what: &str, fronts: &[usize], holds: impl Fn(&[ZoneHere]) -> bool) {
+    async fn until(&self, what: &str, fronts: &[usize], holds: impl Fn(&[ZoneReport]) -> bool) {
         let mut last = BTreeMap::new();
         for _ in 0..1200 {
             last.clear();
             for n in fronts {
                 last.insert(*n, self.ask_zones(*n).await);
             }
-            let said = |zones: &Result<Vec<ZoneHere>, String>| {
+            let said = |zones: &Result<Vec<ZoneReport>, String>| {
                 zones.as_ref().is_ok_and(|z| !z.is_empty() && holds(z))
             };
             if last.values().all(said) {
@@ -186,7 +186,7 @@
     fn arrived(&self, zone: usize) -> usize {
         let of = |id: u32| self.fronts[0].runners.iter().any(|r| r.id == id && r.zone as usize == zone);
         let lines = self.fronts[0].lines();
-        lines.iter().filter(|l| matches!(l.what, What::Arrived { runner, .. } if of(runner))).count()
+        lines.iter().filter(|l| matches!(l.event, Event::Arrived { runner, .. } if of(runner))).count()
     }
 
     async fn end(self) -> (usize, usize) {
@@ -198,8 +198,8 @@
     }
 }
 
-const SILENT: Link = Link { there: Flow::Silent, back: Flow::Silent, broken: false };
-const BROKEN: Link = Link { there: Flow::Open, back: Flow::Open, broken: true };
+const SILENT: Link = Link { forward: Flow::Silent, backward: Flow::Silent, broken: false };
+const BROKEN: Link = Link { forward: Flow::Open, backward: Flow::Open, broken: true };
 
 #[test]
 fn a_silent_zone_is_left_by_all_and_returned_to_by_steps() {
@@ -248,7 +248,7 @@
         let mut fleet = Fleet::start(5).await;
         let all = [0, 1, 2, 3, 4];
         // One way only: what is asked arrives, and no answer comes back.
-        let one_way = Link { there: Flow::Open, back: Flow::Silent, broken: false };
+        let one_way = Link { forward: Flow::Open, backward: Flow::Silent, broken: false };
         all.iter().for_each(|n| fleet.link(*n, 0, one_way));
         fleet.until("all have left it", &all, |z| z[0].stage == "left").await;
         // The last one dies and another life starts: behind new links that are as dead.
@@ -299,7 +299,7 @@
             assert_eq!(run(n, &["leave", "west", "--why", "smoke in the hall"]).0, Some(0));
             hangup(n);
         }
-        fleet.until("all have left it", &all, |z| z[2].word.is_some() && z[2].share == 0.0).await;
+        fleet.until("all have left it", &all, |z| z[2].directive.is_some() && z[2].share == 0.0).await;
         smol::Timer::after(Duration::from_millis(600)).await;
         let before = fleet.arrived(2);
         smol::Timer::after(Duration::from_millis(600)).await;
@@ -308,7 +308,7 @@
             assert_eq!(run(n, &["free", "west", "--why", "all clear"]).0, Some(0));
             hangup(n);
         }
-        fleet.until("it is back", &all, |z| z[2].word.is_none() && z[2].share == 1.0).await;
+        fleet.until("it is back", &all, |z| z[2].directive.is_none() && z[2].share == 1.0).await;
         let (served, answered) = fleet.end().await;
         assert_eq!(served, answered, "a zone that is left in good health costs no call");
     });
