--- a/crates/badgerwind-cli/benches/config.rs
+++ b/crates/badgerwind-cli/benches/config.rs
@@ -167,7 +167,7 @@
         standins: Some(env!("CARGO_BIN_EXE_badgerwind").into()),
     };
     let outcome = play(&args, &folder).unwrap();
-    assert!(outcome.report.broken.is_empty() && outcome.wrong.is_empty(), "{outcome:?}");
+    assert!(outcome.report.broken.is_empty() && outcome.process_failures.is_empty(), "{outcome:?}");
     let mut times = Histogram::new(3).unwrap();
     for name in ["record-senders-0.jsonl", "record-senders-1.jsonl"] {
         let lines = badgerwind_check::read(&std::fs::read_to_string(folder.join(name)).unwrap()).unwrap();
--- a/crates/badgerwind-cli/src/day/fleet.rs
+++ b/crates/badgerwind-cli/src/day/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as processes of this machine, each started and ended by its own id.
+//! The fleet as local processes. Each is started and ended through its own process id.
 
 use super::script::Act;
 use super::world::World;
@@ -21,10 +21,10 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long a process may take to serve.
-const READY_WITHIN: Duration = Duration::from_secs(20);
+/// Longest time from the start of a process until it serves.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that dies with its handle.
+/// A child process that is killed when its handle is dropped.
 struct Process {
     name: String,
     child: Child,
@@ -35,7 +35,7 @@
         self.end();
     }
     fn end(&mut self) {
-        let _ = self.child.kill(); // already gone is as good
+        let _ = self.child.kill(); // may already have exited
         let _ = self.child.wait();
     }
 }
@@ -46,16 +46,16 @@
     }
 }
 
-/// Programs to run: the gateway may be one put together differently.
+/// Programs to run. The gateway may be another build than the stand-ins.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// Runs `standin`.
+    /// Program with the `standin` and `control` commands.
     pub standins: PathBuf,
-    /// Runs `serve`.
+    /// Program with the `serve` command.
     pub gateway: PathBuf,
 }
 
-/// The fleet.
+/// A running fleet of stand-ins, control service, front ends and senders.
 pub struct Fleet {
     world: World,
     folder: PathBuf,
@@ -65,8 +65,8 @@
     store: SocketAddr,
     fronts: Vec<SocketAddr>,
     runners: BTreeMap<u32, SocketAddr>,
-    /// Not told of to the list yet, and when to.
-    notices: Vec<(u64, Runner)>,
+    /// Pending updates of the list, each with its due time in microseconds.
+    pending_updates: Vec<(u64, Runner)>,
     processes: BTreeMap<String, Process>,
     starts: u32,
     published: u64,
@@ -77,23 +77,23 @@
     Stop::failed(format!("{what}: {e}"))
 }
 
-/// Ports of one fleet alone, under the range from which outgoing connections take theirs. The first of a block is
-/// held for as long as the fleet lives and keeps other fleets out of it: a runner or front end that is down finds
-/// its port free when it starts again.
+/// A block of ports reserved for one fleet, below the range of ephemeral ports. The first port of the block stays bound
+/// while the fleet exists, which keeps other fleets off the block, so that a stopped runner or front end finds its port
+/// free when it starts again.
 struct Ports {
-    _held: TcpListener,
-    rest: std::ops::Range<u16>,
+    _reservation: TcpListener,
+    remaining: std::ops::Range<u16>,
 }
 
-/// Ports of a block.
-const BLOCK: u16 = 64;
+/// Number of ports in a block.
+const BLOCK_SIZE: u16 = 64;
 
 impl Ports {
-    fn take(rng: &mut StdRng) -> Result<Ports, Stop> {
+    fn reserve(rng: &mut StdRng) -> Result<Ports, Stop> {
         for _ in 0..1_000 {
-            let first = 20_000 + BLOCK * rng.random_range(0..187);
-            if let Ok(held) = TcpListener::bind(("127.0.0.1", first)) {
-                return Ok(Ports { _held: held, rest: first + 1..first + BLOCK });
+            let first = 20_000 + BLOCK_SIZE * rng.random_range(0..187);
+            if let Ok(reservation) = TcpListener::bind(("127.0.0.1", first)) {
+                return Ok(Ports { _reservation: reservation, remaining: first + 1..first + BLOCK_SIZE });
             }
         }
         Err(Stop::failed("no block of free ports found"))
@@ -101,40 +101,40 @@
 
     fn next(&mut self) -> Result<SocketAddr, Stop> {
         let free = |port: &u16| TcpListener::bind(("127.0.0.1", *port)).is_ok();
-        let port = self.rest.find(free).ok_or_else(|| Stop::failed("no free port left in the block"))?;
+        let port = self.remaining.find(free).ok_or_else(|| Stop::failed("no free port left in the block"))?;
         Ok(SocketAddr::from(([127, 0, 0, 1], port)))
     }
 }
 
 impl Fleet {
-    /// Starts all of it; returns once every process serves.
+    /// Starts all processes but the senders; returns once every one serves.
     pub fn start(world: World, folder: &Path, programs: Programs) -> Result<Fleet, Stop> {
-        // Settings name files from their own place, so that a folder is named in full.
+        // Paths in settings are relative to the settings file, so the folder must be absolute.
         let folder = &std::path::absolute(folder).map_err(|e| failed("cannot find the folder", e))?;
-        // Ports differ from run to run: two days may run side by side.
+        // Ports differ between runs, so that several days can run at the same time.
         let mut rng = StdRng::seed_from_u64(now());
         let file = folder.join("record-day.jsonl");
         let recorder = Recorder::file(&file).map_err(|e| failed("cannot write the record", e))?;
         let keys = folder.join("keys");
-        std::fs::create_dir_all(&keys).map_err(|e| failed("cannot make a folder", e))?;
+        std::fs::create_dir_all(&keys).map_err(|e| failed("cannot create a folder", e))?;
         for name in world.tenants.iter().map(|t| t.0).chain(["runners"]) {
-            let key = Key::generate(KeyKind::Shared).map_err(|e| failed("no random bytes", e))?;
+            let key = Key::generate(KeyKind::Shared).map_err(|e| failed("cannot generate a key", e))?;
             crate::keys::write_key(&keys.join(format!("{name}.key")), &key)?;
         }
-        let none = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut fleet = Fleet {
             folder: folder.to_owned(),
             programs,
             recorder,
-            list: none,
-            store: none,
+            list: any_port,
+            store: any_port,
             fronts: Vec::new(),
             runners: BTreeMap::new(),
-            notices: Vec::new(),
+            pending_updates: Vec::new(),
             processes: BTreeMap::new(),
             starts: 0,
             published: 0,
-            ports: Ports::take(&mut rng)?,
+            ports: Ports::reserve(&mut rng)?,
             world,
         };
         if fleet.world.control.is_some() {
@@ -142,14 +142,14 @@
             fleet.start_control()?;
         }
         let store = fleet.world.store;
-        fleet.store = fleet.standin("store", "store", &store, none, &[])?;
+        fleet.store = fleet.start_standin("store", "store", &store, any_port, &[])?;
         for id in fleet.world.ids().collect::<Vec<_>>() {
             let address = fleet.ports.next()?;
             fleet.start_runner(id, address, false)?;
         }
         let runners: Vec<Runner> =
-            fleet.runners.keys().map(|id| fleet.listed(*id, State::Ready, None)).collect();
-        fleet.list = fleet.standin("list", "list", &runners, none, &[])?;
+            fleet.runners.keys().map(|id| fleet.list_entry(*id, State::Ready, None)).collect();
+        fleet.list = fleet.start_standin("list", "list", &runners, any_port, &[])?;
         for number in 0..fleet.world.fronts {
             let address = fleet.ports.next()?;
             fleet.fronts.push(address);
@@ -158,25 +158,29 @@
         Ok(fleet)
     }
 
-    fn listed(&self, id: u32, state: State, started: Option<u64>) -> Runner {
+    fn list_entry(&self, id: u32, state: State, started: Option<u64>) -> Runner {
         Runner { id, address: self.runners[&id], zone: 0, cell: 0, kind: 0, size: 1.0, state, started }
     }
 
-    /// Starts a program with its output in a file of the folder.
+    /// Starts a program with its output in a log file of the folder.
     fn spawn(&mut self, name: &str, program: &Path, args: &[String]) -> Result<(), Stop> {
         let log = self.folder.join(format!("{name}.log"));
-        let log =
-            File::options().create(true).append(true).open(&log).map_err(|e| failed("cannot log", e))?;
-        let other = log.try_clone().map_err(|e| failed("cannot log", e))?;
-        let child = Command::new(program).args(args).stdin(Stdio::null()).stdout(log).stderr(other).spawn();
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&log)
+            .map_err(|e| failed("cannot write a log", e))?;
+        let stderr_log = log.try_clone().map_err(|e| failed("cannot write a log", e))?;
+        let child =
+            Command::new(program).args(args).stdin(Stdio::null()).stdout(log).stderr(stderr_log).spawn();
         let child = child.map_err(|e| failed(&format!("cannot start {}", program.display()), e))?;
         self.processes.insert(name.to_owned(), Process { name: name.to_owned(), child });
         Ok(())
     }
 
-    /// Waits for a ready file and returns the address in it.
-    fn ready(&mut self, name: &str, file: &Path, field: &str) -> Result<SocketAddr, Stop> {
-        let until = Instant::now() + READY_WITHIN;
+    /// Waits for a ready file and returns the address in the given field.
+    fn wait_ready(&mut self, name: &str, file: &Path, field: &str) -> Result<SocketAddr, Stop> {
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             if let Ok(text) = std::fs::read_to_string(file) {
                 let value: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
@@ -185,7 +189,7 @@
                 }
             }
             let exited = self.processes.get_mut(name).and_then(|p| p.child.try_wait().ok().flatten());
-            if exited.is_some() || Instant::now() > until {
+            if exited.is_some() || Instant::now() > deadline {
                 let log =
                     std::fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default();
                 return Err(Stop::failed(format!("{name} does not serve:\n{log}")));
@@ -194,13 +198,14 @@
         }
     }
 
-    fn standin(
+    /// Starts a stand-in with its spec and returns its address.
+    fn start_standin(
         &mut self,
         kind: &str,
         name: &str,
         spec: &impl Serialize,
         listen: SocketAddr,
-        more: &[&str],
+        extra_args: &[&str],
     ) -> Result<SocketAddr, Stop> {
         self.starts += 1;
         let spec_file = self.folder.join(format!("{name}.json"));
@@ -212,10 +217,10 @@
         let paths = [("--spec", &spec_file), ("--ready-file", &ready), ("--record", &record)];
         args.extend(paths.iter().flat_map(|(n, p)| [(*n).to_owned(), p.display().to_string()]));
         args.extend(["--listen".to_owned(), listen.to_string()]);
-        args.extend(more.iter().map(|m| (*m).to_owned()));
+        args.extend(extra_args.iter().map(|a| (*a).to_owned()));
         let program = self.programs.standins.clone();
         self.spawn(name, &program, &args)?;
-        self.ready(name, &ready, "address")
+        self.wait_ready(name, &ready, "address")
     }
 
     fn start_runner(&mut self, id: u32, address: SocketAddr, cold: bool) -> Result<(), Stop> {
@@ -231,26 +236,27 @@
             store: Some(self.store),
             key_file: Some(self.folder.join("keys/runners.key")),
         };
-        let more: &[&str] = if cold { &["--cold"] } else { &[] };
-        let address = self.standin("runner", &format!("runner-{id}"), &file, address, more)?;
+        let extra_args: &[&str] = if cold { &["--cold"] } else { &[] };
+        let address = self.start_standin("runner", &format!("runner-{id}"), &file, address, extra_args)?;
         self.runners.insert(id, address);
         Ok(())
     }
 
     fn start_control(&mut self) -> Result<(), Stop> {
-        let Some(at) = self.world.control else { return Ok(()) };
+        let Some(listen) = self.world.control else { return Ok(()) };
         self.starts += 1;
         let ready = self.folder.join(format!("control-{}.ready", self.starts));
         let versions = self.folder.join("versions");
-        std::fs::create_dir_all(versions.join("classes")).map_err(|e| failed("cannot make a folder", e))?;
+        std::fs::create_dir_all(versions.join("classes")).map_err(|e| failed("cannot create a folder", e))?;
         let paths = [versions.display().to_string(), ready.display().to_string()];
-        let args = ["control", "serve", &paths[0], "--ready-file", &paths[1], "--listen", &at.to_string()];
-        let waves =
+        let args =
+            ["control", "serve", &paths[0], "--ready-file", &paths[1], "--listen", &listen.to_string()];
+        let wave_args =
             ["--first", "0.34", "--settle-ms", "200", "--most-rejected", "0.5", "--most-worse", "0.5"];
-        let args: Vec<String> = args.iter().chain(&waves).map(|a| (*a).to_owned()).collect();
+        let args: Vec<String> = args.iter().chain(&wave_args).map(|a| (*a).to_owned()).collect();
         let program = self.programs.standins.clone();
         self.spawn("control", &program, &args)?;
-        self.ready("control", &ready, "address").map(|_| ())
+        self.wait_ready("control", &ready, "address").map(|_| ())
     }
 
     fn start_front(&mut self, number: u32) -> Result<(), Stop> {
@@ -266,17 +272,17 @@
         let args = [&args[..], &[ready.display().to_string()]].concat();
         let program = self.programs.gateway.clone();
         self.spawn(&name, &program, &args)?;
-        self.ready(&name, &ready, "webhook")?;
+        self.wait_ready(&name, &ready, "webhook")?;
         self.recorder.add(What::FrontStarted { front: number });
         Ok(())
     }
 
-    /// Where the front ends listen.
+    /// Addresses on which the front ends listen.
     pub fn fronts(&self) -> &[SocketAddr] {
         &self.fronts
     }
 
-    /// Where a runner listens.
+    /// Address on which a runner listens.
     pub fn runner(&self, id: u32) -> Option<SocketAddr> {
         self.runners.get(&id).copied()
     }
@@ -287,8 +293,8 @@
     }
 
     /// Starts a process of senders with its plan.
-    pub fn start_senders(&mut self, n: usize, plan: &impl Serialize, tenant: &str) -> Result<(), Stop> {
-        let name = format!("senders-{n}");
+    pub fn start_senders(&mut self, number: usize, plan: &impl Serialize, tenant: &str) -> Result<(), Stop> {
+        let name = format!("senders-{number}");
         let spec = self.folder.join(format!("{name}.json"));
         let text = serde_json::to_string(plan).map_err(|e| failed("cannot write a plan", e))?;
         crate::write_whole(&spec, &text)?;
@@ -301,57 +307,59 @@
         self.spawn(&name, &program, &args)
     }
 
-    /// True once all senders have ended.
+    /// Whether all sender processes have ended.
     pub fn senders_done(&mut self) -> bool {
         let senders = self.processes.iter_mut().filter(|(n, _)| n.starts_with("senders"));
         let mut done = true;
-        for (_, p) in senders {
-            done &= !matches!(p.child.try_wait(), Ok(None));
+        for (_, process) in senders {
+            done &= !matches!(process.child.try_wait(), Ok(None));
         }
         done
     }
 
-    /// Processes that have ended though nobody ended them.
-    pub fn fallen(&mut self) -> Vec<String> {
-        let mut fallen = Vec::new();
-        for p in self.processes.values_mut().filter(|p| !p.name.starts_with("senders")) {
-            if let Ok(Some(status)) = p.child.try_wait() {
-                fallen.push(format!("{} ended by itself: {status}", p.name));
+    /// Reports processes, except senders, that have exited without being stopped.
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
+        let mut exits = Vec::new();
+        for process in self.processes.values_mut().filter(|p| !p.name.starts_with("senders")) {
+            if let Ok(Some(status)) = process.child.try_wait() {
+                exits.push(format!("{} exited unexpectedly: {status}", process.name));
             }
         }
-        fallen
+        exits
     }
 
-    fn command(&self, to: SocketAddr, path: &str, value: &impl Serialize) {
-        // A stand-in that is down or hangs takes no command; the day goes on.
-        let late = async {
+    fn send_command(&self, to: SocketAddr, path: &str, value: &impl Serialize) {
+        // Errors are ignored: a stand-in that is down or hangs cannot accept commands, and the run continues.
+        let timeout = async {
             smol::Timer::after(Duration::from_secs(1)).await;
             Err("no answer".to_owned())
         };
         let sent = badgerwind_standins::command(to, path, value);
-        let _ = smol::block_on(futures_lite::future::or(sent, late));
+        let _ = smol::block_on(futures_lite::future::or(sent, timeout));
     }
 
-    fn tell_list(&self, runner: &Runner) {
-        self.command(self.list, "/standin/runner", runner);
+    fn update_list(&self, runner: &Runner) {
+        self.send_command(self.list, "/standin/runner", runner);
     }
 
-    /// Tells the list what has become due.
-    pub fn pass(&mut self) {
-        let at = now();
-        let (due, later) = std::mem::take(&mut self.notices).into_iter().partition(|(t, _)| *t <= at);
-        self.notices = later;
-        due.iter().for_each(|(_, runner): &(u64, Runner)| self.tell_list(runner));
+    /// Sends the updates that are due to the list.
+    pub fn send_due_updates(&mut self) {
+        let time = now();
+        let (due, later) =
+            std::mem::take(&mut self.pending_updates).into_iter().partition(|(t, _)| *t <= time);
+        self.pending_updates = later;
+        due.iter().for_each(|(_, runner): &(u64, Runner)| self.update_list(runner));
     }
 
-    /// Does something to the fleet.
-    pub fn act(&mut self, act: &Act) -> Result<(), Stop> {
+    /// Executes an action of a script.
+    pub fn execute(&mut self, act: &Act) -> Result<(), Stop> {
         match act {
             Act::KillFront { front } => {
                 if let Some(process) = self.processes.remove(&format!("front-{front}")) {
                     self.recorder.add(What::FrontKilled { front: *front });
                     process.kill();
-                    // On a busy machine some time passes between the word and the deed: it died in between.
+                    // Recorded before and after, since the kill may take a while on a busy machine: the front end
+                    // died between the two lines.
                     self.recorder.add(What::FrontKilled { front: *front });
                 }
             }
@@ -364,30 +372,30 @@
                 if let Some(process) = self.processes.remove(&format!("runner-{runner}")) {
                     process.kill();
                     self.recorder.add(What::RunnerKilled { runner: *runner });
-                    let gone = self.listed(*runner, State::Gone, None);
-                    self.notices.push((now() + notice_ms * 1000, gone));
+                    let removed = self.list_entry(*runner, State::Gone, None);
+                    self.pending_updates.push((now() + notice_ms * 1000, removed));
                 }
             }
             Act::StartRunner { runner } => {
                 if !self.processes.contains_key(&format!("runner-{runner}")) {
                     let (address, started) = (self.runners[runner], now());
                     self.start_runner(*runner, address, true)?;
-                    self.notices.retain(|(_, r)| r.id != *runner);
-                    self.tell_list(&self.listed(*runner, State::Ready, Some(started)));
+                    self.pending_updates.retain(|(_, r)| r.id != *runner);
+                    self.update_list(&self.list_entry(*runner, State::Ready, Some(started)));
                 }
             }
-            Act::Drain { runner } => self.tell_list(&self.listed(*runner, State::Draining, None)),
+            Act::Drain { runner } => self.update_list(&self.list_entry(*runner, State::Draining, None)),
             Act::TurnAway { runner } => {
-                self.command(self.runners[runner], "/standin/drain", &Switch { on: true });
+                self.send_command(self.runners[runner], "/standin/drain", &Switch { on: true });
             }
             Act::Fault { runner, on, fault } => {
                 let command = FaultCommand { on: *on, fault: fault.clone() };
-                self.command(self.runners[runner], "/standin/fault", &command);
+                self.send_command(self.runners[runner], "/standin/fault", &command);
             }
             Act::Store { times } => {
-                self.command(self.store, "/standin/slow", &serde_json::json!({ "times": times }));
+                self.send_command(self.store, "/standin/slow", &serde_json::json!({ "times": times }));
             }
-            Act::Lag { ms } => self.command(self.list, "/standin/lag", &Lag { ms: *ms }),
+            Act::Lag { ms } => self.send_command(self.list, "/standin/lag", &Lag { ms: *ms }),
             Act::Publish => {
                 self.published += 1;
                 let file = self.folder.join(format!("versions/classes/{}.xml", self.published));
@@ -405,40 +413,40 @@
             }
             Act::Release => {
                 for address in self.runners.values() {
-                    self.command(*address, "/standin/release", &serde_json::json!({}));
+                    self.send_command(*address, "/standin/release", &serde_json::json!({}));
                 }
             }
         }
         Ok(())
     }
 
-    /// Asks the front ends to stop in an orderly way; those that do not, or end with anything but 0.
+    /// Stops the front ends with SIGTERM; reports those that do not stop or whose exit status is not 0.
     pub fn stop_fronts(&mut self) -> Vec<String> {
-        let mut wrong = Vec::new();
+        let mut failures = Vec::new();
         let names: Vec<String> = self.processes.keys().filter(|n| n.starts_with("front")).cloned().collect();
         for name in &names {
             let id = self.processes[name].child.id().to_string();
-            // The shell's own kill sends SIGTERM; the standard library has only SIGKILL.
+            // The standard library can only send SIGKILL, so the `kill` program sends SIGTERM.
             let _ = Command::new("kill").args(["-TERM", &id]).status();
         }
-        let until = Instant::now() + Duration::from_secs(10);
+        let deadline = Instant::now() + Duration::from_secs(10);
         for name in names {
-            let Some(mut p) = self.processes.remove(&name) else { continue };
+            let Some(mut process) = self.processes.remove(&name) else { continue };
             loop {
-                match p.child.try_wait() {
+                match process.child.try_wait() {
                     Ok(Some(status)) if status.success() => break,
                     Ok(Some(status)) => {
-                        wrong.push(format!("{name} stopped with {status}"));
+                        failures.push(format!("{name} stopped with {status}"));
                         break;
                     }
-                    _ if Instant::now() > until => {
-                        wrong.push(format!("{name} did not stop"));
+                    _ if Instant::now() > deadline => {
+                        failures.push(format!("{name} did not stop"));
                         break;
                     }
                     _ => sleep(Duration::from_millis(10)),
                 }
             }
         }
-        wrong
+        failures
     }
 }
--- a/crates/badgerwind-cli/src/day/mod.rs
+++ b/crates/badgerwind-cli/src/day/mod.rs
@@ -1,5 +1,5 @@
-//! `bad-day`: front ends, runners, list, store and senders as processes on loopback, a script of troubles, and the
-//! five rules judged from what the peers recorded.
+//! The `bad-day` command: runs front ends, runners, list, store and senders as processes on loopback, injects the faults
+//! of a script, and checks the five rules against the records of the peers.
 
 pub mod fleet;
 pub mod script;
@@ -14,87 +14,90 @@
 use std::path::{Path, PathBuf};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use world::{Dials, Severity, World};
+use world::{Overrides, Severity, World};
 
 /// Arguments of `bad-day`.
 #[derive(clap::Args, Debug, Clone)]
 pub struct Args {
-    /// Seed of the fleet, the traffic and the troubles
+    /// Seed of the fleet, the traffic and the faults
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How long calls come
+    /// Duration of the traffic, in seconds
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(5..=600))]
     pub seconds: u64,
-    /// How hard the day is
+    /// Severity of the load and the faults
     #[arg(long, value_enum, default_value = "calm")]
     pub severity: Severity,
-    /// Work asked for, as a multiple of what the runners can do; drawn by severity where it is left out
-    #[arg(long, value_parser = load)]
+    /// Requested work as a multiple of the runners' capacity; by default drawn according to the severity
+    #[arg(long, value_parser = parse_load)]
     pub load: Option<f64>,
-    /// Front ends
+    /// Number of front ends
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=24))]
     pub fronts: Option<u32>,
-    /// Runners
+    /// Number of runners
     #[arg(long, value_parser = clap::value_parser!(u32).range(2..=60))]
     pub runners: Option<u32>,
-    /// Kinds of trouble, joined by +, in place of drawn ones
+    /// Kinds of faults, joined by +, instead of randomly drawn ones
     #[arg(long, conflicts_with = "script")]
     pub like: Option<String>,
-    /// A script of troubles, as a report of another day holds it
+    /// A script of faults, in the format of a report's script
     #[arg(long)]
     pub script: Option<PathBuf>,
-    /// Members of a fleet's budgets alone, as processes that are killed, stopped and cut off from each other, and the sums
-    /// of what they owned and spent, from their records
+    /// Test the fleet budgets alone: run members as processes, kill, pause and partition them, and check the totals of
+    /// owned and spent units in their records
     #[arg(long, conflicts_with_all = ["like", "script", "load", "runners", "fenced"])]
     pub budgets: bool,
-    /// With --budgets: play the schedule of this file, as --keep writes it
+    /// With --budgets: run the schedule of this file, in the format that --keep writes
     #[arg(long, requires = "budgets")]
     pub schedule: Option<PathBuf>,
-    /// With --budgets: where the day is broken, play so many others at the most to find the smallest that breaks as well
+    /// With --budgets: after a violation, run at most this many smaller schedules to find a minimal one that still fails
     #[arg(long, requires = "budgets", default_value_t = 0)]
     pub shrink: usize,
-    /// Runners fence lodgements by a ledger, and senders try them again whatever became of the try before
+    /// Runners fence lodgements by a ledger, and senders retry them whatever the outcome of the previous try
     #[arg(long)]
     pub fenced: bool,
-    /// Senders do that without a fence, which must end with a rule broken
+    /// Senders retry lodgements without a fence, which must end in a violation
     #[arg(long, hide = true, conflicts_with = "fenced")]
     pub reckless: bool,
-    /// Write a report in JSON
+    /// Write a JSON report to this file
     #[arg(long)]
     pub report: Option<PathBuf>,
-    /// Keep settings, logs and records in this folder, which must be new
+    /// Keep settings, logs and records in this folder, which must not exist yet
     #[arg(long)]
     pub keep: Option<PathBuf>,
-    /// The program whose `serve` is run as the front ends
+    /// Program whose `serve` command runs the front ends
     #[arg(long, hide = true)]
     pub gateway: Option<PathBuf>,
-    /// The program whose `standin` and `control` are run
+    /// Program whose `standin` and `control` commands are run
     #[arg(long, hide = true)]
     pub standins: Option<PathBuf>,
 }
 
-fn load(text: &str) -> Result<f64, String> {
-    text.parse().ok().filter(|l| (0.01..=4.0).contains(l)).ok_or_else(|| "a number from 0.01 to 4".to_owned())
+fn parse_load(text: &str) -> Result<f64, String> {
+    text.parse()
+        .ok()
+        .filter(|load| (0.01..=4.0).contains(load))
+        .ok_or_else(|| "a number from 0.01 to 4".to_owned())
 }
 
-/// What a day came to.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// What the judge found.
+    /// Rule violations and counts found in the records.
     pub report: Report,
-    /// Processes that ended otherwise than they should.
-    pub wrong: Vec<String>,
-    /// The script that was played.
+    /// Processes that exited unexpectedly or failed to stop.
+    pub process_failures: Vec<String>,
+    /// The script that was run.
     pub script: Script,
-    /// How late a short sleep of this process ended at the worst: the machine's own want of CPU.
-    pub starved: Duration,
-    /// What it was worth.
+    /// Longest overrun of a short sleep in this process, which indicates CPU starvation of the machine.
+    pub max_oversleep: Duration,
+    /// Worth that the calls earned.
     pub account: Account,
-    /// Work asked for without bursts and repeats, as a share of what the runners can do.
+    /// Requested work without bursts and retries, as a share of the runners' capacity.
     pub load: f64,
 }
 
-fn script(args: &Args, world: &World) -> Result<Script, Stop> {
+fn select_script(args: &Args, world: &World) -> Result<Script, Stop> {
     if let Some(path) = &args.script {
         let shown = path.display();
         let text = std::fs::read(path).map_err(|e| Stop::usage(format!("cannot read {shown}: {e}")))?;
@@ -105,18 +108,18 @@
     if let Some(unknown) = kinds.iter().find(|k| !KINDS.contains(k) && !WORST.contains(k)) {
         return Err(Stop::usage(format!("unknown kind {unknown}; known are {}", KINDS.join(", "))));
     }
-    Ok(Script::of(world, &kinds))
+    Ok(Script::with_kinds(world, &kinds))
 }
 
-/// All records of a folder.
-fn records(folder: &Path) -> Result<Vec<Line>, Stop> {
+/// Reads all records of a folder.
+fn read_records(folder: &Path) -> Result<Vec<Line>, Stop> {
     let failed = |e: std::io::Error| Stop::failed(format!("cannot read the records: {e}"));
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(failed)? {
         let path = entry.map_err(failed)?.path();
         if path.extension().is_some_and(|e| e == "jsonl") {
             let mut text = std::fs::read_to_string(&path).map_err(failed)?;
-            // A writer that was killed may have left half a line.
+            // A killed writer may have left an incomplete last line.
             text.truncate(text.rfind('\n').map_or(0, |at| at + 1));
             lines.extend(read(&text).map_err(|e| Stop::failed(format!("{}: {e}", path.display())))?);
         }
@@ -124,17 +127,18 @@
     Ok(lines)
 }
 
-/// Plays a day in a folder.
+/// Runs a day; settings, logs and records go to `folder`.
 pub fn play(args: &Args, folder: &Path) -> Result<Outcome, Stop> {
-    let dials =
-        Dials { severity: args.severity, load: args.load, fronts: args.fronts, runners: args.runners };
-    let mut world = World::dialled(args.seed, args.seconds, dials);
+    let overrides =
+        Overrides { severity: args.severity, load: args.load, fronts: args.fronts, runners: args.runners };
+    let mut world = World::with_overrides(args.seed, args.seconds, overrides);
     (world.fenced, world.reckless) = (args.fenced, args.reckless);
-    // What is kept is there to be followed: `badgerwind trace` reads attempts at this level.
+    // `badgerwind trace` needs the attempts, which are logged at debug level, so kept logs include them.
     world.level = if args.keep.is_some() { "debug" } else { "info" };
-    let script = script(args, &world)?;
+    let script = select_script(args, &world)?;
     if script.events.iter().any(|e| e.act == script::Act::Publish) {
-        // The fleet gives it its address. One front end more, so that a wave has more than two parts.
+        // The fleet replaces port 0 with the control service's address. A fourth front end makes a wave have more
+        // than two parts.
         world.fronts = 4;
         world.control = Some(std::net::SocketAddr::from(([127, 0, 0, 1], 0)));
     }
@@ -153,48 +157,48 @@
     }
     let began = Instant::now();
     let mut events = script.events.iter().peekable();
-    let (mut wrong, mut starved) = (Vec::new(), Duration::ZERO);
-    // Every try ends within its patience; retries and their waits add a few times that.
+    let (mut process_failures, mut max_oversleep) = (Vec::new(), Duration::ZERO);
+    // Every try ends within the sender's timeout; retries and their waits add a few times that.
     let last = Duration::from_secs(args.seconds + 30);
     while !fleet.senders_done() {
         let at = began.elapsed();
         while let Some(event) = events.next_if(|e| Duration::from_millis(e.at_ms) <= at) {
-            fleet.act(&event.act)?;
+            fleet.execute(&event.act)?;
         }
-        fleet.pass();
+        fleet.send_due_updates();
         if at > last {
-            wrong.push("the senders have not ended".to_owned());
+            process_failures.push("the senders have not ended".to_owned());
             break;
         }
         let before = Instant::now();
-        sleep(PAUSE);
-        starved = starved.max(before.elapsed().saturating_sub(PAUSE));
+        sleep(POLL_INTERVAL);
+        max_oversleep = max_oversleep.max(before.elapsed().saturating_sub(POLL_INTERVAL));
     }
-    wrong.extend(fleet.fallen());
-    wrong.extend(fleet.stop_fronts());
+    process_failures.extend(fleet.unexpected_exits());
+    process_failures.extend(fleet.stop_fronts());
     drop(fleet);
-    let records = records(folder)?;
+    let records = read_records(folder)?;
     let (report, account) = (judge(&facts, &records), account(&facts, &records));
-    Ok(Outcome { report, account, starved, wrong, script, load: world.load() })
+    Ok(Outcome { report, account, max_oversleep, process_failures, script, load: world.load() })
 }
 
-/// Between two looks at what is due.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Interval between checks for due events.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A sleep that ends later than this shows a machine out of CPU: more than senders keep of their patience for an
-/// answer's way back.
-const STARVED: Duration = Duration::from_millis(120);
+/// A longer oversleep means that the machine is short of CPU: it exceeds the part of the timeout that senders reserve
+/// for the transfer of an answer.
+const OVERSLEEP_LIMIT: Duration = Duration::from_millis(120);
 
-/// Rules that compare times of two processes, and say nothing where the machine ran neither.
-fn by_time(rule: Rule) -> bool {
+/// Rules that compare timestamps of two processes; their results mean nothing when the machine ran neither of them.
+fn is_timing_rule(rule: Rule) -> bool {
     matches!(rule, Rule::Answer | Rule::Drain)
 }
 
-/// Service is back where it is at this share of what it was before the first trouble.
-const BACK: f64 = 0.95;
+/// Service counts as recovered at this share of its level before the first fault.
+const RECOVERED_SHARE: f64 = 0.95;
 
-/// The seconds in which a script's troubles begin and end.
-fn troubled(script: &Script) -> Option<(usize, usize)> {
+/// The seconds in which the first fault of a script begins and the last one ends.
+fn fault_period(script: &Script) -> Option<(usize, usize)> {
     let events = script.events.iter().map(|e| (e.at_ms, e.at_ms));
     let phases = script.phases.iter().map(|p| (p.from / 1000, p.to / 1000));
     let all: Vec<(u64, u64)> = events.chain(phases).collect();
@@ -202,28 +206,33 @@
     Some(((from / 1000) as usize, to.div_ceil(1000) as usize))
 }
 
-/// Plays a day, prints what it came to, and ends with 1 where a rule was broken; with 75 where only rules of time were
-/// and the machine had no CPU to keep them.
+/// Runs a day and prints its results. The exit code is 1 if a rule was violated, or 75 if only timing rules were and
+/// the machine was too short of CPU to keep them.
 pub fn run(args: &Args) -> Result<(), Stop> {
     if args.budgets {
         let (seed, seconds, fronts, shrink) = (args.seed, args.seconds, args.fronts, args.shrink);
         let (schedule, keep) = (args.schedule.as_deref(), args.keep.as_deref());
         return crate::budgets::run(&crate::budgets::Day { seed, seconds, fronts, schedule, keep, shrink });
     }
-    let made;
+    let temporary;
     let folder = match &args.keep {
         Some(folder) => {
             std::fs::create_dir(folder).map_err(|e| Stop::usage(format!("{}: {e}", folder.display())))?;
             folder.as_path()
         }
         None => {
-            made = tempfile::tempdir().map_err(|e| Stop::failed(format!("no temporary folder: {e}")))?;
-            made.path()
+            temporary = tempfile::tempdir().map_err(|e| Stop::failed(format!("no temporary folder: {e}")))?;
+            temporary.path()
         }
     };
-    let Outcome { report, account, starved, wrong, script, load } = play(args, folder)?;
-    let hard = format!("{:?}", args.severity).to_lowercase();
-    println!("seed {}, {} s, {hard}, load {load:.2}, {}", args.seed, args.seconds, script.kinds.join("+"));
+    let Outcome { report, account, max_oversleep, process_failures, script, load } = play(args, folder)?;
+    let severity = format!("{:?}", args.severity).to_lowercase();
+    println!(
+        "seed {}, {} s, {severity}, load {load:.2}, {}",
+        args.seed,
+        args.seconds,
+        script.kinds.join("+")
+    );
     println!(
         "{:<16} {:>7} {:>8} {:>6} {:>8} {:>7} {:>10}",
         "class", "calls", "served", "late", "refused", "failed", "unreached"
@@ -253,19 +262,19 @@
         .map(|(name, w)| format!("{name} {:.3}", share(w)))
         .collect();
     println!("  {}", parts.join(", "));
-    let troubled = troubled(&script);
-    let back = troubled.and_then(|(from, to)| recovery(&account, from, to, BACK));
-    if let (Some((_, to)), Some(back)) = (troubled, back) {
-        println!("  back at {BACK} of before {back} s after the last trouble, which ended at {to} s");
+    let fault_period = fault_period(&script);
+    let recovery_seconds = fault_period.and_then(|(from, to)| recovery(&account, from, to, RECOVERED_SHARE));
+    if let (Some((_, to)), Some(recovery_seconds)) = (fault_period, recovery_seconds) {
+        println!("  back at {RECOVERED_SHARE} of before {recovery_seconds} s after the last trouble, which ended at {to} s");
     }
     for (rule, near) in &report.near {
-        let told = match near.is_exercised() {
+        let limit_use = match near.is_exercised() {
             true => format!("{:.2} of its limit", near.closest),
             false => format!("not exercised ({:.2} of its limit)", near.closest),
         };
-        println!("{:<28} {:>7} events, {told}", rule.name(), near.events);
+        println!("{:<28} {:>7} events, {limit_use}", rule.name(), near.events);
     }
-    for text in &wrong {
+    for text in &process_failures {
         println!("WRONG: {text}");
     }
     for b in report.broken.iter().take(20) {
@@ -281,31 +290,34 @@
             .classes
             .iter()
             .map(|(name, s)| {
-                let figures = json!({"calls": s.calls, "served": s.served, "late": s.late, "refused": s.refused,
+                let counts = json!({"calls": s.calls, "served": s.served, "late": s.late, "refused": s.refused,
                     "failed": s.failed, "unreached": s.unreached});
-                (name.clone(), figures)
+                (name.clone(), counts)
             })
             .collect();
         let text = json!({"seed": args.seed, "seconds": args.seconds, "script": script, "classes": classes,
             "near": report.near.iter().map(|(r, n)| (r.name(), json!({"events": n.events, "closest": n.closest, "exercised": n.is_exercised()}))).map(|(n, v)| (n.to_owned(), v)).collect::<serde_json::Map<_, _>>(),
-            "severity": args.severity, "load": load, "starved_ms": starved.as_millis() as u64,
+            "severity": args.severity, "load": load, "starved_ms": max_oversleep.as_millis() as u64,
             "worth": {"asked": account.all.asked, "earned": account.all.earned, "bound": account.bound,
-                "wasted": account.wasted, "extra": account.extra, "recovered_s": back,
+                "wasted": account.wasted, "extra": account.extra, "recovered_s": recovery_seconds,
                 "seconds": account.seconds.iter().map(|s| [s.asked, s.earned]).collect::<Vec<_>>(),
-                "tenants": account.tenants.iter().map(|(n, w)| (n.clone(), json!(w.share()))).collect::<serde_json::Map<_, _>>()}, "attempts": report.attempts, "orders": report.orders, "broken": broken, "wrong": wrong});
+                "tenants": account.tenants.iter().map(|(n, w)| (n.clone(), json!(w.share()))).collect::<serde_json::Map<_, _>>()}, "attempts": report.attempts, "orders": report.orders, "broken": broken, "wrong": process_failures});
         crate::write_whole(path, &format!("{text:#}\n"))?;
     }
-    if report.broken.is_empty() && wrong.is_empty() {
+    if report.broken.is_empty() && process_failures.is_empty() {
         println!("rules: kept");
         return Ok(());
     }
-    if starved > STARVED && wrong.is_empty() && report.broken.iter().all(|b| by_time(b.rule)) {
+    if max_oversleep > OVERSLEEP_LIMIT
+        && process_failures.is_empty()
+        && report.broken.iter().all(|b| is_timing_rule(b.rule))
+    {
         println!(
             "rules: NOT JUDGED, the machine was out of CPU: a short sleep ended {} ms late",
-            starved.as_millis()
+            max_oversleep.as_millis()
         );
         return Err(Stop { text: String::new(), code: 75 });
     }
-    println!("rules: BROKEN {}", report.broken.len() + wrong.len());
+    println!("rules: BROKEN {}", report.broken.len() + process_failures.len());
     Err(Stop { text: String::new(), code: 1 })
 }
--- a/crates/badgerwind-cli/src/day/world.rs
+++ b/crates/badgerwind-cli/src/day/world.rs
@@ -1,4 +1,5 @@
-//! A small fleet drawn from a seed: what it is made of, and the same told to each side: settings, specs, facts.
+//! A small fleet drawn from a seed. Its description yields the front ends' settings, the stand-ins' specs and the
+//! checker's facts.
 
 use badgerwind_check::{ClassFacts, Effect, Facts, Group, Loads, RunnerFacts};
 use badgerwind_standins::model::Spec;
@@ -10,7 +11,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// How hard a day is.
+/// How heavy the load and the faults of a day are.
 #[derive(
     Clone,
     Copy,
@@ -26,124 +27,132 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Severity {
-    /// A fifth of what the runners can do, one or two of them in trouble.
+    /// Load of a fifth of the runners' capacity; one or two runners with faults.
     #[default]
     Calm,
-    /// About half of it, and memory that just holds what is popular.
+    /// Load of about half the capacity, and memory for the popular functions only.
     Rough,
-    /// At capacity, with a third of the runners in trouble, overlapping; memory too small, rations and quotas that bite,
-    /// senders that repeat at once and unmarked, short patience.
+    /// Load at capacity, overlapping faults on a third of the runners, too little memory, rations and quotas that are
+    /// reached, senders with short timeouts that retry at once and do not mark their retries.
     Hard,
-    /// Beyond it: also a store that refuses, nearly all front ends restarted, all runners drained, lists far behind.
+    /// Load beyond capacity; also a store that rejects fetches, restarts of nearly all front ends, drains of all runners
+    /// and lists that are far behind.
     Brutal,
 }
 
-/// What differs from what a seed and a severity draw.
+/// Values that replace those drawn from the seed and the severity.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Dials {
-    /// How hard.
+pub struct Overrides {
+    /// Severity from which the other values are drawn.
     pub severity: Severity,
-    /// Work asked for, as a multiple of what all runners can do when warm and well.
+    /// Requested work, as a multiple of the capacity of all runners when warm and healthy.
     pub load: Option<f64>,
-    /// Front ends.
+    /// Number of front ends.
     pub fronts: Option<u32>,
-    /// Runners.
+    /// Number of runners.
     pub runners: Option<u32>,
 }
 
-/// A class of the world.
+/// A class of calls.
 #[derive(Clone, Debug)]
 pub struct WorldClass {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// Its functions begin with this.
-    pub functions: &'static str,
-    /// How many.
+    /// Prefix of the names of its functions.
+    pub function_prefix: &'static str,
+    /// Number of its functions.
     pub count: u32,
-    /// Its share of calls.
+    /// Share of all calls.
     pub share: f64,
-    /// Mean work in microseconds.
+    /// Mean work of a call, in microseconds.
     pub mean_us: f64,
-    /// Wanted within, in milliseconds.
+    /// Latency target, in milliseconds.
     pub aim_ms: u64,
-    /// Given up after.
+    /// Time after which senders give up, in milliseconds.
     pub deadline_ms: u64,
-    /// It may run twice.
+    /// Whether a call may run twice.
     pub repeatable: bool,
-    /// Worth.
+    /// Worth of an answer in time.
     pub worth: f64,
-    /// Memory of a copy.
+    /// Memory of a copy, in megabytes.
     pub memory_mb: f64,
-    /// Lanes of a copy.
+    /// Number of lanes of a copy.
     pub lanes: u32,
 }
 
-/// A fleet.
+/// Description of a fleet and its traffic.
 #[derive(Clone, Debug)]
 pub struct World {
-    /// Its seed.
+    /// Seed from which it was drawn.
     pub seed: u64,
-    /// How long calls come.
+    /// Duration of the traffic, in seconds.
     pub seconds: u64,
-    /// Front ends.
+    /// Number of front ends.
     pub fronts: u32,
-    /// Runners, by their place; ids begin at 1.
+    /// Specs of the runners; ids are positions counted from 1.
     pub runners: Vec<Spec>,
-    /// Runners load what they lack while a call waits.
+    /// Whether runners load an absent function while the call waits.
     pub loads_when_absent: bool,
-    /// Loads are rationed.
+    /// Whether load orders are limited.
     pub rationed: bool,
-    /// Calls a second, all tenants together.
+    /// Calls per second of all tenants.
     pub rate: f64,
-    /// The classes.
+    /// Classes of calls.
     pub classes: Vec<WorldClass>,
-    /// The handler store.
+    /// Spec of the handler store.
     pub store: store::Spec,
-    /// Tenants and their parts of the rate.
+    /// Tenants and their shares of the rate.
     pub tenants: Vec<(&'static str, f64)>,
-    /// Senders mark repeats.
-    pub marks: bool,
-    /// Runners fence lodgements, and senders try them again whatever became of the try before.
+    /// Whether senders mark their retries.
+    pub mark_retries: bool,
+    /// Runners fence lodgements, and senders retry them whatever the outcome of the previous try.
     pub fenced: bool,
-    /// Senders try lodgements again without a fence: what must be found.
+    /// Senders retry lodgements without a fence, which the checks must detect.
     pub reckless: bool,
-    /// Front ends follow a control service there.
+    /// Address of the control service that front ends follow, if any.
     pub control: Option<SocketAddr>,
-    /// Front ends hand events over at most this often, in microseconds.
+    /// Round of the front ends: shortest interval between two batches of events, in microseconds.
     pub round_us: u64,
-    /// Attributes of the budgets for failed signatures, behind a balancer on loopback; `None`: as they are by
-    /// themselves, without one.
+    /// Attributes of the `guard` element, the limits on failed signatures, with a load balancer on loopback. `None`
+    /// leaves the defaults, without a load balancer.
     pub guard: Option<String>,
-    /// What front ends log.
+    /// Log level of the front ends.
     pub level: &'static str,
-    /// How hard the day is.
+    /// Severity of the day.
     pub severity: Severity,
-    /// The limit on load orders, where there is one.
+    /// The limit on load orders, which applies if `rationed` is set.
     pub loads: Loads,
-    /// Quotas, as multiples of each tenant's part of the rate.
+    /// Quotas, as multiples of each tenant's share of the rate.
     pub quotas: Vec<f64>,
-    /// Senders' wait before they try again, in milliseconds.
-    pub wait_ms: u64,
-    /// Tries after the first.
+    /// Senders' wait before a retry, in milliseconds.
+    pub retry_wait_ms: u64,
+    /// Maximum number of retries of a call.
     pub retries: u32,
 }
 
-/// Figures that hold for every world.
+/// How long runners keep an idle copy, in milliseconds, as the settings state it; the runners add half a second.
 const KEEP_ALIVE_MS: u64 = 6_000;
+/// How long after the announcement of a drain calls may still be sent to the runner, in milliseconds.
 const DRAIN_GRACE_MS: u64 = 500;
+/// Speed of a cold runner, as a share of its full speed.
 const COLD_FROM: f64 = 0.2;
+/// Time in which a cold runner reaches its full speed, in milliseconds.
 const COLD_SPAN_MS: u64 = 5_000;
+/// A cold runner falls over when sent more than this multiple of its present capacity.
 const FALL_MULTIPLE: f64 = 2.5;
+/// Window over which `FALL_MULTIPLE` is measured, in milliseconds.
 const FALL_WINDOW_MS: u64 = 1_500;
+/// Limit on load orders, up to [`Severity::Rough`].
 const LOADS: Loads = Loads { window: 10_000_000, free: 8.0, share: 0.15 };
-/// What a message may take between two writers on a busy machine.
+/// Longest transfer of a message between two recording processes on a busy machine, in microseconds.
 const TRANSIT_US: u64 = 60_000;
 /// Share of its worth that a late answer earns.
 const LATE_WORTH: f64 = 0.2;
+/// Memory of a runner on days without memory pressure, in megabytes.
 const MEMORY_MB: f64 = 8_000.0;
 
 impl World {
-    /// Draws a world; the same for the same seed.
+    /// Draws a world. The same seed yields the same world.
     pub fn draw(seed: u64, seconds: u64) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
         let loads_when_absent = rng.random::<bool>();
@@ -163,9 +172,9 @@
             fall_window: FALL_WINDOW_MS * 1000,
             start: rng.random_range(50_000..120_000),
         };
-        let class = |name, functions, repeatable, worth, share, rng: &mut StdRng| WorldClass {
+        let class = |name, function_prefix, repeatable, worth, share, rng: &mut StdRng| WorldClass {
             name,
-            functions,
+            function_prefix,
             count: rng.random_range(3..7),
             share,
             mean_us: rng.random_range(15_000.0..35_000.0),
@@ -191,7 +200,7 @@
             ],
             store: store::Spec { fetch: rng.random_range(80_000..200_000), wide: 6.0, most: 24 },
             tenants: vec![("brolga-shire", 0.67), ("tallow-creek", 0.33)],
-            marks: rng.random::<bool>(),
+            mark_retries: rng.random::<bool>(),
             fenced: false,
             reckless: false,
             control: None,
@@ -201,12 +210,12 @@
             severity: Severity::Calm,
             loads: LOADS,
             quotas: vec![1.5, 1.5],
-            wait_ms: 150,
+            retry_wait_ms: 150,
             retries: 2,
         }
     }
 
-    /// What all runners can do when warm and well, in cores of speed 1.
+    /// Capacity of all runners when warm and healthy, in cores of speed 1.
     pub fn capacity(&self) -> f64 {
         self.runners.iter().map(|r| r.cores * r.speed).sum()
     }
@@ -217,56 +226,57 @@
         self.classes.iter().map(|c| c.share * c.mean_us).sum::<f64>() / shares
     }
 
-    /// Work asked for, as a share of the capacity.
+    /// Requested work, as a share of the capacity.
     pub fn load(&self) -> f64 {
         self.rate * self.mean_work() / 1e6 / self.capacity()
     }
 
-    /// Draws a world and turns its dials. A calm one with none turned is [`World::draw`]'s own.
-    pub fn dialled(seed: u64, seconds: u64, dials: Dials) -> World {
-        let mut w = World::draw(seed, seconds);
+    /// Draws a world and applies a severity and overrides. A calm one without overrides equals that of [`World::draw`].
+    pub fn with_overrides(seed: u64, seconds: u64, overrides: Overrides) -> World {
+        let mut world = World::draw(seed, seconds);
         let mut rng = StdRng::seed_from_u64(seed ^ 0x6469_616c);
-        w.severity = dials.severity;
-        if let Some(n) = dials.runners {
+        world.severity = overrides.severity;
+        if let Some(n) = overrides.runners {
             let mut n = n as usize;
-            while w.runners.len() < n {
-                let like = w.runners[rng.random_range(0..w.runners.len())].clone();
-                w.runners.push(Spec { speed: rng.random_range(0.7..1.1), ..like });
+            while world.runners.len() < n {
+                let like = world.runners[rng.random_range(0..world.runners.len())].clone();
+                world.runners.push(Spec { speed: rng.random_range(0.7..1.1), ..like });
             }
             n = n.max(2);
-            w.runners.truncate(n);
+            world.runners.truncate(n);
         }
-        w.fronts = dials.fronts.unwrap_or(w.fronts);
-        // Copies of all functions, as a share of all memory: what is held too much pushes the rest out.
-        let (load, crowding) = match dials.severity {
+        world.fronts = overrides.fronts.unwrap_or(world.fronts);
+        // `memory_use` is the memory of three copies of every function as a share of all runners' memory. Above 1,
+        // copies displace each other.
+        let (load, memory_use) = match overrides.severity {
             Severity::Calm => (None, None),
             Severity::Rough => (Some(rng.random_range(0.4..0.7)), Some(0.6)),
             Severity::Hard => (Some(rng.random_range(0.9..1.5)), Some(1.2)),
             Severity::Brutal => (Some(rng.random_range(1.2..2.0)), Some(1.6)),
         };
-        if w.severity >= Severity::Hard {
-            w.loads = Loads { free: 3.0, share: 0.05, ..LOADS };
-            // One tenant is over its share all day.
-            w.quotas = vec![1.5, 0.5];
-            (w.wait_ms, w.marks, w.retries) = (20, false, 3);
-            for c in &mut w.classes {
+        if world.severity >= Severity::Hard {
+            world.loads = Loads { free: 3.0, share: 0.05, ..LOADS };
+            // The second tenant exceeds its quota all day.
+            world.quotas = vec![1.5, 0.5];
+            (world.retry_wait_ms, world.mark_retries, world.retries) = (20, false, 3);
+            for c in &mut world.classes {
                 (c.aim_ms, c.deadline_ms) = (400, rng.random_range(900..1_500));
             }
         }
-        if w.severity == Severity::Brutal {
-            w.store = store::Spec { most: 4, wide: 2.0, ..w.store };
+        if world.severity == Severity::Brutal {
+            world.store = store::Spec { most: 4, wide: 2.0, ..world.store };
         }
-        if let Some(crowding) = crowding {
-            let one = w.classes.iter().map(|c| f64::from(c.count) * c.memory_mb).sum::<f64>();
-            // Never so small that the largest copy fits no runner twice.
-            let largest = w.classes.iter().map(|c| c.memory_mb).fold(0.0, f64::max);
-            let each = (one * 3.0 / crowding / w.runners.len() as f64).max(2.0 * largest);
-            w.runners.iter_mut().for_each(|r| r.memory_mb = each.min(MEMORY_MB));
+        if let Some(memory_use) = memory_use {
+            let single_copies = world.classes.iter().map(|c| f64::from(c.count) * c.memory_mb).sum::<f64>();
+            // Two copies of the largest function must fit into a runner.
+            let largest = world.classes.iter().map(|c| c.memory_mb).fold(0.0, f64::max);
+            let each = (single_copies * 3.0 / memory_use / world.runners.len() as f64).max(2.0 * largest);
+            world.runners.iter_mut().for_each(|r| r.memory_mb = each.min(MEMORY_MB));
         }
-        if let Some(load) = dials.load.or(load) {
-            w.rate = load * w.capacity() * 1e6 / w.mean_work();
+        if let Some(load) = overrides.load.or(load) {
+            world.rate = load * world.capacity() * 1e6 / world.mean_work();
         }
-        w
+        world
     }
 
     /// Ids of the runners.
@@ -274,7 +284,7 @@
         1..=self.runners.len() as u32
     }
 
-    /// The settings of one front end; `keys` is the folder with the key files.
+    /// The settings of one front end. `keys` is the folder with the key files.
     pub fn settings(
         &self,
         number: u32,
@@ -310,7 +320,7 @@
         ));
         line("  <prices idle=\"0.05\" fetch=\"0.1\" over-share-worth=\"0.05\"/>".into());
         line("  <allow max-attempts=\"4\" retry-after=\"2s\"/>".into());
-        self.classes_part(0).into_iter().for_each(&mut line);
+        self.class_lines(0).into_iter().for_each(&mut line);
         line(format!("  <webhook listen=\"{listen}\">"));
         for (tenant, _) in &self.tenants {
             line(format!("    <sender name=\"{tenant}-portal\" tenant=\"{tenant}\">"));
@@ -346,9 +356,9 @@
         x
     }
 
-    /// Classes, tenants and functions, line by line. Versions differ in the tenants' quotas alone, which a router is
-    /// told at its start.
-    fn classes_part(&self, version: u64) -> Vec<String> {
+    /// Classes, tenants and functions, line by line. Versions differ only in the tenants' quotas, which a router receives
+    /// at its start.
+    fn class_lines(&self, version: u64) -> Vec<String> {
         let mut lines = Vec::new();
         for c in &self.classes {
             let effect = if c.repeatable { "repeatable" } else { "once" };
@@ -367,7 +377,7 @@
             for n in 0..c.count {
                 lines.push(format!(
                     "  <function name=\"{}{n}\" memory-mb=\"{:.1}\" lanes=\"{}\" load-time=\"{}us\"/>",
-                    c.functions,
+                    c.function_prefix,
                     c.memory_mb,
                     c.lanes,
                     self.store.fetch + 80_000
@@ -377,20 +387,20 @@
         lines
     }
 
-    /// A version of the part of kind classes; every third cannot be.
+    /// A version of the configuration part `classes`. Every third version is invalid.
     pub fn classes_version(&self, version: u64) -> String {
-        let lines = self.classes_part(version).join("\n");
+        let lines = self.class_lines(version).join("\n");
         let text = format!("<badgerwind version=\"1\">\n{lines}\n</badgerwind>\n");
         if version % 3 == 0 {
-            // Too short to answer in, whatever the day's own is.
-            let own = format!("deadline=\"{}ms\"", self.classes[0].deadline_ms);
-            text.replace(&own, "deadline=\"20ms\"")
+            // This deadline is too short for any answer and is rejected, whatever deadline the day has.
+            let deadline = format!("deadline=\"{}ms\"", self.classes[0].deadline_ms);
+            text.replace(&deadline, "deadline=\"20ms\"")
         } else {
             text
         }
     }
 
-    /// What the judge is told.
+    /// The facts on the fleet that the checker needs.
     pub fn facts(&self) -> Facts {
         let class = |c: &WorldClass| {
             let effect = if c.repeatable { Effect::Repeatable } else { Effect::Once };
@@ -425,7 +435,7 @@
         }
     }
 
-    /// The senders of each tenant; phases fall on all of them.
+    /// The plans of the senders, one per tenant; the phases apply to all of them.
     pub fn plans(&self, fronts: &[SocketAddr], phases: &[Phase]) -> Vec<Plan> {
         let plan = |(n, (tenant, part)): (usize, &(&'static str, f64))| Plan {
             fronts: fronts.to_vec(),
@@ -440,7 +450,7 @@
                 .map(|c| Class {
                     name: c.name.to_owned(),
                     path: format!("/{tenant}/{}/", c.name),
-                    functions: c.functions.to_owned(),
+                    functions: c.function_prefix.to_owned(),
                     count: c.count,
                     share: c.share,
                     mean_us: c.mean_us,
@@ -450,8 +460,8 @@
                 .collect(),
             zipf: 1.2,
             retries: self.retries,
-            wait_ms: self.wait_ms,
-            marks: self.marks,
+            wait_ms: self.retry_wait_ms,
+            marks: self.mark_retries,
             phases: phases.to_vec(),
         };
         self.tenants.iter().enumerate().map(plan).collect()
--- a/crates/badgerwind-cli/tests/days.rs
+++ b/crates/badgerwind-cli/tests/days.rs
@@ -1,11 +1,11 @@
 //! Days as they are drawn: what a severity means, and that a seed always means the same.
 
 use badgerwind_cli::day::script::{Act, Script, KINDS, WORST};
-use badgerwind_cli::day::world::{Dials, Severity, World};
+use badgerwind_cli::day::world::{Overrides, Severity, World};
 use std::collections::BTreeSet;
 
 fn drawn(seed: u64, severity: Severity) -> (World, Script) {
-    let world = World::dialled(seed, 30, Dials { severity, ..Dials::default() });
+    let world = World::with_overrides(seed, 30, Overrides { severity, ..Overrides::default() });
     let script = Script::draw(&world);
     (world, script)
 }
@@ -30,8 +30,9 @@
     assert!(loads[0] < 0.35 && (0.4..0.7).contains(&loads[1]), "{loads:?}");
     assert!((0.9..1.5).contains(&loads[2]) && (1.2..2.0).contains(&loads[3]), "{loads:?}");
     for load in [0.3, 1.0, 4.0] {
-        let dials = Dials { load: Some(load), runners: Some(12), fronts: Some(5), ..Dials::default() };
-        let world = World::dialled(7, 30, dials);
+        let overrides =
+            Overrides { load: Some(load), runners: Some(12), fronts: Some(5), ..Overrides::default() };
+        let world = World::with_overrides(7, 30, overrides);
         assert!((world.load() - load).abs() < 1e-9);
         assert_eq!((world.runners.len(), world.fronts), (12, 5));
     }
