--- a/crates/badgerwind-cli/src/budgets/day.rs
+++ b/crates/badgerwind-cli/src/budgets/day.rs
@@ -1,4 +1,5 @@
-//! A bad day of a fleet's budgets: members as processes, a network of relays, a schedule, and the sums from the records.
+//! `bad-day --budgets`: runs members as processes over a network of relays, applies a schedule of faults, and checks the
+//! totals in the members' records.
 
 use super::net::Net;
 use super::schedule::{Act, Schedule};
@@ -16,32 +17,36 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Times of a trial, in microseconds: short, so that a day of seconds sees many leases.
-const VOTE: u64 = 300_000;
-const LEASE: u64 = 1_000_000;
-const BEAT: u64 = 100_000;
-const REST: u64 = 150_000;
-/// How far lines of two processes may be apart in time: they read one clock of one machine.
-const FAIR: u64 = 1_000;
+/// Validity of a vote, in microseconds. This and the other times are short, so that a day of seconds covers many leases.
+const VOTE_TIME: u64 = 300_000;
+/// Validity of a lease, in microseconds.
+const LEASE_TIME: u64 = 1_000_000;
+/// Interval of a member's requests, in microseconds.
+const REQUEST_INTERVAL: u64 = 100_000;
+/// Cooldown of a spent unit, in microseconds.
+const COOLDOWN: u64 = 150_000;
+/// Tolerance between timestamps of two processes, in microseconds; small, as all read the clock of one machine.
+const CLOCK_TOLERANCE: u64 = 1_000;
 
-/// What a day came to.
+/// Result of a run.
 #[derive(Debug)]
-pub struct Played {
-    /// From the records.
-    pub sums: Sums,
-    /// Members that ended by themselves, or did not start.
-    pub wrong: Vec<String>,
-    /// Datagrams and bytes a second between all members.
-    pub carried: (f64, f64),
+pub struct RunResult {
+    /// Totals and violations found in the records.
+    pub report: Sums,
+    /// Members that exited unexpectedly or did not start.
+    pub process_failures: Vec<String>,
+    /// Datagrams and bytes per second between all members.
+    pub traffic: (f64, f64),
 }
 
+/// A child process that is killed when its handle is dropped.
 struct Process(Child);
 
 impl Process {
     fn signal(&self, name: &str) -> Result<(), Stop> {
-        // The standard library has only SIGKILL.
-        let done = Command::new("kill").args([name, &self.0.id().to_string()]).status();
-        match done {
+        // The standard library can only send SIGKILL.
+        let result = Command::new("kill").args([name, &self.0.id().to_string()]).status();
+        match result {
             Ok(status) if status.success() => Ok(()),
             other => Err(Stop::failed(format!("cannot send {name}: {other:?}"))),
         }
@@ -50,65 +55,68 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = (self.0.kill(), self.0.wait()); // already gone is as good
+        let _ = (self.0.kill(), self.0.wait()); // may already have exited
     }
 }
 
+/// The running members.
 struct Fleet<'a> {
     program: &'a Path,
     folder: &'a Path,
     net: &'a Net,
-    fast: Vec<i64>,
+    /// Millionths by which each member's clock runs fast.
+    clock_skews: Vec<i64>,
     processes: Vec<Option<Process>>,
-    /// Where each writes what it has to say.
+    /// Current log file of each member.
     logs: Vec<PathBuf>,
     starts: u32,
-    wrong: Vec<String>,
+    process_failures: Vec<String>,
 }
 
 impl Fleet<'_> {
     fn start(&mut self, n: u16) -> Result<(), Stop> {
-        let at = usize::from(n);
-        if self.processes[at].is_some() {
+        let index = usize::from(n);
+        if self.processes[index].is_some() {
             return Ok(());
         }
         self.starts += 1;
         let file = |name: String| self.folder.join(name);
-        self.logs[at] = file(format!("member-{n}-{}.log", self.starts));
-        let log = File::create(&self.logs[at]);
+        self.logs[index] = file(format!("member-{n}-{}.log", self.starts));
+        let log = File::create(&self.logs[index]);
         let log = log.map_err(|e| Stop::failed(format!("cannot write a log: {e}")))?;
         let child = Command::new(self.program)
             .arg("fleet-member")
-            .args(["--number", &n.to_string(), "--listen", &self.net.listen[at].to_string()])
+            .args(["--number", &n.to_string(), "--listen", &self.net.listen[index].to_string()])
             .arg("--trial")
             .arg(file("trial.json".into()))
             .arg("--key")
             .arg(file("key".into()))
             .arg("--record")
             .arg(file(format!("member-{n}-{}.jsonl", self.starts)))
-            .args(["--clock-fast", &self.fast[at].to_string()])
+            .args(["--clock-fast", &self.clock_skews[index].to_string()])
             .stdin(Stdio::null())
             .stderr(log)
             .spawn();
         let child = child.map_err(|e| Stop::failed(format!("cannot start a member: {e}")))?;
-        self.processes[at] = Some(Process(child));
+        self.processes[index] = Some(Process(child));
         Ok(())
     }
 
-    /// Those that ended though nobody killed them.
-    fn look(&mut self) {
-        for (n, p) in self.processes.iter_mut().enumerate() {
-            if let Some(status) = p.as_mut().and_then(|p| p.0.try_wait().ok().flatten()) {
-                let said = std::fs::read_to_string(&self.logs[n]).unwrap_or_default();
-                let last = said.lines().last().unwrap_or("it said nothing");
-                self.wrong.push(format!("member {n} ended by itself: {status}: {last}"));
-                *p = None;
+    /// Records members that have exited without being killed by the schedule.
+    fn check_exits(&mut self) {
+        for (n, process) in self.processes.iter_mut().enumerate() {
+            if let Some(status) = process.as_mut().and_then(|p| p.0.try_wait().ok().flatten()) {
+                let log = std::fs::read_to_string(&self.logs[n]).unwrap_or_default();
+                let last = log.lines().last().unwrap_or("its log is empty");
+                self.process_failures.push(format!("member {n} exited unexpectedly: {status}: {last}"));
+                *process = None;
             }
         }
     }
 }
 
-fn lines(folder: &Path) -> Result<Vec<Line>, Stop> {
+/// Reads all records of a folder.
+fn read_records(folder: &Path) -> Result<Vec<Line>, Stop> {
     let failed = |e: std::io::Error| Stop::failed(format!("cannot read the records: {e}"));
     let mut all = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(failed)? {
@@ -117,7 +125,7 @@
             continue;
         }
         let mut text = std::fs::read_to_string(&path).map_err(failed)?;
-        // A writer that was killed may have left half a line.
+        // A killed writer may have left an incomplete last line.
         text.truncate(text.rfind('\n').map_or(0, |at| at + 1));
         for line in text.lines() {
             let line = serde_json::from_str(line);
@@ -127,15 +135,16 @@
     Ok(all)
 }
 
-/// Plays a schedule with members of this program, and judges it. The folder keeps what they wrote.
-pub fn play(schedule: &Schedule, program: &Path, folder: &Path) -> Result<Played, Stop> {
-    let failed = |e: std::io::Error| Stop::failed(format!("no network: {e}"));
+/// Runs a schedule with members of the given program and checks their records, which stay in the folder.
+pub fn play(schedule: &Schedule, program: &Path, folder: &Path) -> Result<RunResult, Stop> {
+    let failed = |e: std::io::Error| Stop::failed(format!("cannot create the network: {e}"));
     let net = Net::start(usize::from(schedule.members), schedule.seed).map_err(failed)?;
-    net.change(|w| {
-        (w.loss, w.twice) = (schedule.loss, schedule.twice);
-        w.delay = Duration::from_millis(schedule.delay_ms);
+    net.change(|faults| {
+        (faults.loss, faults.duplication) = (schedule.loss, schedule.twice);
+        faults.max_delay = Duration::from_millis(schedule.delay_ms);
     });
-    let key = Key::generate(KeyKind::Shared).map_err(|e| Stop::failed(format!("no key: {e}")))?;
+    let key =
+        Key::generate(KeyKind::Shared).map_err(|e| Stop::failed(format!("cannot generate a key: {e}")))?;
     let path = folder.join("key");
     let file = OpenOptions::new().write(true).create_new(true).mode(0o600).open(&path);
     file.and_then(|mut f| f.write_all(key.to_text().as_bytes()))
@@ -144,116 +153,126 @@
         version: 1,
         units: schedule.units,
         floor: schedule.floor,
-        rest: REST,
-        vote: VOTE,
-        lease: LEASE,
-        beat: BEAT,
+        rest: COOLDOWN,
+        vote: VOTE_TIME,
+        lease: LEASE_TIME,
+        beat: REQUEST_INTERVAL,
         drift: schedule.drift,
         voters: (0..schedule.voters).collect(),
-        peers: (0..).zip(net.known.iter().copied()).collect(),
+        peers: (0..).zip(net.relays.iter().copied()).collect(),
         wants: (0..schedule.members).map(|n| (n, schedule.units)).collect(),
     };
-    let tell = |trial: &Trial| -> Result<(), Stop> {
+    let write_trial = |trial: &Trial| -> Result<(), Stop> {
         let text = serde_json::to_string(trial).map_err(|e| Stop::failed(e.to_string()))?;
         write_whole(&folder.join("trial.json"), &text)
     };
-    tell(&trial)?;
+    write_trial(&trial)?;
     let mut rng = StdRng::seed_from_u64(schedule.seed);
     let bound = i64::from(schedule.drift);
-    let fast = (0..schedule.members).map(|_| rng.random_range(-bound..=bound)).collect();
+    let clock_skews = (0..schedule.members).map(|_| rng.random_range(-bound..=bound)).collect();
     let processes = (0..schedule.members).map(|_| None).collect();
     let logs = vec![PathBuf::new(); usize::from(schedule.members)];
-    let mut fleet = Fleet { program, folder, net: &net, fast, processes, logs, starts: 0, wrong: Vec::new() };
+    let mut fleet = Fleet {
+        program,
+        folder,
+        net: &net,
+        clock_skews,
+        processes,
+        logs,
+        starts: 0,
+        process_failures: Vec::new(),
+    };
     (0..schedule.members).try_for_each(|n| fleet.start(n))?;
     let began = Instant::now();
     for (at, act) in &schedule.acts {
         std::thread::sleep(Duration::from_millis(*at).saturating_sub(began.elapsed()));
-        fleet.look();
-        let each = |who: &[u16], signal: &str| -> Result<(), Stop> {
+        fleet.check_exits();
+        let signal_members = |who: &[u16], signal: &str| -> Result<(), Stop> {
             let mut all = who.iter().filter_map(|n| fleet.processes[usize::from(*n)].as_ref());
             all.try_for_each(|p| p.signal(signal))
         };
         match act {
             Act::Kill { who } => who.iter().for_each(|n| fleet.processes[usize::from(*n)] = None),
             Act::Start { who } => who.iter().try_for_each(|n| fleet.start(*n))?,
-            Act::Stop { who } => each(who, "-STOP")?,
-            Act::Go { who } => each(who, "-CONT")?,
-            Act::Cut { from, to } => net.change(|w| {
-                w.cuts.extend(from.iter().flat_map(|f| to.iter().map(|t| (*f, *t))));
+            Act::Pause { who } => signal_members(who, "-STOP")?,
+            Act::Resume { who } => signal_members(who, "-CONT")?,
+            Act::Cut { from, to } => net.change(|faults| {
+                faults.cuts.extend(from.iter().flat_map(|f| to.iter().map(|t| (*f, *t))));
             }),
-            Act::Heal => net.change(|w| w.cuts.clear()),
-            Act::Whole { units } => {
+            Act::Heal => net.change(|faults| faults.cuts.clear()),
+            Act::SetUnits { units } => {
                 (trial.version, trial.units) = (trial.version + 1, *units);
-                tell(&trial)?;
+                write_trial(&trial)?;
             }
         }
     }
     std::thread::sleep(Duration::from_millis(schedule.ms).saturating_sub(began.elapsed()));
-    fleet.look();
-    let (wrong, seconds) = (std::mem::take(&mut fleet.wrong), began.elapsed().as_secs_f64());
+    fleet.check_exits();
+    let (process_failures, seconds) =
+        (std::mem::take(&mut fleet.process_failures), began.elapsed().as_secs_f64());
     drop(fleet);
-    let sums = judge(&lines(folder)?, schedule.units, REST, FAIR);
+    let report = judge(&read_records(folder)?, schedule.units, COOLDOWN, CLOCK_TOLERANCE);
     let per_second = |n: u64| n as f64 / seconds;
-    let (count, bytes) = (net.carried.0.load(Ordering::Relaxed), net.carried.1.load(Ordering::Relaxed));
-    Ok(Played { sums, wrong, carried: (per_second(count), per_second(bytes)) })
+    let (count, bytes) = (net.traffic.0.load(Ordering::Relaxed), net.traffic.1.load(Ordering::Relaxed));
+    Ok(RunResult { report, process_failures, traffic: (per_second(count), per_second(bytes)) })
 }
 
-/// A day to play.
-pub struct Day<'a> {
-    /// Draws the schedule.
+/// Options of a run.
+pub struct RunOptions<'a> {
+    /// Seed from which the schedule is drawn.
     pub seed: u64,
-    /// How long it lasts.
+    /// Duration in seconds.
     pub seconds: u64,
-    /// Members; drawn where it is left out.
+    /// Number of members; drawn from the seed if absent.
     pub fronts: Option<u32>,
-    /// Plays this schedule instead.
+    /// File of a schedule to run instead of a drawn one.
     pub schedule: Option<&'a Path>,
-    /// Keeps schedule, records, logs and a picture there.
+    /// New folder for the schedule, the records, the logs and a chart.
     pub keep: Option<&'a Path>,
-    /// Where it is broken: finds a smaller schedule that breaks as well, with so many plays at the most.
+    /// After a violation: maximum number of runs to find a smaller schedule that also fails.
     pub shrink: usize,
 }
 
-fn read(path: &Path) -> Result<Schedule, Stop> {
+fn read_schedule(path: &Path) -> Result<Schedule, Stop> {
     let shown = path.display();
     let text = std::fs::read(path).map_err(|e| Stop::usage(format!("cannot read {shown}: {e}")))?;
     let schedule: Schedule =
         serde_json::from_slice(&text).map_err(|e| Stop::usage(format!("{shown}: not a schedule: {e}")))?;
-    schedule.check().map_err(|what| Stop::usage(format!("{shown}: {what}")))?;
+    schedule.validate().map_err(|error| Stop::usage(format!("{shown}: {error}")))?;
     Ok(schedule)
 }
 
-/// `bad-day --budgets`: draws or reads a schedule, plays it, tells what it came to.
-pub fn run(day: &Day<'_>) -> Result<(), Stop> {
+/// Draws or reads a schedule, runs it and prints the results.
+pub fn run(options: &RunOptions<'_>) -> Result<(), Stop> {
     let drawn = || {
-        let members = day
+        let members = options
             .fronts
-            .map_or_else(|| StdRng::seed_from_u64(day.seed).random_range(3..=16), |n| n.max(2) as u16);
-        Schedule::draw(day.seed, members, day.seconds * 1000)
+            .map_or_else(|| StdRng::seed_from_u64(options.seed).random_range(3..=16), |n| n.max(2) as u16);
+        Schedule::draw(options.seed, members, options.seconds * 1000)
     };
-    let schedule = day.schedule.map_or_else(|| Ok(drawn()), read)?;
-    let made;
-    let folder = match day.keep {
+    let schedule = options.schedule.map_or_else(|| Ok(drawn()), read_schedule)?;
+    let temporary;
+    let folder = match options.keep {
         Some(folder) => {
             std::fs::create_dir(folder).map_err(|e| Stop::usage(format!("{}: {e}", folder.display())))?;
             folder
         }
         None => {
-            made = tempfile::tempdir().map_err(|e| Stop::failed(format!("no temporary folder: {e}")))?;
-            made.path()
+            temporary = tempfile::tempdir().map_err(|e| Stop::failed(format!("no temporary folder: {e}")))?;
+            temporary.path()
         }
     };
     let text = |s: &Schedule| serde_json::to_string_pretty(s).map_err(|e| Stop::failed(e.to_string()));
     write_whole(&folder.join("schedule.json"), &text(&schedule)?)?;
     let program =
         std::env::current_exe().map_err(|e| Stop::failed(format!("cannot find this program: {e}")))?;
-    let Played { sums, wrong, carried } = play(&schedule, &program, folder)?;
-    if day.keep.is_some() {
-        let picture = super::draw::svg(&schedule, &lines(folder)?);
-        write_whole(&folder.join("ownership.svg"), &picture.map_err(Stop::failed)?)?;
+    let RunResult { report, process_failures, traffic } = play(&schedule, &program, folder)?;
+    if options.keep.is_some() {
+        let chart = super::draw::svg(&schedule, &read_records(folder)?);
+        write_whole(&folder.join("ownership.svg"), &chart.map_err(Stop::failed)?)?;
     }
     println!(
-        "seed {}, {} s, {} members ({} vote), {} units, floors of {}, {} troubles",
+        "seed {}, {} s, {} members ({} vote), {} units, floors of {}, {} actions",
         schedule.seed,
         schedule.ms / 1000,
         schedule.members,
@@ -263,23 +282,27 @@
         schedule.acts.len()
     );
     println!(
-        "{} units spent; {:.0} datagrams, {:.0} bytes a second in all",
-        sums.spends, carried.0, carried.1
+        "{} units spent; {:.0} datagrams, {:.0} bytes per second in total",
+        report.spends, traffic.0, traffic.1
     );
-    println!("most spent in a window: {:.2} of the whole", sums.spent);
-    wrong.iter().chain(sums.broken.iter().take(10)).for_each(|w| println!("{w}"));
-    println!("no calls are played on these days, so that the five rules are not judged");
-    if sums.broken.is_empty() && wrong.is_empty() {
-        println!("budgets: kept, at most {:.2} of the whole", sums.owned);
+    println!("most spent in a window: {:.2} of all units", report.spent);
+    process_failures.iter().chain(report.broken.iter().take(10)).for_each(|text| println!("{text}"));
+    println!("these runs have no calls, so the five rules are not checked");
+    if report.broken.is_empty() && process_failures.is_empty() {
+        println!("budgets: kept, at most {:.2} of the whole", report.owned);
         return Ok(());
     }
-    if day.shrink > 0 {
-        let least = super::shrink(&schedule, day.shrink, |s| {
-            let again = tempfile::tempdir().ok().and_then(|f| play(s, &program, f.path()).ok());
-            again.is_some_and(|p| !p.sums.broken.is_empty() || !p.wrong.is_empty())
+    if options.shrink > 0 {
+        let smallest = super::shrink(&schedule, options.shrink, |s| {
+            let result = tempfile::tempdir().ok().and_then(|f| play(s, &program, f.path()).ok());
+            result.is_some_and(|r| !r.report.broken.is_empty() || !r.process_failures.is_empty())
         });
-        println!("the smallest that still breaks, by {} plays at the most:\n{}", day.shrink, text(&least)?);
+        println!(
+            "smallest schedule that still fails, found in at most {} runs:\n{}",
+            options.shrink,
+            text(&smallest)?
+        );
     }
-    println!("budgets: broken, {} times", sums.broken.len() + wrong.len());
+    println!("budgets: broken, {} times", report.broken.len() + process_failures.len());
     Err(Stop::failed(String::new()))
 }
--- a/crates/badgerwind-cli/src/budgets/draw.rs
+++ b/crates/badgerwind-cli/src/budgets/draw.rs
@@ -1,33 +1,35 @@
-//! A picture of who owned how much over a day, from the members' records: each member a layer, what befell them as lines.
+//! A chart of the units that each member owned over time, from the members' records. Members are stacked layers; the
+//! schedule's actions are vertical lines.
 
 use super::schedule::{Act, Schedule};
 use badgerwind_check::budgets::{owned_over_time, Line};
 use plotters::prelude::*;
 
-/// Between two looks at the records, in microseconds.
-const LOOK: u64 = 50_000;
+/// Interval between samples of ownership, in microseconds.
+const SAMPLE_INTERVAL: u64 = 50_000;
 
-fn told(act: &Act) -> String {
-    let some = |who: &[u16]| match who {
+/// Label of an action.
+fn label(act: &Act) -> String {
+    let members = |who: &[u16]| match who {
         [one] => format!("{one}"),
-        who => format!("{} of them", who.len()),
+        who => format!("{} members", who.len()),
     };
     match act {
-        Act::Kill { who } => format!("kill {}", some(who)),
-        Act::Start { who } => format!("start {}", some(who)),
-        Act::Stop { who } => format!("stop {}", some(who)),
-        Act::Go { who } => format!("go on {}", some(who)),
-        Act::Cut { from, to } => format!("cut {} to {}", some(from), some(to)),
+        Act::Kill { who } => format!("kill {}", members(who)),
+        Act::Start { who } => format!("start {}", members(who)),
+        Act::Pause { who } => format!("pause {}", members(who)),
+        Act::Resume { who } => format!("resume {}", members(who)),
+        Act::Cut { from, to } => format!("cut {} to {}", members(from), members(to)),
         Act::Heal => "heal".into(),
-        Act::Whole { units } => format!("whole {units}"),
+        Act::SetUnits { units } => format!("set {units} units"),
     }
 }
 
-/// Draws it.
+/// Draws the chart as SVG.
 pub fn svg(schedule: &Schedule, lines: &[Line]) -> Result<String, String> {
-    let layers = owned_over_time(lines, LOOK);
-    let looks = layers.values().map(Vec::len).max().unwrap_or(0);
-    let seconds = looks as f64 * LOOK as f64 / 1e6;
+    let layers = owned_over_time(lines, SAMPLE_INTERVAL);
+    let samples = layers.values().map(Vec::len).max().unwrap_or(0);
+    let seconds = samples as f64 * SAMPLE_INTERVAL as f64 / 1e6;
     let top = f64::from(schedule.units) * 1.12;
     let mut out = String::new();
     {
@@ -49,32 +51,32 @@
             .y_desc("units")
             .draw()
             .map_err(failed)?;
-        let mut below = vec![0.0; looks];
+        let mut below = vec![0.0; samples];
         for (n, (member, owned)) in layers.iter().enumerate() {
             let color = HSLColor(n as f64 / layers.len().max(1) as f64, 0.5, 0.62);
-            for (look, units) in owned.iter().enumerate().filter(|(_, units)| **units > 0) {
-                let (x, y) = (look as f64 * LOOK as f64 / 1e6, below[look]);
-                let corners = [(x, y), (x + LOOK as f64 / 1e6, y + *units as f64)];
+            for (sample, units) in owned.iter().enumerate().filter(|(_, units)| **units > 0) {
+                let (x, y) = (sample as f64 * SAMPLE_INTERVAL as f64 / 1e6, below[sample]);
+                let corners = [(x, y), (x + SAMPLE_INTERVAL as f64 / 1e6, y + *units as f64)];
                 chart.draw_series([Rectangle::new(corners, color.filled())]).map_err(failed)?;
-                below[look] += *units as f64;
+                below[sample] += *units as f64;
             }
-            // Beside its layer at the day's first third, where it is broad enough to be read.
-            let look = looks / 3;
-            if let Some(units) = owned.get(look).filter(|u| **u as f64 * 30.0 > top) {
-                let at = (look as f64 * LOOK as f64 / 1e6, below[look] - *units as f64 / 3.0);
+            // The member's number is written into its layer after a third of the time, if the layer is high enough.
+            let sample = samples / 3;
+            if let Some(units) = owned.get(sample).filter(|u| **u as f64 * 30.0 > top) {
+                let at = (sample as f64 * SAMPLE_INTERVAL as f64 / 1e6, below[sample] - *units as f64 / 3.0);
                 let text = Text::new(member.to_string(), at, ("sans-serif", 11));
                 chart.draw_series([text]).map_err(failed)?;
             }
         }
-        let whole = f64::from(schedule.units);
-        let line = PathElement::new(vec![(0.0, whole), (seconds, whole)], BLACK.stroke_width(2));
+        let limit = f64::from(schedule.units);
+        let line = PathElement::new(vec![(0.0, limit), (seconds, limit)], BLACK.stroke_width(2));
         chart.draw_series([line]).map_err(failed)?;
         for (n, (at, act)) in schedule.acts.iter().enumerate() {
             let x = *at as f64 / 1e3;
             let mark = PathElement::new(vec![(x, 0.0), (x, top)], BLACK.mix(0.5));
             chart.draw_series([mark]).map_err(failed)?;
-            let y = whole + (top - whole) * (0.9 - 0.3 * (n % 3) as f64);
-            let text = Text::new(told(act), (x, y), ("sans-serif", 11));
+            let y = limit + (top - limit) * (0.9 - 0.3 * (n % 3) as f64);
+            let text = Text::new(label(act), (x, y), ("sans-serif", 11));
             chart.draw_series([text]).map_err(failed)?;
         }
         area.present().map_err(failed)?;
--- a/crates/badgerwind-cli/src/budgets/mod.rs
+++ b/crates/badgerwind-cli/src/budgets/mod.rs
@@ -1,4 +1,4 @@
-//! Budgets of a fleet as processes: a member that spends what it may, and bad days between many of them.
+//! Fleet budgets between processes: a member that spends all it may, and runs of many members under faults.
 
 mod day;
 mod draw;
@@ -6,8 +6,8 @@
 mod schedule;
 mod shrink;
 
-pub use day::{play, run, Day, Played};
-pub use net::{Net, Weather};
+pub use day::{play, run, RunOptions, RunResult};
+pub use net::{Net, NetworkFaults};
 pub use schedule::{Act, Schedule};
 pub use shrink::shrink;
 
@@ -29,19 +29,19 @@
 /// Arguments of `fleet-member`.
 #[derive(clap::Args, Debug)]
 pub struct MemberArgs {
-    /// Its number
+    /// Number of the member
     #[arg(long)]
     number: Member,
-    /// Where it hears the others
+    /// UDP address on which it receives messages of other members
     #[arg(long)]
     listen: SocketAddr,
-    /// What all members go by; read again whenever it changes
+    /// File of the settings common to all members; read again at intervals
     #[arg(long)]
     trial: PathBuf,
-    /// The file of the key that seals what they say to each other
+    /// File of the key that authenticates the messages between members
     #[arg(long)]
     key: PathBuf,
-    /// Where it writes what it owns and spends
+    /// File for the record of the units that it owns and spends
     #[arg(long)]
     record: PathBuf,
     /// Millionths by which its clock runs fast
@@ -49,30 +49,30 @@
     clock_fast: i64,
 }
 
-/// What all members of a trial go by.
+/// Settings common to all members of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Trial {
-    /// Counted up with each change.
+    /// Version, incremented with each change.
     pub version: u32,
-    /// Units in all.
+    /// Total number of units.
     pub units: Unit,
-    /// Of these, each member's for good.
+    /// Units that belong to each member permanently.
     pub floor: Unit,
-    /// How long a spent unit rests, in microseconds.
+    /// Cooldown of a spent unit, in microseconds.
     pub rest: u64,
-    /// How long a vote counts, in microseconds.
+    /// Validity of a vote, in microseconds.
     pub vote: u64,
-    /// How long a grant counts, in microseconds.
+    /// Validity of a lease, in microseconds.
     pub lease: u64,
-    /// How often a member asks, in microseconds.
+    /// Interval of a member's requests, in microseconds.
     pub beat: u64,
-    /// The bound on clocks, in millionths.
+    /// Bound on the drift of clocks, in millionths.
     pub drift: u32,
-    /// Members whose votes make a lease coordinator.
+    /// Members that elect the lease coordinator.
     pub voters: Vec<Member>,
-    /// Where each member is heard.
+    /// Address of each member.
     pub peers: BTreeMap<Member, SocketAddr>,
-    /// Units that each would spend in a window.
+    /// Units that each member wants to spend in a window.
     pub wants: BTreeMap<Member, Unit>,
 }
 
@@ -83,19 +83,19 @@
         serde_json::from_slice(&text).map_err(|e| Stop::usage(format!("{shown}: {e}")))
     }
 
-    fn book(&self) -> LimitSet {
+    fn limit_set(&self) -> LimitSet {
         let (units, floor, rest) = (self.units, self.floor, self.rest);
         let members = self.peers.len() as Member;
         LimitSet { version: self.version, limits: vec![Limit { units, floor, members, cooldown: rest }] }
     }
 
-    fn terms(&self) -> LeaseSettings {
+    fn lease_settings(&self) -> LeaseSettings {
         let Trial { voters, vote, lease, beat, drift, .. } = self.clone();
         LeaseSettings { voters, vote, lease, request_interval: beat, drift_ppm: drift, max_moves: 64 }
     }
 }
 
-/// Writes whole lines, so that a writer that is killed leaves no more than one half.
+/// Writes complete lines, so that a killed writer leaves at most one incomplete line.
 struct Record(File);
 
 impl Record {
@@ -106,7 +106,7 @@
     }
 }
 
-/// A member that would spend more than it may, until it is killed.
+/// Runs a member that tries to spend more than it owns, until it is killed.
 pub fn member(args: &MemberArgs) -> Result<(), Stop> {
     let trial = Trial::read(&args.trial)?;
     let text = std::fs::read_to_string(&args.key);
@@ -117,8 +117,8 @@
         listen: args.listen,
         peers: trial.peers.clone(),
         key,
-        book: trial.book(),
-        terms: trial.terms(),
+        book: trial.limit_set(),
+        terms: trial.lease_settings(),
         clock_fast: args.clock_fast,
     };
     let member = FleetMember::start(options).map_err(|e| Stop::usage(e.to_string()))?;
@@ -126,38 +126,39 @@
     let file = File::create(&args.record);
     let file = file.map_err(|e| Stop::usage(format!("cannot write {}: {e}", args.record.display())))?;
     let mut record = Record(file);
-    let speaks = member.clone();
-    std::thread::spawn(move || speaks.run(&AtomicBool::new(false)));
-    let life = wall();
+    let network_member = member.clone();
+    std::thread::spawn(move || network_member.run(&AtomicBool::new(false)));
+    let incarnation = wall();
     let number = args.number;
-    let line = |at, what| Line { at, member: number, life, what };
-    let mut told = None;
-    let mut turn = 0u32;
+    let line = |at, what| Line { at, member: number, life: incarnation, what };
+    let mut last_recorded = None;
+    let mut iteration = 0u32;
     loop {
-        if turn % 16 == 0 {
+        if iteration % 16 == 0 {
             if let Ok(next) = Trial::read(&args.trial) {
                 let wants = next.wants.get(&number).copied().unwrap_or(0);
                 let set = member.with(|node, now| {
                     node.set_wanted(0, wants);
-                    node.apply_limits(now, &next.book())
+                    node.apply_limits(now, &next.limit_set())
                 });
                 set.map_err(|e| Stop::usage(format!("{}: {e}", args.trial.display())))?;
             }
         }
-        turn += 1;
-        // A line bears the moment at which its matter was looked at: a stop before it is written changes nothing.
-        let (floor, granted, left, now) = member.with(|node, now| {
+        iteration += 1;
+        // A line has the time at which its values were read, so that a pause of the process before the write does not
+        // falsify it.
+        let (floor, granted, remaining, now) = member.with(|node, now| {
             let limit = &node.limit_set().limits[0];
             let (floor, all) = (limit.floor_of(number), node.owned(now, 0));
             let granted = all.filter_units(|u| !floor.contains(u));
             (floor.ranges().to_vec(), granted.ranges().to_vec(), node.lease_end(0).saturating_sub(now), now)
         });
         let at = member.wall_at(now);
-        let until = if granted.is_empty() { at } else { at + left };
-        let news = (floor.clone(), granted.clone(), until / 20_000);
-        if told.as_ref() != Some(&news) {
+        let until = if granted.is_empty() { at } else { at + remaining };
+        let state = (floor.clone(), granted.clone(), until / 20_000);
+        if last_recorded.as_ref() != Some(&state) {
             record.write(&line(at, What::Owns { floor, granted, until }))?;
-            told = Some(news);
+            last_recorded = Some(state);
         }
         for _ in 0..4 {
             let Some((unit, now)) = member.spend(0) else { break };
--- a/crates/badgerwind-cli/src/budgets/schedule.rs
+++ b/crates/badgerwind-cli/src/budgets/schedule.rs
@@ -1,92 +1,97 @@
-//! What befalls a fleet: a file that can be kept and played again.
+//! Schedules of faults of a budgets run, which can be stored as a file and run again.
 
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Something that befalls members or the network between them.
+/// An action on members or on the network between them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "snake_case")]
 pub enum Act {
-    /// These are killed outright.
+    /// Kills members with SIGKILL.
     Kill {
-        /// Which.
+        /// The members.
         who: Vec<u16>,
     },
-    /// These start again from nothing, under their names.
+    /// Starts members again without state, under the same numbers.
     Start {
-        /// Which.
+        /// The members.
         who: Vec<u16>,
     },
-    /// These are stopped in the middle of whatever they do.
-    Stop {
-        /// Which.
+    /// Pauses members with SIGSTOP.
+    #[serde(rename = "stop")]
+    Pause {
+        /// The members.
         who: Vec<u16>,
     },
-    /// And go on.
-    Go {
-        /// Which.
+    /// Resumes paused members with SIGCONT.
+    #[serde(rename = "go")]
+    Resume {
+        /// The members.
         who: Vec<u16>,
     },
-    /// Nothing passes from the first to the second; the other way is open.
+    /// Drops datagrams from some members to others; the opposite direction stays open.
     Cut {
-        /// From.
+        /// Members whose datagrams are dropped.
         from: Vec<u16>,
-        /// To.
+        /// Receivers of those datagrams.
         to: Vec<u16>,
     },
-    /// All ways are open again.
+    /// Ends all cuts.
     Heal,
-    /// The whole becomes this.
-    Whole {
-        /// Units.
+    /// Changes the total number of units.
+    #[serde(rename = "whole")]
+    SetUnits {
+        /// New total.
         units: u16,
     },
 }
 
-/// A day.
+/// A schedule with the settings of its run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// Draws what the network does to each datagram.
+    /// Seed of the faults that the network applies to datagrams and of the clocks' drift.
     pub seed: u64,
-    /// Members.
+    /// Number of members.
     pub members: u16,
-    /// The first so many vote.
+    /// Number of voters, which are the first members.
     pub voters: u16,
-    /// Units in all.
+    /// Total number of units.
     pub units: u16,
-    /// Each member's for good.
+    /// Units that belong to each member permanently.
     pub floor: u16,
     /// Share of datagrams lost.
     pub loss: f64,
-    /// Share that comes twice.
+    /// Share of datagrams duplicated.
     pub twice: f64,
-    /// Longest usual delay, in milliseconds.
+    /// Upper bound of the usual delay of a datagram, in milliseconds.
     pub delay_ms: u64,
-    /// Millionths by which clocks may be off, each way; members' are drawn between.
+    /// Bound on the drift of clocks in either direction, in millionths; each member's drift is drawn within it.
     pub drift: u32,
-    /// How long it lasts, in milliseconds.
+    /// Duration, in milliseconds.
     pub ms: u64,
-    /// What befalls whom, and when, in milliseconds.
+    /// Actions with their times since the start, in milliseconds.
     pub acts: Vec<(u64, Act)>,
 }
 
 impl Schedule {
-    /// Whether it can be played.
-    pub fn check(&self) -> Result<(), String> {
-        let named = |act: &Act| -> Vec<u16> {
+    /// Checks that the schedule can be run.
+    pub fn validate(&self) -> Result<(), String> {
+        let members_of = |act: &Act| -> Vec<u16> {
             match act {
-                Act::Kill { who } | Act::Start { who } | Act::Stop { who } | Act::Go { who } => who.clone(),
+                Act::Kill { who } | Act::Start { who } | Act::Pause { who } | Act::Resume { who } => {
+                    who.clone()
+                }
                 Act::Cut { from, to } => [&from[..], to].concat(),
-                Act::Heal | Act::Whole { .. } => vec![],
+                Act::Heal | Act::SetUnits { .. } => vec![],
             }
         };
-        let strange = self.acts.iter().flat_map(|(_, a)| named(a)).find(|m| *m >= self.members);
+        let unknown = self.acts.iter().flat_map(|(_, a)| members_of(a)).find(|m| *m >= self.members);
         let last = self.acts.last().map_or(0, |a| a.0);
         if !(1..=64).contains(&self.members) || self.voters == 0 || self.voters > self.members {
             Err("give 1 to 64 members, and voters among them".into())
-        } else if let Some(m) = strange {
+        } else if let Some(m) = unknown {
             Err(format!("an act names member {m} of {}; they count from 0", self.members))
         } else if self.acts.windows(2).any(|w| w[0].0 > w[1].0) {
             Err("acts are not in the order of their times".into())
@@ -99,7 +104,7 @@
         }
     }
 
-    /// Draws one.
+    /// Draws a schedule.
     pub fn draw(seed: u64, members: u16, ms: u64) -> Schedule {
         let mut rng = StdRng::seed_from_u64(seed ^ 0x00b0_d9e7);
         let voters = [1, 3, 5][rng.random_range(0..3)].min(members);
@@ -113,7 +118,7 @@
             all.truncate(usize::from(n));
             all
         };
-        // The first part is for the fleet to begin, the last for it to come back.
+        // No faults in the first 30 % of the time, in which the fleet starts, and the last 15 %, in which it recovers.
         for _ in 0..rng.random_range(2..=4) {
             let from = rng.random_range(ms * 3 / 10..ms * 7 / 10);
             let to = (from + [60, 700, 1800][rng.random_range(0..3)]).min(ms * 85 / 100);
@@ -121,7 +126,7 @@
             let others: Vec<u16> = (0..members).filter(|m| !who.contains(m)).collect();
             match rng.random_range(0..5) {
                 0 => acts.extend([(from, Act::Kill { who: who.clone() }), (to, Act::Start { who })]),
-                1 => acts.extend([(from, Act::Stop { who: who.clone() }), (to, Act::Go { who })]),
+                1 => acts.extend([(from, Act::Pause { who: who.clone() }), (to, Act::Resume { who })]),
                 2 => {
                     acts.push((from, Act::Cut { from: who.clone(), to: others.clone() }));
                     acts.push((from, Act::Cut { from: others, to: who }));
@@ -130,7 +135,7 @@
                 3 => acts.extend([(from, Act::Cut { from: who, to: others }), (to, Act::Heal)]),
                 _ => {
                     let half = (units / 2).max(members * floor);
-                    acts.extend([(from, Act::Whole { units: half }), (to, Act::Whole { units })]);
+                    acts.extend([(from, Act::SetUnits { units: half }), (to, Act::SetUnits { units })]);
                 }
             }
         }
--- a/crates/badgerwind-cli/src/budgets/shrink.rs
+++ b/crates/badgerwind-cli/src/budgets/shrink.rs
@@ -1,83 +1,85 @@
-//! The smallest part of a schedule that still fails: what is not needed for the failure hides its cause.
+//! Minimization of a failing schedule: actions that the failure does not need hide its cause.
 
 use super::schedule::{Act, Schedule};
 
-/// A schedule without this member in this act; `None` where the act had no other.
-fn without(act: &Act, member: u16) -> Option<Act> {
-    let less = |who: &[u16]| -> Option<Vec<u16>> {
+/// The action without this member; `None` if the action concerned no other member.
+fn without_member(act: &Act, member: u16) -> Option<Act> {
+    let remove = |who: &[u16]| -> Option<Vec<u16>> {
         let who: Vec<u16> = who.iter().copied().filter(|m| *m != member).collect();
         (!who.is_empty()).then_some(who)
     };
     Some(match act {
-        Act::Kill { who } => Act::Kill { who: less(who)? },
-        Act::Start { who } => Act::Start { who: less(who)? },
-        Act::Stop { who } => Act::Stop { who: less(who)? },
-        Act::Go { who } => Act::Go { who: less(who)? },
-        Act::Cut { from, to } => Act::Cut { from: less(from)?, to: less(to)? },
-        Act::Heal | Act::Whole { .. } => act.clone(),
+        Act::Kill { who } => Act::Kill { who: remove(who)? },
+        Act::Start { who } => Act::Start { who: remove(who)? },
+        Act::Pause { who } => Act::Pause { who: remove(who)? },
+        Act::Resume { who } => Act::Resume { who: remove(who)? },
+        Act::Cut { from, to } => Act::Cut { from: remove(from)?, to: remove(to)? },
+        Act::Heal | Act::SetUnits { .. } => act.clone(),
     })
 }
 
-/// Smaller ones, those that take most away first.
-fn smaller(s: &Schedule) -> Vec<Schedule> {
+/// Candidates for a smaller schedule, those with most removed first.
+fn candidates(schedule: &Schedule) -> Vec<Schedule> {
     let mut all = Vec::new();
-    let n = s.acts.len();
+    let n = schedule.acts.len();
     for size in [n / 2, n / 4, 1] {
         if size == 0 {
             continue;
         }
         for from in (0..n).step_by(size) {
-            let mut less = s.clone();
-            less.acts.drain(from..(from + size).min(n));
-            all.push(less);
+            let mut smaller = schedule.clone();
+            smaller.acts.drain(from..(from + size).min(n));
+            all.push(smaller);
         }
     }
-    // The last member goes altogether, unless its vote or its floor would.
-    if s.members > 2 && s.voters < s.members {
-        let last = s.members - 1;
-        let acts = s.acts.iter().filter_map(|(at, a)| Some((*at, without(a, last)?))).collect();
-        all.push(Schedule { members: last, acts, ..s.clone() });
+    // The last member is removed entirely, unless it is a voter.
+    if schedule.members > 2 && schedule.voters < schedule.members {
+        let last = schedule.members - 1;
+        let acts = schedule.acts.iter().filter_map(|(at, a)| Some((*at, without_member(a, last)?))).collect();
+        all.push(Schedule { members: last, acts, ..schedule.clone() });
     }
-    for (loss, twice, delay_ms, drift) in
-        [(0.0, 0.0, 0, 0), (0.0, s.twice, s.delay_ms, s.drift), (s.loss, 0.0, s.delay_ms, s.drift)]
-    {
-        all.push(Schedule { loss, twice, delay_ms, drift, ..s.clone() });
+    for (loss, twice, delay_ms, drift) in [
+        (0.0, 0.0, 0, 0),
+        (0.0, schedule.twice, schedule.delay_ms, schedule.drift),
+        (schedule.loss, 0.0, schedule.delay_ms, schedule.drift),
+    ] {
+        all.push(Schedule { loss, twice, delay_ms, drift, ..schedule.clone() });
     }
-    for (at, (_, act)) in s.acts.iter().enumerate() {
-        for member in 0..s.members {
-            if let Some(less) = without(act, member).filter(|less| less != act) {
-                let mut one = s.clone();
-                one.acts[at].1 = less;
-                all.push(one);
+    for (at, (_, act)) in schedule.acts.iter().enumerate() {
+        for member in 0..schedule.members {
+            if let Some(smaller_act) = without_member(act, member).filter(|smaller| smaller != act) {
+                let mut smaller = schedule.clone();
+                smaller.acts[at].1 = smaller_act;
+                all.push(smaller);
             }
         }
     }
-    // The day ends soon after the last act.
-    let end = s.acts.last().map_or(s.ms, |a| a.0 + 1500);
-    if end < s.ms {
-        all.push(Schedule { ms: end, ..s.clone() });
+    // The run ends soon after the last action.
+    let end = schedule.acts.last().map_or(schedule.ms, |a| a.0 + 1500);
+    if end < schedule.ms {
+        all.push(Schedule { ms: end, ..schedule.clone() });
     }
-    all.retain(|other| other != s);
+    all.retain(|other| other != schedule);
     all
 }
 
-/// Makes a schedule that fails smaller for as long as a smaller one fails too, with so many plays at the most.
-pub fn shrink(first: &Schedule, mut plays: usize, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
+/// Reduces a failing schedule as long as a smaller one fails too, with at most `runs` calls of `fails`.
+pub fn shrink(first: &Schedule, mut runs: usize, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
     let mut best = first.clone();
     loop {
         let mut found = None;
-        for less in smaller(&best) {
-            if plays == 0 {
+        for smaller in candidates(&best) {
+            if runs == 0 {
                 return best;
             }
-            plays -= 1;
-            if fails(&less) {
-                found = Some(less);
+            runs -= 1;
+            if fails(&smaller) {
+                found = Some(smaller);
                 break;
             }
         }
         match found {
-            Some(less) => best = less,
+            Some(smaller) => best = smaller,
             None => return best,
         }
     }
--- a/crates/badgerwind-cli/src/day/mod.rs
+++ b/crates/badgerwind-cli/src/day/mod.rs
@@ -212,7 +212,14 @@
     if args.budgets {
         let (seed, seconds, fronts, shrink) = (args.seed, args.seconds, args.fronts, args.shrink);
         let (schedule, keep) = (args.schedule.as_deref(), args.keep.as_deref());
-        return crate::budgets::run(&crate::budgets::Day { seed, seconds, fronts, schedule, keep, shrink });
+        return crate::budgets::run(&crate::budgets::RunOptions {
+            seed,
+            seconds,
+            fronts,
+            schedule,
+            keep,
+            shrink,
+        });
     }
     let temporary;
     let folder = match &args.keep {
--- a/crates/badgerwind-cli/tests/budgets.rs
+++ b/crates/badgerwind-cli/tests/budgets.rs
@@ -23,10 +23,10 @@
 fn kept(schedule: &Schedule) -> badgerwind_check::budgets::Sums {
     let folder = tempfile::tempdir().unwrap();
     let played = play(schedule, Path::new(env!("CARGO_BIN_EXE_badgerwind")), folder.path()).unwrap();
-    assert!(played.wrong.is_empty(), "{:?}", played.wrong);
-    assert!(played.sums.broken.is_empty(), "{:?}", played.sums.broken);
-    assert!(played.sums.owned <= 1.0 && played.sums.spent <= 1.0);
-    played.sums
+    assert!(played.process_failures.is_empty(), "{:?}", played.process_failures);
+    assert!(played.report.broken.is_empty(), "{:?}", played.report.broken);
+    assert!(played.report.owned <= 1.0 && played.report.spent <= 1.0);
+    played.report
 }
 
 #[test]
@@ -45,8 +45,8 @@
         .flat_map(|n| {
             let who = vec![n, n + 3];
             [
-                (2000 + 1300 * u64::from(n), Act::Stop { who: who.clone() }),
-                (3100 + 1300 * u64::from(n), Act::Go { who }),
+                (2000 + 1300 * u64::from(n), Act::Pause { who: who.clone() }),
+                (3100 + 1300 * u64::from(n), Act::Resume { who }),
             ]
         })
         .collect();
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_whole_that_is_halved_in_use_and_a_voter_that_flaps() {
-    let mut acts = vec![(2500, Act::Whole { units: 6 }), (4500, Act::Whole { units: 12 })];
+    let mut acts = vec![(2500, Act::SetUnits { units: 6 }), (4500, Act::SetUnits { units: 12 })];
     for n in 0..8 {
         acts.push((2000 + 500 * n, Act::Kill { who: vec![1] }));
         acts.push((2150 + 500 * n, Act::Start { who: vec![1] }));
@@ -97,7 +97,7 @@
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let schedule: Schedule = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
-        assert_eq!(schedule.check(), Ok(()), "{}", path.display());
+        assert_eq!(schedule.validate(), Ok(()), "{}", path.display());
         assert!(kept(&schedule).spends > 50, "{}", path.display());
         played += 1;
     }
--- a/crates/badgerwind-cli/tests/shares.rs
+++ b/crates/badgerwind-cli/tests/shares.rs
@@ -18,8 +18,8 @@
 
 /// Settings of one of so many front ends: everything that it serves has to be ordered first.
 fn edits(n: usize, net: &Net, units: u16) -> Vec<(&'static str, String)> {
-    let members = net.known.len();
-    let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.known[m]);
+    let members = net.relays.len();
+    let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.relays[m]);
     let peers: String = (0..members).filter(|m| *m != n).map(peer).collect();
     let voters: String = (0..members.min(3)).map(|v| format!("<voter number=\"{v}\"/>")).collect();
     let functions: String = (0..FUNCTIONS)
--- a/crates/badgerwind-cli/tests/store_day.rs
+++ b/crates/badgerwind-cli/tests/store_day.rs
@@ -40,7 +40,7 @@
 }
 
 fn edits(n: usize, net: &Net, way: Way) -> Vec<(&'static str, String)> {
-    let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.known[m]);
+    let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.relays[m]);
     let peers: String = (0..FRONTS).filter(|m| *m != n).map(peer).collect();
     let functions: String = (0..FUNCTIONS)
         .map(|f| format!("<function name=\"f{f}\" memory-mb=\"100\" lanes=\"8\" load-time=\"250ms\"/>"))
--- a/crates/badgerwind-cli/tests/zones.rs
+++ b/crates/badgerwind-cli/tests/zones.rs
@@ -22,8 +22,8 @@
 
 /// Without `leaving` each front end is as before: alone with what its module finds.
 fn edits(n: usize, net: &Net, leaving: bool) -> Vec<(&'static str, String)> {
-    let members = net.known.len();
-    let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.known[m]);
+    let members = net.relays.len();
+    let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.relays[m]);
     let peers: String = (0..members).filter(|m| *m != n).map(peer).collect();
     let voters: String = (0..members.min(3)).map(|v| format!("<voter number=\"{v}\"/>")).collect();
     let leaving = match leaving {
