--- a/crates/badgerwind-cli/benches/config.rs
+++ b/crates/badgerwind-cli/benches/config.rs
@@ -10,7 +10,7 @@
 mod truth;
 
 use badgerwind_check::{Answer, What};
-use badgerwind_cli::day::{play, Args};
+use badgerwind_cli::day::{run_day, Args};
 use badgerwind_config::client::{Action, Client, Input, Timing};
 use badgerwind_config::wire::DiscoveryResponse;
 use badgerwind_config::Kind;
@@ -166,7 +166,7 @@
         gateway: Some(env!("CARGO_BIN_EXE_badgerwind").into()),
         standins: Some(env!("CARGO_BIN_EXE_badgerwind").into()),
     };
-    let outcome = play(&args, &folder).unwrap();
+    let outcome = run_day(&args, &folder).unwrap();
     assert!(outcome.report.broken.is_empty() && outcome.process_failures.is_empty(), "{outcome:?}");
     let mut times = Histogram::new(3).unwrap();
     for name in ["record-senders-0.jsonl", "record-senders-1.jsonl"] {
--- a/crates/badgerwind-cli/src/budgets/day.rs
+++ b/crates/badgerwind-cli/src/budgets/day.rs
@@ -136,7 +136,7 @@
 }
 
 /// Runs a schedule with members of the given program and checks their records, which stay in the folder.
-pub fn play(schedule: &Schedule, program: &Path, folder: &Path) -> Result<RunResult, Stop> {
+pub fn run_schedule(schedule: &Schedule, program: &Path, folder: &Path) -> Result<RunResult, Stop> {
     let failed = |e: std::io::Error| Stop::failed(format!("cannot create the network: {e}"));
     let net = Net::start(usize::from(schedule.members), schedule.seed).map_err(failed)?;
     net.change(|faults| {
@@ -266,7 +266,7 @@
     write_whole(&folder.join("schedule.json"), &text(&schedule)?)?;
     let program =
         std::env::current_exe().map_err(|e| Stop::failed(format!("cannot find this program: {e}")))?;
-    let RunResult { report, process_failures, traffic } = play(&schedule, &program, folder)?;
+    let RunResult { report, process_failures, traffic } = run_schedule(&schedule, &program, folder)?;
     if options.keep.is_some() {
         let chart = super::draw::svg(&schedule, &read_records(folder)?);
         write_whole(&folder.join("ownership.svg"), &chart.map_err(Stop::failed)?)?;
@@ -294,7 +294,7 @@
     }
     if options.shrink > 0 {
         let smallest = super::shrink(&schedule, options.shrink, |s| {
-            let result = tempfile::tempdir().ok().and_then(|f| play(s, &program, f.path()).ok());
+            let result = tempfile::tempdir().ok().and_then(|f| run_schedule(s, &program, f.path()).ok());
             result.is_some_and(|r| !r.report.broken.is_empty() || !r.process_failures.is_empty())
         });
         println!(
--- a/crates/badgerwind-cli/src/budgets/mod.rs
+++ b/crates/badgerwind-cli/src/budgets/mod.rs
@@ -6,7 +6,7 @@
 mod schedule;
 mod shrink;
 
-pub use day::{play, run, RunOptions, RunResult};
+pub use day::{run, run_schedule, RunOptions, RunResult};
 pub use net::{Net, NetworkFaults};
 pub use schedule::{Act, Schedule};
 pub use shrink::shrink;
--- a/crates/badgerwind-cli/src/day/mod.rs
+++ b/crates/badgerwind-cli/src/day/mod.rs
@@ -128,7 +128,7 @@
 }
 
 /// Runs a day; settings, logs and records go to `folder`.
-pub fn play(args: &Args, folder: &Path) -> Result<Outcome, Stop> {
+pub fn run_day(args: &Args, folder: &Path) -> Result<Outcome, Stop> {
     let overrides =
         Overrides { severity: args.severity, load: args.load, fronts: args.fronts, runners: args.runners };
     let mut world = World::with_overrides(args.seed, args.seconds, overrides);
@@ -232,7 +232,7 @@
             temporary.path()
         }
     };
-    let Outcome { report, account, max_oversleep, process_failures, script, load } = play(args, folder)?;
+    let Outcome { report, account, max_oversleep, process_failures, script, load } = run_day(args, folder)?;
     let severity = format!("{:?}", args.severity).to_lowercase();
     println!(
         "seed {}, {} s, {severity}, load {load:.2}, {}",
--- a/crates/badgerwind-cli/tests/budgets.rs
+++ b/crates/badgerwind-cli/tests/budgets.rs
@@ -1,7 +1,7 @@
 //! Budgets of a fleet between processes: members of this program that are killed, stopped and cut off from each other. The
 //! verdicts are on sums and order, from the members' own records; none is on speed but that the fleet came to spend at all.
 
-use badgerwind_cli::budgets::{play, Act, Schedule};
+use badgerwind_cli::budgets::{run_schedule, Act, Schedule};
 use std::path::Path;
 
 fn quiet(members: u16, ms: u64, acts: Vec<(u64, Act)>) -> Schedule {
@@ -22,7 +22,7 @@
 
 fn kept(schedule: &Schedule) -> badgerwind_check::budgets::Sums {
     let folder = tempfile::tempdir().unwrap();
-    let played = play(schedule, Path::new(env!("CARGO_BIN_EXE_badgerwind")), folder.path()).unwrap();
+    let played = run_schedule(schedule, Path::new(env!("CARGO_BIN_EXE_badgerwind")), folder.path()).unwrap();
     assert!(played.process_failures.is_empty(), "{:?}", played.process_failures);
     assert!(played.report.broken.is_empty(), "{:?}", played.report.broken);
     assert!(played.report.owned <= 1.0 && played.report.spent <= 1.0);
