--- a/crates/badgerwind-cli/src/day/mod.rs
+++ b/crates/badgerwind-cli/src/day/mod.rs
@@ -251,12 +251,12 @@
         );
     }
     println!(
-        "{} attempts and {} load orders reached runners; {} sends within a drain's grace",
+        "{} attempts and {} load orders reached runners; {} sends within the grace period of a drain",
         report.attempts, report.orders, report.in_grace
     );
     let share = |w: &badgerwind_check::worth::Worth| w.share().unwrap_or(1.0);
     println!(
-        "worth: {:.3} of what was asked for, {:.3} of the most that could be had; {:.2} of the work for nobody; {} further attempts",
+        "worth: {:.3} of the requested, {:.3} of the achievable; {:.2} of the work wasted; {} additional attempts",
         share(&account.all),
         account.all.earned / account.bound.max(f64::MIN_POSITIVE),
         account.wasted,
@@ -272,7 +272,7 @@
     let fault_period = fault_period(&script);
     let recovery_seconds = fault_period.and_then(|(from, to)| recovery(&account, from, to, RECOVERED_SHARE));
     if let (Some((_, to)), Some(recovery_seconds)) = (fault_period, recovery_seconds) {
-        println!("  back at {RECOVERED_SHARE} of before {recovery_seconds} s after the last trouble, which ended at {to} s");
+        println!("  recovered to {RECOVERED_SHARE} of the previous level {recovery_seconds} s after the last fault, which ended at {to} s");
     }
     for (rule, near) in &report.near {
         let limit_use = match near.is_exercised() {
