--- a/crates/badgerwind-cli/benches/config.rs
+++ b/crates/badgerwind-cli/benches/config.rs
@@ -11,7 +11,7 @@
 mod version_reports;
 
 use badgerwind_check::{Answer, Event};
-use badgerwind_cli::day::{play, Args};
+use badgerwind_cli::day::{run_day, Args};
 use badgerwind_config::client::{Action, Client, Input, Timing};
 use badgerwind_config::wire::DiscoveryResponse;
 use badgerwind_config::Kind;
@@ -172,8 +172,8 @@
         gateway: Some(env!("CARGO_BIN_EXE_badgerwind").into()),
         standins: Some(env!("CARGO_BIN_EXE_badgerwind").into()),
     };
-    let outcome = play(&args, &folder).unwrap();
-    assert!(outcome.report.violations.is_empty() && outcome.wrong.is_empty(), "{outcome:?}");
+    let outcome = run_day(&args, &folder).unwrap();
+    assert!(outcome.report.violations.is_empty() && outcome.process_failures.is_empty(), "{outcome:?}");
     let mut times = Histogram::new(3).unwrap();
     for name in ["record-senders-0.jsonl", "record-senders-1.jsonl"] {
         let lines = badgerwind_check::read(&std::fs::read_to_string(folder.join(name)).unwrap()).unwrap();
--- a/crates/badgerwind-cli/tests/budgets.rs
+++ b/crates/badgerwind-cli/tests/budgets.rs
@@ -2,7 +2,7 @@
 //! The checks are on sums and on order, from the members' own records. None is on speed, except that the
 //! fleet spends at all.
 
-use badgerwind_cli::budgets::{play, Act, Schedule};
+use badgerwind_cli::budgets::{run_schedule, Act, Schedule};
 use std::path::Path;
 
 /// A schedule of so many members and so many milliseconds with two units a member and these events only.
@@ -26,11 +26,11 @@
 /// spent.
 fn play_and_check(schedule: &Schedule) -> badgerwind_check::budgets::BudgetReport {
     let folder = tempfile::tempdir().unwrap();
-    let played = play(schedule, Path::new(env!("CARGO_BIN_EXE_badgerwind")), folder.path()).unwrap();
-    assert!(played.wrong.is_empty(), "{:?}", played.wrong);
-    assert!(played.sums.violations.is_empty(), "{:?}", played.sums.violations);
-    assert!(played.sums.owned <= 1.0 && played.sums.spent <= 1.0);
-    played.sums
+    let played = run_schedule(schedule, Path::new(env!("CARGO_BIN_EXE_badgerwind")), folder.path()).unwrap();
+    assert!(played.process_failures.is_empty(), "{:?}", played.process_failures);
+    assert!(played.report.violations.is_empty(), "{:?}", played.report.violations);
+    assert!(played.report.owned <= 1.0 && played.report.spent <= 1.0);
+    played.report
 }
 
 #[test]
@@ -49,8 +49,8 @@
         .flat_map(|n| {
             let who = vec![n, n + 3];
             [
-                (2000 + 1300 * u64::from(n), Act::Stop { who: who.clone() }),
-                (3100 + 1300 * u64::from(n), Act::Go { who }),
+                (2000 + 1300 * u64::from(n), Act::Pause { who: who.clone() }),
+                (3100 + 1300 * u64::from(n), Act::Resume { who }),
             ]
         })
         .collect();
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_limit_is_halved_while_in_use_and_a_voter_restarts_repeatedly() {
-    let mut acts = vec![(2500, Act::Whole { units: 6 }), (4500, Act::Whole { units: 12 })];
+    let mut acts = vec![(2500, Act::SetUnits { units: 6 }), (4500, Act::SetUnits { units: 12 })];
     for n in 0..8 {
         acts.push((2000 + 500 * n, Act::Kill { who: vec![1] }));
         acts.push((2150 + 500 * n, Act::Start { who: vec![1] }));
@@ -102,7 +102,7 @@
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let schedule: Schedule = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
-        assert_eq!(schedule.check(), Ok(()), "{}", path.display());
+        assert_eq!(schedule.validate(), Ok(()), "{}", path.display());
         assert!(play_and_check(&schedule).spends > 50, "{}", path.display());
         played += 1;
     }
