--- a/crates/badgerwind-cli/tests/hard_cases.rs
+++ b/crates/badgerwind-cli/tests/hard_cases.rs
@@ -1,5 +1,5 @@
-//! Hard cases of a lodgement on loopback sockets: signatures that are nearly right, repeats wherever they come, runners
-//! that die at each moment, callbacks whose receiver does not do as it should.
+//! Edge cases of lodgements on loopback sockets: almost valid signatures, replays at any front end, runners
+//! that die at each stage of a call, and callback receivers that fail.
 
 mod rig;
 
@@ -20,7 +20,7 @@
 }
 
 /// Posts a message with exactly these headers.
-async fn raw(to: SocketAddr, headers: Vec<(&'static str, String)>, body: &[u8]) -> (u16, String) {
+async fn post_raw(to: SocketAddr, headers: Vec<(&'static str, String)>, body: &[u8]) -> (u16, String) {
     let time = Duration::from_secs(10);
     let pool =
         Pool::new(to, PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 1 << 20 });
@@ -32,7 +32,7 @@
 const BODY: &[u8] = br#"{"work_us": 1000, "mean_us": 1000}"#;
 
 #[test]
-fn signatures_that_are_nearly_right_start_nothing() {
+fn almost_valid_signatures_start_no_call() {
     smol::block_on(async {
         let rig = Rig::start(Plan::default()).await;
         let at = now();
@@ -48,17 +48,17 @@
         let urlsafe = text.replace('+', "-").replace('/', "_");
         type Case<'a> = (&'a str, Vec<(&'static str, String)>, &'a [u8]);
         let cases: Vec<Case<'_>> = vec![
-            ("cut", headers("m1", at, &format!("v1,{}", &text[..text.len() - 4])), BODY),
-            ("cut to nothing", headers("m1", at, "v1,"), BODY),
+            ("truncated", headers("m1", at, &format!("v1,{}", &text[..text.len() - 4])), BODY),
+            ("empty", headers("m1", at, "v1,"), BODY),
             ("no version", headers("m1", at, &text), BODY),
             ("another version", headers("m1", at, &format!("v2,{text}")), BODY),
             ("as ed25519", headers("m1", at, &format!("v1a,{text}")), BODY),
             ("of another id", headers("m2", at, &good.signature), BODY),
             ("of another time", headers("m1", at + 1, &good.signature), BODY),
-            ("border moved into the id", headers(&format!("m1.{at}"), at, &good.signature), BODY),
+            ("separator moved into the id", headers(&format!("m1.{at}"), at, &good.signature), BODY),
             ("body written another way", headers("m1", at, &good.signature), spaced),
             ("body in another order", headers("m1", at, &good.signature), reordered),
-            ("body cut", headers("m1", at, &good.signature), &BODY[..BODY.len() - 1]),
+            ("body truncated", headers("m1", at, &good.signature), &BODY[..BODY.len() - 1]),
             ("in capitals", headers("m1", at, &format!("v1,{upper}")), BODY),
             ("in quotes", headers("m1", at, &format!("\"{}\"", good.signature)), BODY),
             (
@@ -80,31 +80,31 @@
                 BODY,
             ),
             (
-                "more signatures than are looked at",
+                "more signatures than are checked",
                 headers("m1", at, &vec![format!("v1,{}=", "A".repeat(43)); 9].join(" ")),
                 BODY,
             ),
         ];
-        for (what, headers, body) in cases {
-            let (status, text) = raw(rig.webhook, headers, body).await;
-            assert!(status == 401 || status == 400, "{what}: {status} {text}");
+        for (case, headers, body) in cases {
+            let (status, text) = post_raw(rig.webhook, headers, body).await;
+            assert!(status == 401 || status == 400, "{case}: {status} {text}");
         }
         if urlsafe != text {
-            let (status, _) = raw(rig.webhook, headers("m1", at, &format!("v1,{urlsafe}")), BODY).await;
-            assert!(status == 401 || status == 400, "in the alphabet of URLs");
+            let (status, _) = post_raw(rig.webhook, headers("m1", at, &format!("v1,{urlsafe}")), BODY).await;
+            assert!(status == 401 || status == 400, "in the URL-safe alphabet");
         }
         assert_eq!(rig.arrived(), 0);
-        // Several signatures, one of them good, in any place; unknown versions beside it are passed over.
+        // One valid signature among several is enough, in any position; unknown versions are ignored.
         let mut parts: Vec<&str> = both.signature.split(' ').collect();
         parts.reverse();
         let many = format!("v9,xyz {}", parts.join("  "));
-        assert_eq!(raw(rig.webhook, headers("m1", at, &many), BODY).await.0, 200);
+        assert_eq!(post_raw(rig.webhook, headers("m1", at, &many), BODY).await.0, 200);
         assert_eq!(rig.arrived(), 1);
     });
 }
 
 #[test]
-fn a_replayed_message_runs_nothing_here_there_or_after_a_restart_where_runners_fence() {
+fn with_fencing_a_replay_runs_nothing_at_any_front_end_nor_after_a_restart() {
     smol::block_on(async {
         let first = Rig::start(Plan { fenced: true, ..Plan::default() }).await;
         let second = first.start_another(vec![]).await;
@@ -114,57 +114,58 @@
             vec![(ID, s.id), (TIMESTAMP, s.timestamp.to_string()), (SIGNATURE, s.signature)]
         };
         let headers = message(&first.sender_key);
-        // The same bytes again: at the same front end, at another, and at one that has just started and knows nothing.
-        for (what, to) in [("first", first.webhook), ("here", first.webhook), ("there", second.webhook)] {
-            let (status, text) = raw(to, headers.clone(), BODY).await;
-            assert_eq!(status, 200, "{what}: {text}");
+        // The same bytes again: at the same front end, at another, and at one that has just started without
+        // any memory.
+        for (case, to) in [("first", first.webhook), ("same", first.webhook), ("other", second.webhook)] {
+            let (status, text) = post_raw(to, headers.clone(), BODY).await;
+            assert_eq!(status, 200, "{case}: {text}");
         }
         drop(second);
         let fresh = first.start_another(vec![]).await;
-        assert_eq!(raw(fresh.webhook, headers.clone(), BODY).await.0, 200);
-        assert_eq!(first.finished(), 1, "one run, however often its message came");
+        assert_eq!(post_raw(fresh.webhook, headers.clone(), BODY).await.0, 200);
+        assert_eq!(first.finished(), 1, "one run, however often the message arrived");
     });
 }
 
 #[test]
-fn at_the_edge_of_the_tolerance_a_replay_is_known_or_too_old_never_new() {
+fn at_the_edge_of_the_tolerance_a_replay_is_remembered_or_stale_but_never_new() {
     smol::block_on(async {
-        // As short as they may be: remembered for twice the tolerance.
+        // The shortest retention allowed, which is twice the tolerance.
         let edits = vec![
             ("listen=\"127.0.0.1:0\">", "listen=\"127.0.0.1:0\" remember=\"4s\">".to_owned()),
             ("tenant=\"brolga\">", "tenant=\"brolga\" tolerance=\"2s\">".to_owned()),
         ];
         let rig = Rig::start(Plan { edits, ..Plan::default() }).await;
-        // As far ahead as it may be: it stays acceptable for twice the tolerance.
+        // A timestamp as far ahead as allowed stays acceptable for twice the tolerance.
         let s = sign(std::slice::from_ref(&rig.sender_key), "m1", now() + 2, BODY);
         let headers = vec![(ID, s.id), (TIMESTAMP, s.timestamp.to_string()), (SIGNATURE, s.signature)];
-        let (first, _) = raw(rig.webhook, headers.clone(), BODY).await;
+        let (first, _) = post_raw(rig.webhook, headers.clone(), BODY).await;
         assert_eq!(first, 200);
-        // Until it is too old, and then for as long again, each repeat is one or the other.
-        let (mut known, mut stale) = (0, 0);
+        // From here until some time after it has become stale, each replay is either remembered or stale.
+        let (mut remembered, mut stale) = (0, 0);
         let until = s.timestamp + 2 + 3;
         while now() < until {
-            let (status, text) = raw(rig.webhook, headers.clone(), BODY).await;
+            let (status, text) = post_raw(rig.webhook, headers.clone(), BODY).await;
             match status {
-                200 => known += 1,
+                200 => remembered += 1,
                 401 if text.contains("stale-timestamp") => stale += 1,
-                429 => {} // its budget for failed signatures is spent
+                429 => {} // the source's budget for failed signatures is exhausted
                 _ => panic!("{status} {text}"),
             }
             smol::Timer::after(Duration::from_millis(20)).await;
         }
-        assert!(known > 10 && stale > 10, "both sides of the edge were met: {known} {stale}");
+        assert!(remembered > 10 && stale > 10, "both sides of the edge were met: {remembered} {stale}");
         assert_eq!(rig.arrived(), 1);
     });
 }
 
 #[test]
-fn a_replay_whose_body_comes_slowly_is_judged_when_it_is_whole() {
+fn a_replay_with_a_slow_body_is_checked_when_the_body_is_complete() {
     smol::block_on(async {
         let edits = vec![
             ("listen=\"127.0.0.1:0\">", "listen=\"127.0.0.1:0\" remember=\"4s\">".to_owned()),
             ("tenant=\"brolga\">", "tenant=\"brolga\" tolerance=\"2s\">".to_owned()),
-            // Its sender waits long, so that only its time stands against it.
+            // A long deadline, so that only the message's timestamp can cause its rejection.
             (
                 "name=\"lodge\" aim=\"500ms\" deadline=\"2s\"",
                 "name=\"lodge\" aim=\"500ms\" deadline=\"30s\"".to_owned(),
@@ -174,8 +175,8 @@
         let s = sign(std::slice::from_ref(&rig.sender_key), "m1", now() + 2, BODY);
         let headers =
             vec![(ID, s.id.clone()), (TIMESTAMP, s.timestamp.to_string()), (SIGNATURE, s.signature.clone())];
-        assert_eq!(raw(rig.webhook, headers, BODY).await.0, 200);
-        // Its headers come while it may still be known, its last byte once its id has been forgotten.
+        assert_eq!(post_raw(rig.webhook, headers, BODY).await.0, 200);
+        // The headers arrive while the id may still be remembered, the last byte once it has been forgotten.
         while now() < s.timestamp + 2 {
             smol::Timer::after(Duration::from_millis(10)).await;
         }
@@ -188,26 +189,32 @@
         stream.write_all(&BODY[..BODY.len() - 1]).await.unwrap();
         smol::Timer::after(Duration::from_secs(4)).await;
         stream.write_all(&BODY[BODY.len() - 1..]).await.unwrap();
-        let mut told = [0u8; 12];
-        stream.read_exact(&mut told).await.unwrap();
-        assert_eq!(std::str::from_utf8(&told).unwrap(), "HTTP/1.1 401");
+        let mut status_line = [0u8; 12];
+        stream.read_exact(&mut status_line).await.unwrap();
+        assert_eq!(std::str::from_utf8(&status_line).unwrap(), "HTTP/1.1 401");
         assert_eq!(rig.arrived(), 1);
     });
 }
 
-/// When a played runner closes the connection of a call.
+/// When a scripted runner closes the connection of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Dies {
-    /// Before it has read all of it: nothing ran.
+enum ClosesAt {
+    /// Before it has read the whole request: nothing ran.
     BeforeStart,
     /// In the middle of its work.
     MidRun,
-    /// Its effect stands, and nobody was told.
+    /// The effect has happened, and no answer was sent.
     AfterEffect,
 }
 
-/// A runner of one process that dies at a moment of each call and comes back; counts effects.
-async fn plays(listener: TcpListener, dies: Dies, effects: Arc<AtomicUsize>, calls: Arc<AtomicUsize>) {
+/// A scripted runner that closes the connection at one stage of each call and accepts the next; counts
+/// effects and calls.
+async fn serve_and_close(
+    listener: TcpListener,
+    closes_at: ClosesAt,
+    effects: Arc<AtomicUsize>,
+    calls: Arc<AtomicUsize>,
+) {
     while let Ok((stream, _)) = listener.accept().await {
         let mut conn = Conn::new(stream, Arc::new(Limits::default()));
         while let Ok(Some(head)) = conn.head().await {
@@ -218,11 +225,11 @@
                 continue;
             }
             calls.fetch_add(1, Ordering::Relaxed);
-            if dies == Dies::BeforeStart {
+            if closes_at == ClosesAt::BeforeStart {
                 break;
             }
             conn.body(&head).await.unwrap();
-            if dies == Dies::AfterEffect {
+            if closes_at == ClosesAt::AfterEffect {
                 effects.fetch_add(1, Ordering::Relaxed);
             }
             break;
@@ -231,37 +238,38 @@
 }
 
 #[test]
-fn a_lodgement_whose_runner_dies_at_any_moment_is_in_doubt_and_never_tried_again() {
-    for dies in [Dies::BeforeStart, Dies::MidRun, Dies::AfterEffect] {
+fn a_lodgement_whose_runner_dies_at_any_stage_is_in_doubt_and_never_retried() {
+    for closes_at in [ClosesAt::BeforeStart, ClosesAt::MidRun, ClosesAt::AfterEffect] {
         smol::block_on(async {
             let (listener, address) = bind_loopback().await;
             let (effects, calls) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-            let playing = smol::spawn(plays(listener, dies, effects.clone(), calls.clone()));
-            // A healthy runner stands beside it, to which it could be sent again: the played one is met first.
+            let serving = smol::spawn(serve_and_close(listener, closes_at, effects.clone(), calls.clone()));
+            // A healthy runner is listed too, to which the call could be retried; lodgements are sent until
+            // one reaches the scripted runner.
             let rig =
                 Rig::start(Plan { runners: 1, scripted_runners: vec![address], ..Plan::default() }).await;
-            let (mut met, mut n) = (0, 0);
-            while met == 0 {
+            let (mut scripted_calls, mut n) = (0, 0);
+            while scripted_calls == 0 {
                 let id = format!("m{n}");
                 let got = rig.send(&id, LODGE, 1).await;
-                met = calls.load(Ordering::Relaxed);
-                if met > 0 {
-                    assert_eq!(got.status, 502, "{dies:?} {got:?}");
-                    assert_eq!(got.problem().1, "unknown", "nothing is promised: {dies:?}");
+                scripted_calls = calls.load(Ordering::Relaxed);
+                if scripted_calls > 0 {
+                    assert_eq!(got.status, 502, "{closes_at:?} {got:?}");
+                    assert_eq!(got.problem().1, "unknown", "whether it ran is unknown: {closes_at:?}");
                     let again = rig.send(&id, LODGE, 1).await;
-                    assert_eq!((again.status, again.replayed), (502, true), "{dies:?}");
+                    assert_eq!((again.status, again.replayed), (502, true), "{closes_at:?}");
                 }
                 n += 1;
-                assert!(n < 500, "the played runner was never met");
+                assert!(n < 500, "no call reached the scripted runner");
             }
             let arrived = rig.arrived();
             assert_eq!(
                 arrived + calls.load(Ordering::Relaxed),
                 n,
-                "one attempt for each lodgement: {dies:?}"
+                "one attempt for each lodgement: {closes_at:?}"
             );
             assert!(effects.load(Ordering::Relaxed) <= 1);
-            drop(playing);
+            drop(serving);
         });
     }
 }
@@ -274,31 +282,33 @@
         let got = rig.send("m1", LODGE, 4_000).await;
         assert_eq!((got.status, got.problem().1.as_str()), (504, "unknown"), "{got:?}");
         let again = rig.send("m1", LODGE, 4_000).await;
-        assert_eq!((again.status, again.replayed), (504, true), "the one answer stands");
+        assert_eq!((again.status, again.replayed), (504, true), "the recorded answer is returned");
         assert_eq!(rig.arrived(), 1);
-        // The runner is there for others.
+        // The runner stays available to other calls.
         rig.until("it serves again", async || rig.send("m2", CHECK, 1).await.status == 200).await;
     });
 }
 
-/// A front end with room for one callback, to this address.
-async fn owing(at: SocketAddr) -> Rig {
+/// A front end that may have one callback pending, to this address.
+async fn start_with_one_callback(receiver: SocketAddr) -> Rig {
     let callback = format!(
-        "<callback name=\"receipts\" address=\"{at}\" path=\"/r\" key-file=\"second.key\"/></sender>"
+        "<callback name=\"receipts\" address=\"{receiver}\" path=\"/r\" key-file=\"second.key\"/></sender>"
     );
-    let room = "listen=\"127.0.0.1:0\" callbacks=\"1\">\n    <sender".to_owned();
-    let edits = vec![("</sender>", callback), ("listen=\"127.0.0.1:0\">\n    <sender", room)];
+    let callback_limit = "listen=\"127.0.0.1:0\" callbacks=\"1\">\n    <sender".to_owned();
+    let edits = vec![("</sender>", callback), ("listen=\"127.0.0.1:0\">\n    <sender", callback_limit)];
     Rig::start(Plan { edits, ..Plan::default() }).await
 }
 
-async fn asks(rig: &Rig, id: &str) -> u16 {
+/// Sends a lodgement that asks for a callback; returns the status.
+async fn send_with_callback(rig: &Rig, id: &str) -> u16 {
     let s = sign(std::slice::from_ref(&rig.sender_key), id, now(), BODY);
     let mut headers = vec![(ID, s.id), (TIMESTAMP, s.timestamp.to_string()), (SIGNATURE, s.signature)];
     headers.push(("badgerwind-callback", "receipts".into()));
-    raw(rig.webhook, headers, BODY).await.0
+    post_raw(rig.webhook, headers, BODY).await.0
 }
 
-async fn answers(receiver: &TcpListener, status: u16) -> String {
+/// Answers one callback with this status; returns the callback's id.
+async fn answer_callback(receiver: &TcpListener, status: u16) -> String {
     let (stream, _) = receiver.accept().await.unwrap();
     let mut conn = Conn::new(stream, Arc::new(Limits::default()));
     let head = conn.head().await.unwrap().unwrap();
@@ -308,59 +318,66 @@
 }
 
 #[test]
-fn a_receiver_that_is_gone_for_good_is_asked_once() {
+fn a_receiver_that_answers_410_gets_no_second_attempt() {
     smol::block_on(async {
         let (receiver, at) = bind_loopback().await;
-        let rig = owing(at).await;
-        let (status, id) = futures_lite::future::zip(asks(&rig, "m1"), answers(&receiver, 410)).await;
+        let rig = start_with_one_callback(at).await;
+        let (status, id) =
+            futures_lite::future::zip(send_with_callback(&rig, "m1"), answer_callback(&receiver, 410)).await;
         assert_eq!((status, id.as_str()), (200, "m1_answer"));
-        // Given up: its place is free for another.
-        rig.until("its place is free", async || asks(&rig, "m2").await == 200).await;
-        assert_eq!(answers(&receiver, 204).await, "m2_answer", "and m1's was not posted again");
+        // The callback was given up, so its slot is free for another.
+        rig.until("the callback slot is free", async || send_with_callback(&rig, "m2").await == 200).await;
+        assert_eq!(answer_callback(&receiver, 204).await, "m2_answer", "m1's callback was not posted again");
     });
 }
 
 #[test]
-fn a_receiver_that_is_slow_or_down_holds_up_no_sender_and_no_more_than_may_be_owed() {
+fn a_slow_or_unreachable_receiver_delays_no_sender_and_pending_callbacks_stay_limited() {
     smol::block_on(async {
         let (slow, at) = bind_loopback().await;
-        let rig = owing(at).await;
-        assert_eq!(asks(&rig, "m1").await, 200, "its receiver has taken no connection yet");
+        let rig = start_with_one_callback(at).await;
+        assert_eq!(send_with_callback(&rig, "m1").await, 200, "its receiver has accepted no connection yet");
         let (silent, _) = slow.accept().await.unwrap();
-        assert_eq!(asks(&rig, "m2").await, 503, "no more may be owed");
+        assert_eq!(send_with_callback(&rig, "m2").await, 503, "no further callback may be pending");
         assert_eq!(rig.send("m2", LODGE, 1).await.status, 200);
         drop(silent);
         let down = bind_loopback().await.1;
-        let rig = owing(down).await;
-        assert_eq!(asks(&rig, "m1").await, 200);
-        rig.until("it is owed", async || asks(&rig, "m2").await == 503).await;
-        assert_eq!(asks(&rig, "m1").await, 200, "the answer stands whatever is owed");
+        let rig = start_with_one_callback(down).await;
+        assert_eq!(send_with_callback(&rig, "m1").await, 200);
+        rig.until("the callback is pending", async || send_with_callback(&rig, "m2").await == 503).await;
+        assert_eq!(
+            send_with_callback(&rig, "m1").await,
+            200,
+            "the recorded answer is returned whatever is pending"
+        );
     });
 }
 
 #[test]
-fn a_receiver_that_comes_back_gets_its_answer_by_the_schedule_and_once() {
+fn a_receiver_that_recovers_gets_its_answer_at_the_scheduled_retry_and_once() {
     smol::block_on(async {
         let (receiver, at) = bind_loopback().await;
-        let rig = owing(at).await;
-        let (status, _) = futures_lite::future::zip(asks(&rig, "m1"), answers(&receiver, 500)).await;
+        let rig = start_with_one_callback(at).await;
+        let (status, _) =
+            futures_lite::future::zip(send_with_callback(&rig, "m1"), answer_callback(&receiver, 500)).await;
         assert_eq!(status, 200);
-        // The specification's first pause is five seconds.
-        assert_eq!(answers(&receiver, 200).await, "m1_answer");
-        rig.until("its place is free", async || asks(&rig, "m2").await == 200).await;
-        assert_eq!(answers(&receiver, 200).await, "m2_answer");
+        // The first retry of the specification's schedule comes after five seconds.
+        assert_eq!(answer_callback(&receiver, 200).await, "m1_answer");
+        rig.until("the callback slot is free", async || send_with_callback(&rig, "m2").await == 200).await;
+        assert_eq!(answer_callback(&receiver, 200).await, "m2_answer");
         assert!(poll_once(receiver.accept()).await.is_none());
     });
 }
 
 #[test]
-fn a_lodgement_beside_a_drain_finds_another_runner_or_is_refused_harmlessly() {
+fn a_lodgement_while_all_runners_drain_is_refused_and_may_be_retried() {
     smol::block_on(async {
         let rig = Rig::start(Plan::default()).await;
         for r in rig.runners.clone() {
             rig.update_list(&list_entry(r.id, r.address, State::Draining)).await;
         }
-        rig.until("all drains are known", async || rig.get("/health").await.0 == 503).await;
+        rig.until("the front end knows that all runners drain", async || rig.get("/health").await.0 == 503)
+            .await;
         let before = rig.arrived();
         let got = rig.send("m1", LODGE, 1).await;
         assert_eq!((got.status, got.problem().1.as_str()), (503, "harmless"), "{got:?}");
