--- a/crates/badgerwind-cli/tests/departures.rs
+++ b/crates/badgerwind-cli/tests/departures.rs
@@ -1,4 +1,5 @@
-//! Senders of webhooks that leave: what has begun goes on where its answer is remembered, and nothing further begins.
+//! Senders that disconnect: an attempt in progress continues where its answer is remembered, and no further
+//! attempt starts.
 
 mod rig;
 
@@ -8,15 +9,16 @@
 use smol::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// The heads of attempts that came, and how many may be answered.
+/// A runner that records the heads of the attempts it receives.
 #[derive(Clone)]
 struct Runner {
     attempts: Arc<Mutex<Vec<String>>>,
-    first: smol::channel::Receiver<()>,
+    /// Receives a message once the first attempt may be answered.
+    answer_first: smol::channel::Receiver<()>,
 }
 
 impl Runner {
-    /// The first attempt is turned away once it may be, all others are served.
+    /// Rejects the first attempt once that is allowed, and serves all others.
     async fn serve(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             smol::spawn(self.clone().connection(stream)).detach();
@@ -24,36 +26,36 @@
     }
 
     async fn connection(self, mut stream: TcpStream) {
-        let mut come = Vec::new();
+        let mut received = Vec::new();
         loop {
-            let Some(at) = come.windows(4).position(|w| w == b"\r\n\r\n") else {
+            let Some(head_end) = received.windows(4).position(|w| w == b"\r\n\r\n") else {
                 let mut piece = [0u8; 4096];
                 match stream.read(&mut piece).await {
-                    Ok(n) if n > 0 => come.extend_from_slice(&piece[..n]),
+                    Ok(n) if n > 0 => received.extend_from_slice(&piece[..n]),
                     _ => return,
                 }
                 continue;
             };
-            let head = String::from_utf8_lossy(&come[..at]).into_owned();
+            let head = String::from_utf8_lossy(&received[..head_end]).into_owned();
             let length = head.lines().find_map(|l| l.strip_prefix("content-length: ")?.parse::<usize>().ok());
-            let whole = at + 4 + length.unwrap_or(0);
-            if come.len() < whole {
+            let request_end = head_end + 4 + length.unwrap_or(0);
+            if received.len() < request_end {
                 let mut piece = [0u8; 4096];
                 match stream.read(&mut piece).await {
-                    Ok(n) if n > 0 => come.extend_from_slice(&piece[..n]),
+                    Ok(n) if n > 0 => received.extend_from_slice(&piece[..n]),
                     _ => return,
                 }
                 continue;
             }
-            come.drain(..whole);
+            received.drain(..request_end);
             let answer = if head.starts_with("POST /calls/") {
-                let nth = {
+                let count = {
                     let mut attempts = self.attempts.lock().unwrap();
                     attempts.push(head);
                     attempts.len()
                 };
-                if nth == 1 {
-                    let _ = self.first.recv().await;
+                if count == 1 {
+                    let _ = self.answer_first.recv().await;
                     "HTTP/1.1 503 Full\r\nbadgerwind-outcome: full\r\ncontent-length: 0\r\n\r\n"
                 } else {
                     "HTTP/1.1 200 OK\r\nbadgerwind-outcome: ok\r\ncontent-length: 2\r\n\r\nok"
@@ -69,22 +71,22 @@
 }
 
 fn runner() -> (Runner, smol::channel::Sender<()>) {
-    let (may, first) = smol::channel::bounded(1);
-    (Runner { attempts: Arc::default(), first }, may)
+    let (allow, answer_first) = smol::channel::bounded(1);
+    (Runner { attempts: Arc::default(), answer_first }, allow)
 }
 
 async fn until_nobody_is_connected(rig: &Rig) {
-    rig.until("the sender has gone", async || {
+    rig.until("the sender has disconnected", async || {
         rig.get("/metrics").await.1.contains("badgerwind_connections 0\n")
     })
     .await;
 }
 
 #[test]
-fn a_lodgement_whose_sender_has_left_gets_no_further_attempt() {
+fn a_lodgement_whose_sender_disconnected_gets_no_further_attempt() {
     smol::block_on(async {
         let (listener, address) = bind_loopback().await;
-        let (runner, may) = runner();
+        let (runner, allow) = runner();
         let _serving = smol::spawn(runner.clone().serve(listener));
         let edits = vec![(
             "aim=\"500ms\" deadline=\"2s\" effect=\"once\"",
@@ -92,28 +94,28 @@
         )];
         let rig =
             Rig::start(Plan { runners: 0, scripted_runners: vec![address], edits, ..Plan::default() }).await;
-        let mut gone = Box::pin(rig.send("m1", LODGE, 1));
+        let mut disconnected = Box::pin(rig.send("m1", LODGE, 1));
         rig.until("it has arrived", async || {
-            assert!(futures_lite::future::poll_once(&mut gone).await.is_none());
+            assert!(futures_lite::future::poll_once(&mut disconnected).await.is_none());
             runner.attempts.lock().unwrap().len() == 1
         })
         .await;
-        drop(gone);
+        drop(disconnected);
         until_nobody_is_connected(&rig).await;
-        may.send(()).await.unwrap();
-        // It was turned away: whoever sends the same again starts it anew, and it runs once.
+        allow.send(()).await.unwrap();
+        // The attempt was rejected, so the same message sent again starts a new call, which runs once.
         let again = rig.send("m1", LODGE, 1).await;
         for n in 0..4 {
             assert_eq!(rig.send(&format!("later{n}"), LODGE, 1).await.status, 200);
         }
         let attempts = runner.attempts.lock().unwrap().clone();
-        let of = |end: &str| {
+        let attempts_numbered = |end: &str| {
             attempts
                 .iter()
                 .filter(|h| h.lines().any(|l| l.starts_with("badgerwind-attempt: ") && l.ends_with(end)))
                 .count()
         };
-        assert_eq!(of("/1"), 0, "no second attempt of any call: {attempts:#?}");
+        assert_eq!(attempts_numbered("/1"), 0, "no second attempt of any call: {attempts:#?}");
         assert!(
             again.status == 200 || again.problem().0 == "refused" || again.problem().0 == "failed",
             "{again:?}"
@@ -122,40 +124,44 @@
 }
 
 #[test]
-fn an_attempt_whose_connection_is_not_up_never_begins_once_its_sender_has_left() {
+fn an_attempt_still_connecting_never_starts_once_its_sender_has_disconnected() {
     smol::block_on(async {
-        let door = Door::shut().unwrap();
+        let backlog = Door::shut().unwrap();
         let edits = vec![
             (
                 "key-file=\"runners.key\"",
                 "key-file=\"runners.key\" connect-time=\"20s\" call-off-time=\"10s\"".into(),
             ),
             ("deadline=\"2s\" effect=\"repeatable\"", "deadline=\"30s\" effect=\"repeatable\"".into()),
-            // Calls go out at once, without a load order ahead of them.
+            // Calls are sent at once, without a load order before them.
             ("max-attempts=\"3\"", "max-attempts=\"3\" orders=\"false\"".into()),
         ];
-        let rig =
-            Rig::start(Plan { runners: 0, scripted_runners: vec![door.address], edits, ..Plan::default() })
-                .await;
-        let mut gone = Box::pin(rig.send("m1", CHECK, 1));
-        rig.until("it is on its way", async || {
-            assert!(futures_lite::future::poll_once(&mut gone).await.is_none());
-            door.knocking() > 0
+        let rig = Rig::start(Plan {
+            runners: 0,
+            scripted_runners: vec![backlog.address],
+            edits,
+            ..Plan::default()
+        })
+        .await;
+        let mut disconnected = Box::pin(rig.send("m1", CHECK, 1));
+        rig.until("the runner's connection is being opened", async || {
+            assert!(futures_lite::future::poll_once(&mut disconnected).await.is_none());
+            backlog.knocking() > 0
         })
         .await;
-        drop(gone);
+        drop(disconnected);
         until_nobody_is_connected(&rig).await;
-        let ((runner, may), address) = (runner(), door.address);
-        may.send(()).await.unwrap();
-        let listener = TcpListener::try_from(door.open().unwrap()).unwrap();
+        let ((runner, allow), address) = (runner(), backlog.address);
+        allow.send(()).await.unwrap();
+        let listener = TcpListener::try_from(backlog.open().unwrap()).unwrap();
         let _serving = smol::spawn(runner.clone().serve(listener));
         assert_eq!(rig.send("m2", CHECK, 1).await.status, 200);
-        // A knock is repeated after a second: whoever still knocks is let in then.
-        rig.until("nobody knocks", async || knocking(address) == 0).await;
+        // A connection attempt is repeated after a second, so connections still pending are accepted then.
+        rig.until("no connection is pending", async || knocking(address) == 0).await;
         assert_eq!(rig.send("m3", CHECK, 1).await.status, 200);
         let attempts = runner.attempts.lock().unwrap().clone();
         let calls: std::collections::BTreeSet<_> =
             attempts.iter().filter_map(|h| h.lines().find_map(|l| l.strip_prefix("webhook-id: "))).collect();
-        assert_eq!(calls.len(), 2, "only those whose senders wait: {attempts:#?}");
+        assert_eq!(calls.len(), 2, "only calls whose senders wait: {attempts:#?}");
     });
 }
