--- a/crates/badgerwind-cli/tests/floods.rs
+++ b/crates/badgerwind-cli/tests/floods.rs
@@ -1,4 +1,5 @@
-//! Floods of forged webhooks on loopback sockets: who pays for them, and who does not.
+//! Floods of forged webhooks on loopback sockets: the sources of failed signatures are limited, other senders
+//! are served.
 
 mod rig;
 
@@ -12,7 +13,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs() as i64
 }
 
-/// Posts a message as a balancer would pass it on from an address.
+/// Posts a message as a load balancer would forward it from this source address; returns the status and the
+/// problem's title.
 async fn post(to: SocketAddr, key: &Key, from: &str, id: &str, (at, body): (i64, Vec<u8>)) -> (u16, String) {
     let (head, body) = exchange(to, key, from, id, (at, body)).await;
     let reason = serde_json::from_slice::<serde_json::Value>(&body).unwrap_or_default();
@@ -40,20 +42,22 @@
     pool.exchange(&request).await.unwrap()
 }
 
+/// The current time and a small body.
 fn small() -> (i64, Vec<u8>) {
     (now(), br#"{"work_us": 1000, "mean_us": 1000}"#.to_vec())
 }
 
-async fn guarded(guard: &str) -> Rig {
+/// A front end with these limits on failed signatures, behind a load balancer on loopback.
+async fn start_guarded(guard: &str) -> Rig {
     let element =
         format!("<guard {guard}><balancer address=\"127.0.0.1\"/></guard>\n    <route path=\"/check\"");
     Rig::start(Plan { edits: vec![("<route path=\"/check\"", element)], ..Plan::default() }).await
 }
 
 #[test]
-fn a_source_that_forges_is_turned_away_unread_and_others_are_served() {
+fn a_source_of_forged_messages_is_rejected_unread_and_others_are_served() {
     smol::block_on(async {
-        let rig = guarded(r#"source-burst="3" source-rate="0""#).await;
+        let rig = start_guarded(r#"source-burst="3" source-rate="0""#).await;
         let forger = Key::generate(KeyKind::Shared).unwrap();
         for n in 0..3 {
             let got = post(rig.webhook, &forger, "198.51.100.1", &format!("f{n}"), small()).await;
@@ -65,14 +69,14 @@
         assert!(body.contains("failed-signatures") && body.contains("harmless"), "{body}");
         assert!(
             head.headers.get("retry-after").is_some() && body.len() < 512,
-            "short, and says when: {body}"
+            "a short answer with a retry time: {body}"
         );
-        // Not even a good message is looked at from there; its id is not used up by that.
+        // A valid message from that source is not checked either, and its id can still be used.
         assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.1", "m1", small()).await.0, 429);
         assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.2", "m1", small()).await.0, 200);
-        // What stands before the balancer's own word is the forger's to write, and buys it nothing.
-        let claims = "203.0.113.7, 198.51.100.1";
-        assert_eq!(post(rig.webhook, &forger, claims, "f4", small()).await.0, 429);
+        // Addresses before the one that the load balancer appended can be forged, and are ignored.
+        let forwarded_for = "203.0.113.7, 198.51.100.1";
+        assert_eq!(post(rig.webhook, &forger, forwarded_for, "f4", small()).await.0, 429);
         assert_eq!((rig.arrived(), rig.finished()), (1, 1));
         let (_, text) = rig.get("/metrics").await;
         for line in [
@@ -87,9 +91,9 @@
 }
 
 #[test]
-fn a_flood_from_everywhere_shuts_no_known_sender_out() {
+fn a_flood_from_many_sources_does_not_lock_out_a_known_sender() {
     smol::block_on(async {
-        let rig = guarded(r#"source-burst="3" sender-burst="10" sender-rate="0""#).await;
+        let rig = start_guarded(r#"source-burst="3" sender-burst="10" sender-rate="0""#).await;
         assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.1", "m0", small()).await.0, 200);
         let forger = Key::generate(KeyKind::Shared).unwrap();
         let mut counts = std::collections::BTreeMap::new();
@@ -100,21 +104,21 @@
         assert_eq!(counts, [(401, 10), (429, 30)].into());
         for n in 1..10 {
             let got = post(rig.webhook, &rig.sender_key, "198.51.100.1", &format!("m{n}"), small()).await;
-            assert_eq!(got.0, 200, "known, and served throughout");
+            assert_eq!(got.0, 200, "a known source is served throughout");
         }
         assert_eq!(
             post(rig.webhook, &rig.sender_key, "198.51.100.9", "m10", small()).await.0,
             429,
-            "not yet known"
+            "a source not yet known is rejected"
         );
         assert_eq!(rig.arrived(), 10);
     });
 }
 
 #[test]
-fn a_source_is_looked_at_again_once_its_budget_has_filled() {
+fn a_source_is_checked_again_once_its_budget_has_refilled() {
     smol::block_on(async {
-        let rig = guarded(r#"source-burst="1" source-rate="5""#).await;
+        let rig = start_guarded(r#"source-burst="1" source-rate="5""#).await;
         let forger = Key::generate(KeyKind::Shared).unwrap();
         assert_eq!(post(rig.webhook, &forger, "198.51.100.1", "f", small()).await.0, 401);
         rig.until("it is served", async || {
@@ -127,9 +131,9 @@
 }
 
 #[test]
-fn large_bodies_are_checked_apart_and_cost_more_where_they_fail() {
+fn a_large_body_is_checked_and_costs_more_budget_when_it_fails() {
     smol::block_on(async {
-        let rig = guarded(r#"source-burst="3" source-rate="0""#).await;
+        let rig = start_guarded(r#"source-burst="3" source-rate="0""#).await;
         let forger = Key::generate(KeyKind::Shared).unwrap();
         let large = || {
             (
@@ -143,21 +147,22 @@
         assert_eq!(
             post(rig.webhook, &forger, "198.51.100.2", "f2", small()).await.0,
             429,
-            "all three are spent"
+            "the large body used the whole budget"
         );
         assert_eq!(rig.arrived(), 1);
     });
 }
 
 #[test]
-fn clocks_of_senders_are_told_and_stale_messages_count_as_failed() {
+fn sender_clock_skew_is_reported_and_stale_messages_count_as_failed() {
     smol::block_on(async {
-        let rig = guarded(r#"source-burst="2" source-rate="0""#).await;
+        let rig = start_guarded(r#"source-burst="2" source-rate="0""#).await;
         let ahead = || (now() + 100, small().1);
         assert_eq!(post(rig.webhook, &rig.sender_key, "198.51.100.1", "m1", ahead()).await.0, 200);
         let (_, text) = rig.get("/metrics").await;
-        let told = |n: i64| text.contains(&format!("sender_clock_skew_seconds{{sender=\"portal\"}} {n}\n"));
-        assert!(told(100) || told(99), "{text}");
+        let reported =
+            |n: i64| text.contains(&format!("sender_clock_skew_seconds{{sender=\"portal\"}} {n}\n"));
+        assert!(reported(100) || reported(99), "{text}");
         let stale = || (now() - 400, small().1);
         for n in 0..2 {
             let got = post(rig.webhook, &rig.sender_key, "198.51.100.3", &format!("s{n}"), stale()).await;
