--- a/crates/badgerwind-cli/tests/restarts.rs
+++ b/crates/badgerwind-cli/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Front ends that start again while the list of runners changes.
+//! Restarts of a front end while the list of runners changes.
 
 mod rig;
 
@@ -15,18 +15,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A list service that answers its first question once it is told to, and nothing after it.
-async fn serve_when_told(listener: TcpListener, list: List, told: Receiver<()>) {
+/// A list service that answers its first request once it is allowed to, and no request after that.
+async fn serve_when_allowed(listener: TcpListener, list: List, allowed: Receiver<()>) {
     let (stream, _) = listener.accept().await.unwrap();
     let mut conn = Conn::new(stream, Arc::new(Limits::default()));
-    let _question = conn.head().await.unwrap();
-    told.recv().await.unwrap();
+    let _request = conn.head().await.unwrap();
+    allowed.recv().await.unwrap();
     let response = Response::new(200, "application/json", serde_json::to_vec(&list).unwrap());
     conn.respond(&response, true).await.unwrap();
     std::future::pending::<()>().await;
 }
 
-/// Sends a call until the front end takes it.
+/// Sends a call repeatedly until the front end accepts it.
 async fn call(to: SocketAddr, key: &badgerwind_webhook::Key) -> u16 {
     loop {
         let body = br#"{"work_us": 1000, "mean_us": 1000}"#.to_vec();
@@ -39,17 +39,18 @@
     }
 }
 
-/// A restarted front end must not send to a runner that began to drain while it was down: its list on disk is from before.
+/// A restarted front end must not send to a runner that began to drain while it was down, although its stored
+/// list says that the runner is ready.
 #[test]
-fn a_restart_hears_of_drains_before_it_sends_anything() {
+fn a_restarted_front_end_gets_the_list_before_it_sends_a_call() {
     smol::block_on(async {
         let first = Rig::start(Plan::default()).await;
         let (drained, ready) = (first.runners[0].clone(), first.runners[1].clone());
         let (listener, list_address) = bind_loopback().await;
         let runners = vec![Runner { state: State::Draining, ..drained.clone() }, ready];
-        let (tell, told) = smol::channel::bounded(1);
+        let (allow, allowed) = smol::channel::bounded(1);
         let _service =
-            smol::spawn(serve_when_told(listener, List { version: 4, whole: true, runners }, told));
+            smol::spawn(serve_when_allowed(listener, List { version: 4, whole: true, runners }, allowed));
         let (webhook, metrics) = (unused_address(), unused_address());
         let edits = vec![
             ("<webhook listen=\"127.0.0.1:0\"", format!("<webhook listen=\"{webhook}\"")),
@@ -61,14 +62,14 @@
         let restarted =
             Rig::start(Plan { runners: 0, edits, shared, cached_list: cached, ..Plan::default() });
         let ((_restarted, status), ()) = zip(zip(restarted, call(webhook, &first.sender_key)), async {
-            // With the list on disk alone it would be at the drained runner by now.
+            // With the stored list alone the call would have reached the draining runner by now.
             first
                 .until("the call is held, or has arrived", async || {
-                    let held = figure(metrics, "badgerwind_held").await == Some(1);
+                    let held = read_metric(metrics, "badgerwind_held").await == Some(1);
                     held || first.arrived() > 0
                 })
                 .await;
-            tell.send(()).await.unwrap();
+            allow.send(()).await.unwrap();
         })
         .await;
         assert_eq!(status, 200);
@@ -80,8 +81,8 @@
     });
 }
 
-/// A figure of the front end that shows its figures there.
-async fn figure(at: SocketAddr, name: &str) -> Option<u64> {
+/// A metric of the front end that serves its metrics at this address.
+async fn read_metric(address: SocketAddr, name: &str) -> Option<u64> {
     let time = Duration::from_secs(5);
     let bounds =
         badgerwind_http::PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 1 << 20 };
@@ -91,7 +92,7 @@
         headers: vec![],
         body: Arc::from(&b""[..]),
     };
-    let (_, body) = badgerwind_http::Pool::new(at, bounds).exchange(&request).await.ok()?;
+    let (_, body) = badgerwind_http::Pool::new(address, bounds).exchange(&request).await.ok()?;
     let text = String::from_utf8(body).unwrap();
     let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '))?;
     line.parse().ok()
