--- a/crates/badgerwind-cli/tests/connect_floods.rs
+++ b/crates/badgerwind-cli/tests/connect_floods.rs
@@ -1,8 +1,9 @@
-//! Strangers connect without pause. Verdicts are on order alone: each thing happens while the flood goes on. How many connections
-//! that takes follows from what the front end lets in, not from how fast anything is. A program of its own, so that the flood runs
-//! beside no other test.
+//! A flood of new connections must not stop a front end from doing its other work: answering open calls,
+//! serving executors and handling signals. The tests check only that each event happens while the flood goes
+//! on. How many connections that takes follows from what the front end accepts, not from any speed. A test
+//! program of its own, so that no other test runs during the flood.
 
-#[allow(dead_code)] // the platform's other tests use the rest
+#[allow(dead_code)] // the platform's other tests use the remaining items
 #[path = "platform/rig.rs"]
 mod rig;
 
@@ -19,20 +20,22 @@
 const READY: u8 = 0;
 const DRAINING: u8 = 1;
 
-/// The least that a configuration may say, and the connections of clients that a front end holds with it.
+/// Limit of sockets: the lowest that a configuration may set.
 const SOCKETS: usize = 64;
-const PLACES: usize = 18;
-/// The flood's bound. What each test asks for takes a small part of it.
-const MOST: usize = 200_000;
-/// Connections after which the front end has met the flood: more than wait at once.
-const MET: usize = 2_000;
-
-/// The body of a call that an executor holds until it is told to answer; base64 is what its line says.
+/// Client connections that a front end holds at that limit.
+const CLIENT_CONNECTIONS: usize = 18;
+/// Limit of the flood's connections. What each test waits for takes a small part of it.
+const MAX_FLOOD_CONNECTIONS: usize = 200_000;
+/// Connections after which the flood has reached the front end: more than can be pending at once.
+const MIN_FLOOD_CONNECTIONS: usize = 2_000;
+
+/// Bodies of calls that an executor holds until the test allows the answer, each with its base64 form in the
+/// executor's line.
 const FIRST: (&[u8], &str) = (b"first", "Zmlyc3Q=");
 const LAST: (&[u8], &str) = (b"last", "bGFzdA==");
 
-/// Calls that are held until their gate is open; everything else is done well.
-fn holding(first: &Arc<AtomicBool>, last: &Arc<AtomicBool>) -> Script {
+/// A script that answers these calls once their gate is open, and serves everything else at once.
+fn holding_script(first: &Arc<AtomicBool>, last: &Arc<AtomicBool>) -> Script {
     let gates = [(FIRST.1, first.clone()), (LAST.1, last.clone())];
     Box::new(move |s: &Seen| {
         let data = s.line["data"].as_str();
@@ -44,66 +47,70 @@
     })
 }
 
-/// Another function with each number, so that they are at home at different executors.
-fn ask(n: u64) -> Ask {
+/// A call of a different function for each number, so that their preferred executors differ.
+fn request(n: u64) -> Ask {
     Ask { key: format!("{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), ..Ask::new(n) }
 }
 
-fn held(n: u64, body: &[u8]) -> Ask {
-    Ask { body: body.to_vec(), wait_ms: 120_000, ..ask(n) }
+fn held_request(n: u64, body: &[u8]) -> Ask {
+    Ask { body: body.to_vec(), wait_ms: 120_000, ..request(n) }
 }
 
-/// A front end under a flood, and connections that were open before it: each has an open call, so that none of them may go.
-struct Flooded {
+/// A front end under a flood, with connections that were open before. Each has an open call, so that none may
+/// be closed.
+struct FloodedFrontEnd {
     rig: Rig,
     webs: Vec<Web>,
+    /// Opens the gate of the calls with the body `FIRST`.
     first: Arc<AtomicBool>,
+    /// Opens the gate of the calls with the body `LAST`.
     last: Arc<AtomicBool>,
     flood: ConnectFlood,
-    next: u64,
+    /// Number of the last call sent.
+    next_call: u64,
 }
 
-impl Flooded {
-    /// So many connections are open when the flood begins.
-    fn start(open: usize) -> Flooded {
+impl FloodedFrontEnd {
+    /// Starts a flood while this many connections are open.
+    fn start(open: usize) -> FloodedFrontEnd {
         let (first, last) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        let scripts = (0..3).map(|_| holding(&first, &last)).collect();
+        let scripts = (0..3).map(|_| holding_script(&first, &last)).collect();
         let rig = Rig::start_with(scripts, |config| {
             config["limits"]["sockets"] = json!(SOCKETS);
-            // What is held is not called off for its executor's silence.
+            // The front end does not cancel held calls when their executor is silent.
             config["settings"]["allowed"]["mayCancel"] = json!(false);
         });
         let mut webs: Vec<Web> = (0..open).map(|_| rig.web()).collect();
         for (web, n) in webs.iter_mut().zip(1..) {
-            web.ask(1, &held(n, LAST.0)).unwrap();
+            web.ask(1, &held_request(n, LAST.0)).unwrap();
             web.healthy(2).unwrap();
             assert_eq!(web.answer().unwrap().number, 2, "its call has been read, and is open");
         }
-        webs[0].ask(2, &held(1000, FIRST.0)).unwrap();
-        let came = |e: &Executor| e.words("FN").iter().any(|s| s.line["data"] == FIRST.1);
-        assert!(until(|| rig.executors.iter().any(came)));
-        let flood = ConnectFlood::begin(rig.address, MOST);
-        assert!(until(|| flood.made() >= MET), "{}", flood.made());
-        Flooded { rig, webs, first, last, flood, next: 2000 }
+        webs[0].ask(2, &held_request(1000, FIRST.0)).unwrap();
+        let received_first = |e: &Executor| e.words("FN").iter().any(|s| s.line["data"] == FIRST.1);
+        assert!(until(|| rig.executors.iter().any(received_first)));
+        let flood = ConnectFlood::begin(rig.address, MAX_FLOOD_CONNECTIONS);
+        assert!(until(|| flood.made() >= MIN_FLOOD_CONNECTIONS), "{}", flood.made());
+        FloodedFrontEnd { rig, webs, first, last, flood, next_call: 2000 }
     }
 
-    /// It was so while the flood went on.
-    fn during(&self, what: &str) {
-        assert!(self.flood.goes_on(), "{what} only once the flood was over");
+    /// Checks that the flood is still going on after this event.
+    fn assert_flood_continues(&self, what: &str) {
+        assert!(self.flood.goes_on(), "{what} only once the flood had ended");
         println!("{what}: {} connections", self.flood.made());
     }
 
-    /// One call on a connection that was open before the flood.
+    /// Sends one call on a connection that was open before the flood.
     fn call(&mut self) {
-        self.next += 1;
+        self.next_call += 1;
         let web = &mut self.webs[0];
-        web.ask(3, &ask(self.next)).unwrap();
+        web.ask(3, &request(self.next_call)).unwrap();
         let answer = web.answer().unwrap();
         assert_eq!((answer.number, answer.status), (3, 200));
     }
 
-    /// Calls until one comes to this executor.
-    fn comes_to(&mut self, executor: &Executor) {
+    /// Sends calls until one arrives at this executor.
+    fn call_until_at(&mut self, executor: &Executor) {
         assert!(until(|| {
             self.call();
             !executor.words("FN").is_empty()
@@ -111,70 +118,71 @@
     }
 }
 
-/// All that a front end does for others goes on while strangers connect: where they take the places that are free and lose them
-/// to the next, and where no place is free and each is turned away.
+/// A front end continues all its other work during a flood of connections, both where these take the free
+/// places and are evicted by the next ones, and where no place is free and each is rejected.
 #[test]
-fn strangers_that_connect_without_pause_hold_up_nobody() {
-    for open in [1, PLACES] {
-        let mut f = Flooded::start(open);
-        f.call();
-        f.during("a call on an open connection was answered");
-
-        f.first.store(true, Ordering::Relaxed);
-        let answer = f.webs[0].answer().unwrap();
+fn a_flood_of_connections_delays_no_other_work() {
+    for open in [1, CLIENT_CONNECTIONS] {
+        let mut front_end = FloodedFrontEnd::start(open);
+        front_end.call();
+        front_end.assert_flood_continues("a call on an open connection was answered");
+
+        front_end.first.store(true, Ordering::Relaxed);
+        let answer = front_end.webs[0].answer().unwrap();
         assert_eq!((answer.number, answer.status), (2, 200));
-        f.during("an executor's answer was passed on");
+        front_end.assert_flood_continues("an executor's answer was passed on");
 
         let (new, newer) = (Executor::start(well).unwrap(), Executor::start(well).unwrap());
-        f.rig.discovery.tell(&[record(77, new.address, READY)]);
-        f.comes_to(&new);
-        f.during("a new executor was taken in");
+        front_end.rig.discovery.tell(&[record(77, new.address, READY)]);
+        front_end.call_until_at(&new);
+        front_end.assert_flood_continues("a new executor got a call");
 
-        f.rig.discovery.tell(&[record(77, new.address, DRAINING)]);
-        f.rig.discovery.tell(&[record(78, newer.address, READY)]);
-        f.comes_to(&newer);
+        front_end.rig.discovery.tell(&[record(77, new.address, DRAINING)]);
+        front_end.rig.discovery.tell(&[record(78, newer.address, READY)]);
+        front_end.call_until_at(&newer);
         let before = new.words("FN").len();
-        (0..20).for_each(|_| f.call());
-        assert_eq!(new.words("FN").len(), before, "nothing goes to one that drains");
-        f.during("an executor that drains was left alone");
-
-        let other = Board::start(4).unwrap();
-        let mut moved = f.rig.config.clone();
-        moved["board"] = json!(other.address);
-        f.rig.replace_config(&moved.to_string());
-        f.rig.signal("-HUP");
-        assert!(until(|| !other.asked().is_empty()));
-        f.during("SIGHUP was followed");
-
-        f.rig.signal("-TERM");
-        assert!(f.rig.wait_for_log(&["stopping"]));
-        f.during("SIGTERM was heard");
-        f.last.store(true, Ordering::Relaxed);
-        for web in &mut f.webs {
+        (0..20).for_each(|_| front_end.call());
+        assert_eq!(new.words("FN").len(), before, "no call goes to a draining executor");
+        front_end.assert_flood_continues("a draining executor got no calls");
+
+        let other_discovery = Board::start(4).unwrap();
+        let mut moved = front_end.rig.config.clone();
+        moved["board"] = json!(other_discovery.address);
+        front_end.rig.replace_config(&moved.to_string());
+        front_end.rig.signal("-HUP");
+        assert!(until(|| !other_discovery.asked().is_empty()));
+        front_end.assert_flood_continues("SIGHUP was applied");
+
+        front_end.rig.signal("-TERM");
+        assert!(front_end.rig.wait_for_log(&["stopping"]));
+        front_end.assert_flood_continues("SIGTERM was handled");
+        front_end.last.store(true, Ordering::Relaxed);
+        for web in &mut front_end.webs {
             let answer = web.answer().unwrap();
             assert_eq!((answer.number, answer.status), (1, 200));
         }
-        assert_eq!(f.rig.wait_for_exit(), Some(0));
-        f.during("it ended");
+        assert_eq!(front_end.rig.wait_for_exit(), Some(0));
+        front_end.assert_flood_continues("the front end ended");
     }
 }
 
-/// The state that the test above means by "no place is free": whoever comes is turned away, and the open calls stay.
+/// Checks the state that the test above relies on, in which no place is free: a new connection is rejected,
+/// and the open calls continue.
 #[test]
-fn with_an_open_call_in_each_place_a_newcomer_is_turned_away() {
+fn with_an_open_call_on_every_connection_a_new_connection_is_rejected() {
     let (first, last) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-    let rig = Rig::start_with(vec![holding(&first, &last)], |config| {
+    let rig = Rig::start_with(vec![holding_script(&first, &last)], |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["settings"]["allowed"]["mayCancel"] = json!(false);
     });
-    let mut webs: Vec<Web> = (0..PLACES).map(|_| rig.web()).collect();
+    let mut webs: Vec<Web> = (0..CLIENT_CONNECTIONS).map(|_| rig.web()).collect();
     for (web, n) in webs.iter_mut().zip(1..) {
-        web.ask(1, &held(n, LAST.0)).unwrap();
+        web.ask(1, &held_request(n, LAST.0)).unwrap();
         web.healthy(2).unwrap();
         assert_eq!(web.answer().unwrap().number, 2);
     }
     let mut newcomer = rig.web();
-    let _ = newcomer.healthy(1); // it may be closed by now
+    let _ = newcomer.healthy(1); // the connection may be closed already
     assert!(newcomer.answer().is_err());
     last.store(true, Ordering::Relaxed);
     assert!(webs.iter_mut().all(|web| web.answer().unwrap().status == 200));
