--- a/crates/badgerwind-cli/tests/store_day.rs
+++ b/crates/badgerwind-cli/tests/store_day.rs
@@ -1,6 +1,6 @@
-//! A day with a store that turns away what it can't bear, and seven in ten front ends killed: load orders divided as a budget,
-//! against static shares, and against front ends that each take the whole for their own. A measurement on processes: run it
-//! with `--ignored --nocapture`, alone on the machine.
+//! Measures load orders against a store that rejects requests over its capacity, while eight of ten front
+//! ends are killed and started again. Compares a shared budget with static shares and with front ends that
+//! each use the whole limit. Run it with `--ignored --nocapture`, alone on the machine.
 
 mod rig;
 
@@ -17,11 +17,14 @@
 
 const FRONTS: usize = 10;
 const FUNCTIONS: usize = 400;
+/// Functions that get half of the calls.
 const POPULAR: usize = 20;
-/// Orders in two seconds that the store bears: it fetches four at a time, 200 ms each, and lets so many wait.
-const WHOLE: usize = 40;
+/// Load orders in two seconds that the store can serve: it fetches four at a time, 200 ms each, and
+/// holds a few more than this many at once before it rejects any.
+const ORDER_LIMIT: usize = 40;
+/// Calls a second.
 const RATE: f64 = 90.0;
-/// What comes after each other, and for how many seconds.
+/// Consecutive phases, each with its length in seconds.
 const PHASES: [(&str, f64); 6] = [
     ("settling", 6.0),
     ("calm", 6.0),
@@ -33,30 +36,33 @@
 const AIM: Duration = Duration::from_millis(1000);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Division {
+    /// A budget that the front ends share.
     Budget,
+    /// An equal share of the limit for each front end.
     Static,
+    /// The whole limit for each front end.
     EachTheWhole,
 }
 
-fn edits(n: usize, net: &Net, way: Way) -> Vec<(&'static str, String)> {
+fn edits(n: usize, net: &Net, division: Division) -> Vec<(&'static str, String)> {
     let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.known[m]);
     let peers: String = (0..FRONTS).filter(|m| *m != n).map(peer).collect();
     let functions: String = (0..FUNCTIONS)
         .map(|f| format!("<function name=\"f{f}\" memory-mb=\"100\" lanes=\"8\" load-time=\"250ms\"/>"))
         .collect();
-    let free = match way {
-        Way::Static => WHOLE / FRONTS,
-        Way::Budget | Way::EachTheWhole => WHOLE,
+    let free = match division {
+        Division::Static => ORDER_LIMIT / FRONTS,
+        Division::Budget | Division::EachTheWhole => ORDER_LIMIT,
     };
-    // Voters are the first three: two of them outlive the day's deaths.
-    let budgets = match way {
-        Way::Budget => format!(
+    // The first three are voters, two of which are not killed.
+    let budgets = match division {
+        Division::Budget => format!(
             "<budgets version=\"1\" lease=\"600ms\" vote=\"200ms\" beat=\"100ms\">\
              <voter number=\"0\"/><voter number=\"1\"/><voter number=\"2\"/>\
-             <budget name=\"fetches\" of=\"orders\" units=\"{WHOLE}\" floor=\"1\" window=\"2s\"/></budgets>"
+             <budget name=\"fetches\" of=\"orders\" units=\"{ORDER_LIMIT}\" floor=\"1\" window=\"2s\"/></budgets>"
         ),
-        Way::Static | Way::EachTheWhole => String::new(),
+        Division::Static | Division::EachTheWhole => String::new(),
     };
     vec![
         ("front-ends=\"1\" number=\"0\"", format!("front-ends=\"{FRONTS}\" number=\"{n}\"")),
@@ -86,17 +92,18 @@
     refused: u64,
 }
 
-async fn play(way: Way, seed: u64, kill: bool) -> Vec<Phase> {
+/// Runs all phases once; `kill` says whether front ends are killed. Returns the counts of each phase.
+async fn run_trial(division: Division, seed: u64, kill: bool) -> Vec<Phase> {
     let net = Net::start(FRONTS, seed).unwrap();
     let (listener, store) = rig::bind_loopback().await;
     let counts = Arc::new(server::Counts::default());
-    let made = Spec { fetch: 200_000, wide: 4.0, most: WHOLE + 8 };
-    let serving = smol::spawn(server::serve_counted(listener, made, counts.clone()));
+    let store_spec = Spec { fetch: 200_000, wide: 4.0, most: ORDER_LIMIT + 8 };
+    let serving = smol::spawn(server::serve_counted(listener, store_spec, counts.clone()));
     let mut spec = Plan::default().spec;
     (spec.loads_when_absent, spec.memory_mb, spec.keep_alive) = (false, 3000.0, 4_000_000);
-    let begin = |n: usize, first: Option<&Rig>| {
+    let start_front_end = |n: usize, first: Option<&Rig>| {
         let (runners, shared) = if first.is_none() { (4, None) } else { (0, first.and_then(Rig::shared)) };
-        let (spec, edits) = (spec.clone(), edits(n, &net, way));
+        let (spec, edits) = (spec.clone(), edits(n, &net, division));
         Rig::start(Plan {
             runners,
             spec,
@@ -108,9 +115,9 @@
         })
     };
     let mut fronts = BTreeMap::new();
-    fronts.insert(0, begin(0, None).await);
+    fronts.insert(0, start_front_end(0, None).await);
     for n in 1..FRONTS {
-        let rig = begin(n, fronts.get(&0)).await;
+        let rig = start_front_end(n, fronts.get(&0)).await;
         fronts.insert(n, rig);
     }
     let mut rng = StdRng::seed_from_u64(seed);
@@ -123,7 +130,7 @@
         }
         if kill && phase == 4 {
             for n in (0..FRONTS).filter(|n| !fronts.contains_key(n)).collect::<Vec<_>>() {
-                let rig = begin(n, fronts.get(&0)).await;
+                let rig = start_front_end(n, fronts.get(&0)).await;
                 fronts.insert(n, rig);
             }
         }
@@ -154,37 +161,37 @@
                 (got.is_ok_and(|(head, _)| head.status == 200), sent.elapsed() <= AIM)
             }));
         }
-        let mut p = Phase { offered: calls.len(), ..Phase::default() };
+        let mut counted = Phase { offered: calls.len(), ..Phase::default() };
         for call in calls {
             let (served, in_aim) = call.await;
-            p.served += usize::from(served);
-            p.in_aim += usize::from(served && in_aim);
+            counted.served += usize::from(served);
+            counted.in_aim += usize::from(served && in_aim);
         }
-        p.fetched = counts.served.load(Ordering::Relaxed) - fetched;
-        p.refused = counts.refused.load(Ordering::Relaxed) - refused;
-        phases.push(p);
+        counted.fetched = counts.served.load(Ordering::Relaxed) - fetched;
+        counted.refused = counts.refused.load(Ordering::Relaxed) - refused;
+        phases.push(counted);
     }
     drop(serving);
     phases
 }
 
 #[test]
-#[ignore = "a measurement of minutes"]
-fn seven_in_ten_killed_before_a_store_that_turns_away() {
-    println!("| way | seed | phase | calls | served in aim | served | fetches a second | turned away by the store |");
+#[ignore = "a measurement that takes minutes"]
+fn measure_load_orders_with_eight_of_ten_front_ends_killed() {
+    println!("| division | seed | phase | calls | served in aim | served | fetches a second | rejected by the store |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for seed in 1..=2 {
-        for way in [Way::Budget, Way::Static, Way::EachTheWhole] {
-            let phases = smol::block_on(play(way, seed, true));
-            for ((name, span), p) in PHASES.iter().zip(phases).skip(1) {
-                let share = |n: usize| n as f64 / p.offered.max(1) as f64;
+        for division in [Division::Budget, Division::Static, Division::EachTheWhole] {
+            let phases = smol::block_on(run_trial(division, seed, true));
+            for ((name, span), phase) in PHASES.iter().zip(phases).skip(1) {
+                let share = |n: usize| n as f64 / phase.offered.max(1) as f64;
                 println!(
-                    "| {way:?} | {seed} | {name} | {} | {:.2} | {:.2} | {:.1} | {} |",
-                    p.offered,
-                    share(p.in_aim),
-                    share(p.served),
-                    p.fetched as f64 / span,
-                    p.refused
+                    "| {division:?} | {seed} | {name} | {} | {:.2} | {:.2} | {:.1} | {} |",
+                    phase.offered,
+                    share(phase.in_aim),
+                    share(phase.served),
+                    phase.fetched as f64 / span,
+                    phase.refused
                 );
             }
         }
