--- a/crates/badgerwind-cli/tests/days.rs
+++ b/crates/badgerwind-cli/tests/days.rs
@@ -1,12 +1,12 @@
 //! Random test days: what each severity generates, and that a seed always generates the same day.
 
 use badgerwind_cli::day::script::{Act, Script, KINDS, WORST};
-use badgerwind_cli::day::world::{Dials, Severity, World};
+use badgerwind_cli::day::world::{Overrides, Severity, World};
 use std::collections::BTreeSet;
 
 /// The set-up and the script that a seed generates for a day of 30 seconds.
 fn generate(seed: u64, severity: Severity) -> (World, Script) {
-    let world = World::dialled(seed, 30, Dials { severity, ..Dials::default() });
+    let world = World::with_overrides(seed, 30, Overrides { severity, ..Overrides::default() });
     let script = Script::draw(&world);
     (world, script)
 }
@@ -31,8 +31,9 @@
     assert!(loads[0] < 0.35 && (0.4..0.7).contains(&loads[1]), "{loads:?}");
     assert!((0.9..1.5).contains(&loads[2]) && (1.2..2.0).contains(&loads[3]), "{loads:?}");
     for load in [0.3, 1.0, 4.0] {
-        let dials = Dials { load: Some(load), runners: Some(12), fronts: Some(5), ..Dials::default() };
-        let world = World::dialled(7, 30, dials);
+        let overrides =
+            Overrides { load: Some(load), runners: Some(12), fronts: Some(5), ..Overrides::default() };
+        let world = World::with_overrides(7, 30, overrides);
         assert!((world.load() - load).abs() < 1e-9);
         assert_eq!((world.runners.len(), world.fronts), (12, 5));
     }
--- a/crates/badgerwind-cli/tests/shares.rs
+++ b/crates/badgerwind-cli/tests/shares.rs
@@ -21,8 +21,8 @@
 
 /// Changes of the settings for front end `n`: a copy of each function has to be ordered before it can serve.
 fn edits(n: usize, net: &Net, units: u16) -> Vec<(&'static str, String)> {
-    let members = net.known.len();
-    let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.known[m]);
+    let members = net.relays.len();
+    let peer = |m: usize| format!("<peer number=\"{m}\" address=\"{}\"/>", net.relays[m]);
     let peers: String = (0..members).filter(|m| *m != n).map(peer).collect();
     let voters: String = (0..members.min(3)).map(|v| format!("<voter number=\"{v}\"/>")).collect();
     let functions: String = (0..FUNCTIONS)
