--- a/crates/badgerwind-adapter/src/wire.rs
+++ b/crates/badgerwind-adapter/src/wire.rs
@@ -135,7 +135,7 @@
             lanes: event.opt("concurrency", Value::as_f64)?.unwrap_or(0.0) as u32,
             class: event.u64("priority")? as usize,
             due: event.u64("due")?,
-            load_time: event.opt("loadMs", Value::as_f64)?.map(|ms| (ms * 1000.0) as Span),
+            load_time: event.opt("loadMs", Value::as_f64)?.map(|ms| (ms * 1000.0) as Micros),
         }),
         "UnderWay" => Event::StreamBegan { id: id()?, attempt: event.u32("leg")? },
         "Answer" => {
--- a/crates/badgerwind-budgets/src/settings.rs
+++ b/crates/badgerwind-budgets/src/settings.rs
@@ -5,7 +5,7 @@
 /// A point in time on one member's own clock, in microseconds. The clock continues while the process is
 /// stopped.
 pub type Time = u64;
-/// A length of time, in microseconds.
+/// A duration, in microseconds.
 pub type Micros = u64;
 /// A front end's number in the settings.
 pub type Member = u16;
--- a/crates/badgerwind-config/src/order_limit.rs
+++ b/crates/badgerwind-config/src/order_limit.rs
@@ -3,14 +3,14 @@
 //! calls are answered. This limit counts the orders and calls of both together and holds back orders beyond
 //! it.
 
-use badgerwind::interface::{Span, Time};
+use badgerwind::interface::{Micros, Time};
 use std::collections::VecDeque;
 
 /// The limit on load orders of one front end, across all of its decision modules. Within a sliding window it
 /// allows `free` orders plus `share` orders per accepted call.
 #[derive(Debug)]
 pub struct OrderLimit {
-    window: Span,
+    window: Micros,
     free: f64,
     share: f64,
     orders: VecDeque<Time>,
@@ -19,13 +19,13 @@
 
 impl OrderLimit {
     /// Creates a limit with nothing counted. A window of 0 disables the limit.
-    pub fn new(window: Span, free: f64, share: f64) -> Self {
+    pub fn new(window: Micros, free: f64, share: f64) -> Self {
         OrderLimit { window, free, share, orders: VecDeque::new(), calls: VecDeque::new() }
     }
 
     /// Replaces the figures of the limit. Orders and calls counted so far still count: orders given under the
     /// old figures use up the new limit.
-    pub fn set_limit(&mut self, window: Span, free: f64, share: f64) {
+    pub fn set_limit(&mut self, window: Micros, free: f64, share: f64) {
         (self.window, self.free, self.share) = (window, free, share);
     }
 
--- a/crates/badgerwind-config/src/shadow.rs
+++ b/crates/badgerwind-config/src/shadow.rs
@@ -21,11 +21,11 @@
     /// The name of its function.
     pub function: String,
     /// How long its sender waits for the answer.
-    pub sender_timeout: Span,
+    pub sender_timeout: Micros,
     /// Whether it was served.
     pub served: bool,
     /// The time from arrival to the answer.
-    pub latency: Span,
+    pub latency: Micros,
 }
 
 /// The result of a replay.
--- a/crates/badgerwind-driver/src/driver.rs
+++ b/crates/badgerwind-driver/src/driver.rs
@@ -428,7 +428,7 @@
         }
     }
 
-    fn send(&mut self, id: RequestId, worker: WorkerId, timeout: Option<Span>, out: &mut Outputs<O, C, R>) {
+    fn send(&mut self, id: RequestId, worker: WorkerId, timeout: Option<Micros>, out: &mut Outputs<O, C, R>) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return; // The call is unknown or forgotten, so there is no attempt whose end could be reported.
--- a/crates/badgerwind-driver/src/lag.rs
+++ b/crates/badgerwind-driver/src/lag.rs
@@ -5,7 +5,7 @@
 //! lateness predicts the lateness to come: the estimate is the largest lateness observed, halved each
 //! [`Lag::HALF_LIFE`].
 
-use badgerwind::interface::{Span, Time};
+use badgerwind::interface::{Micros, Time};
 
 /// A decaying maximum of observed lateness.
 #[derive(Clone, Copy, Debug, Default)]
@@ -16,10 +16,10 @@
 
 impl Lag {
     /// The time in which an observation decays to a half, in microseconds.
-    pub const HALF_LIFE: Span = 1_000_000;
+    pub const HALF_LIFE: Micros = 1_000_000;
 
     /// Records that something was late by `late` microseconds.
-    pub fn observe(&mut self, now: Time, late: Span) {
+    pub fn observe(&mut self, now: Time, late: Micros) {
         self.late = self.decayed(now).max(late as f64);
         self.observed_at = now.max(self.observed_at);
     }
@@ -30,14 +30,14 @@
     }
 
     /// The lateness to expect at `now`, in microseconds.
-    pub fn get(&self, now: Time) -> Span {
-        self.decayed(now) as Span
+    pub fn get(&self, now: Time) -> Micros {
+        self.decayed(now) as Micros
     }
 
     /// The part of a sender's waiting time that may be spent on its call: the expected lateness is
     /// subtracted, but never more than half of the waiting time. A call left without any time would be
     /// refused, although the lag may be over by the time it is answered.
-    pub fn usable_wait(&self, now: Time, wait: Span) -> Span {
+    pub fn usable_wait(&self, now: Time, wait: Micros) -> Micros {
         wait - self.get(now).min(wait / 2)
     }
 }
--- a/crates/badgerwind-driver/src/lib.rs
+++ b/crates/badgerwind-driver/src/lib.rs
@@ -67,15 +67,15 @@
     /// Maximum number of attempts for one call; a further one ends as [`Outcome::Moot`].
     pub max_attempts: u32,
     /// Time after which an unanswered load order ends as [`Outcome::Timeout`].
-    pub order_timeout: Span,
+    pub order_timeout: Micros,
     /// Time after which an unanswered probe ends as [`Outcome::Timeout`].
-    pub probe_timeout: Span,
+    pub probe_timeout: Micros,
     /// How long the confirmation of a cancelled attempt may take before the attempt counts as ended without
     /// it.
-    pub cancel_timeout: Span,
+    pub cancel_timeout: Micros,
     /// Time after a call's due time in which the module may still answer it; after that the driver fails the
     /// call.
-    pub answer_slack: Span,
+    pub answer_slack: Micros,
 }
 
 /// A call as the runtime passes it in. `O` is where its answer goes; `C` is what a runner needs and is cheap
@@ -217,7 +217,7 @@
         /// Why it was refused.
         by: Refusal,
         /// How long the caller should wait before a retry.
-        retry_after: Option<Span>,
+        retry_after: Option<Micros>,
     },
     /// Failed; whether it has run is unknown.
     Failed(Failure),
@@ -248,7 +248,7 @@
         /// The runner that served it.
         worker: Option<WorkerId>,
         /// Time since the call arrived.
-        lag: Span,
+        lag: Micros,
     },
     /// Pass a streamed answer on to the caller; the call ends with its attempt.
     Stream {
--- a/crates/badgerwind-driver/tests/driver.rs
+++ b/crates/badgerwind-driver/tests/driver.rs
@@ -78,7 +78,7 @@
     Input::AttemptEnded { id: id(n), attempt, end: AttemptEnd { reply, ..AttemptEnd::from_outcome(outcome) } }
 }
 
-fn send(n: u8, worker: u32, timeout: Option<Span>) -> Action {
+fn send(n: u8, worker: u32, timeout: Option<Micros>) -> Action {
     Action::Send { id: id(n), worker, timeout }
 }
 
--- a/crates/badgerwind-freshness/src/confirmation.rs
+++ b/crates/badgerwind-freshness/src/confirmation.rs
@@ -20,45 +20,45 @@
 use crate::counters::Counters;
 use crate::record::{Inquiry, Record, Service};
 use crate::source::{ConnectionEnd, Received, SourceMonitor, Transition};
-use badgerwind::interface::{FunctionId, Outcome, Span, Time, WorkerId};
+use badgerwind::interface::{FunctionId, Micros, Outcome, Time, WorkerId};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 /// The last part of the grace period, which stays unused to allow for the time between reading the clock and
 /// sending the first byte.
-const SEND_MARGIN: Span = 10_000;
+const SEND_MARGIN: Micros = 10_000;
 /// Minimum validity of a confirmation, for very short grace periods: half of the 50 ms by which the protocol
 /// extends each limit.
-const MIN_VALIDITY: Span = 25_000;
+const MIN_VALIDITY: Micros = 25_000;
 /// A process that died is not replaced by another one sooner than this after its connections ended.
-const MIN_REPLACEMENT_TIME: Span = 500_000;
+const MIN_REPLACEMENT_TIME: Micros = 500_000;
 /// Maximum delay before reconnecting to an executor whose last connection ended.
-const MAX_RECONNECT_DELAY: Span = 200_000;
+const MAX_RECONNECT_DELAY: Micros = 200_000;
 /// Time after which discovery has noticed that an executor is unreachable.
-const MAX_DETECTION_TIME: Span = 10_000_000;
+const MAX_DETECTION_TIME: Micros = 10_000_000;
 /// Minimum pause after consecutive rejected calls; it doubles with each further one.
-const MIN_REJECTION_PAUSE: Span = 250_000;
+const MIN_REJECTION_PAUSE: Micros = 250_000;
 /// Maximum pause after consecutive rejected calls.
-const MAX_REJECTION_PAUSE: Span = 4_000_000;
+const MAX_REJECTION_PAUSE: Micros = 4_000_000;
 /// Maximum time from a start to the first frame from discovery, if it is reachable: it sends a frame each
 /// second.
-const MAX_FIRST_LIST_TIME: Span = 1_500_000;
+const MAX_FIRST_LIST_TIME: Micros = 1_500_000;
 /// Pause after an inconclusive answer to a question.
-const INCONCLUSIVE_PAUSE: Span = 100_000;
+const INCONCLUSIVE_PAUSE: Micros = 100_000;
 /// Pause before an executor that denied accepting work is asked again; it doubles with each further denial.
-const MIN_DENIAL_PAUSE: Span = 1_000_000;
+const MIN_DENIAL_PAUSE: Micros = 1_000_000;
 /// Maximum number of doublings of [`MIN_DENIAL_PAUSE`].
 const MAX_DENIAL_DOUBLINGS: u32 = 10;
 /// Maximum rate, in questions per second, at which all front ends together ask a draining executor again.
 const REPEATED_QUESTIONS_PER_SECOND: u64 = 8;
-const SECOND: Span = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 /// Settings of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub struct FreshnessSettings {
     /// Grace period in which sends to a draining executor must end.
-    pub drain_grace: Span,
+    pub drain_grace: Micros,
     /// Time after which a question counts as unanswered.
-    pub answer_timeout: Span,
+    pub answer_timeout: Micros,
     /// Whether probes may be sent.
     pub may_probe: bool,
     /// Whether load orders may be sent.
@@ -145,7 +145,7 @@
     /// Creates the state without any executors, and without a confirmation of the list by discovery.
     pub fn new(now: Time, settings: FreshnessSettings) -> Freshness {
         // The deadline is the start of the grace period; half of that is left for the questions.
-        let jitter = (settings.drain_grace as f64 / 2.0 * settings.jitter.clamp(0.0, 1.0)) as Span;
+        let jitter = (settings.drain_grace as f64 / 2.0 * settings.jitter.clamp(0.0, 1.0)) as Micros;
         Freshness {
             settings,
             started: now,
@@ -326,7 +326,7 @@
     }
 
     /// How long a confirmation is valid, from the first byte of the probe on.
-    fn validity(&self) -> Span {
+    fn validity(&self) -> Micros {
         self.settings.drain_grace.saturating_sub(SEND_MARGIN).max(MIN_VALIDITY)
     }
 
@@ -514,7 +514,7 @@
         (record.confirmed_at, record.has_answered) = (None, true);
         let doubled = MIN_DENIAL_PAUSE << record.denials.min(MAX_DENIAL_DOUBLINGS);
         let pause = doubled.min(shared_interval.max(MIN_DENIAL_PAUSE));
-        record.paused_until = now + pause + (pause as f64 * jitter) as Span;
+        record.paused_until = now + pause + (pause as f64 * jitter) as Micros;
         record.denials += 1;
         let already_reported = std::mem::replace(&mut record.reported_out_of_service, true);
         self.deviating.insert(worker);
@@ -532,7 +532,7 @@
     /// one might lead to its successor. This happens only once until the executor confirms again, so that a
     /// front end does not reconnect endlessly to an executor that closes all connections. `jitter` is a fresh
     /// random number from 0 to 1, so that front ends do not reconnect in step.
-    pub fn on_disconnected(&mut self, now: Time, worker: WorkerId, jitter: f64) -> Option<Span> {
+    pub fn on_disconnected(&mut self, now: Time, worker: WorkerId, jitter: f64) -> Option<Micros> {
         let fresh = self.source.is_fresh(now);
         self.inquiring.remove(&worker);
         let record = self.listed_record(worker)?;
@@ -544,7 +544,7 @@
             record.service = Service::Unidentified;
         }
         self.update_deviation(worker);
-        (was_confirmed && !fresh).then_some((MAX_RECONNECT_DELAY as f64 * jitter.clamp(0.0, 1.0)) as Span)
+        (was_confirmed && !fresh).then_some((MAX_RECONNECT_DELAY as f64 * jitter.clamp(0.0, 1.0)) as Micros)
     }
 
     /// Records that a connection to an executor was established while there was no other one.
--- a/crates/badgerwind-freshness/src/record.rs
+++ b/crates/badgerwind-freshness/src/record.rs
@@ -1,6 +1,6 @@
 //! What one executor has shown by its answers and connections.
 
-use badgerwind::interface::{FunctionId, Span, Time};
+use badgerwind::interface::{FunctionId, Micros, Time};
 
 /// Whether an executor is in service, as far as this differs from what discovery announced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -62,12 +62,12 @@
 
 impl Record {
     /// Whether it accepted work less than `validity` ago.
-    pub fn confirmed_within(&self, now: Time, validity: Span) -> bool {
+    pub fn confirmed_within(&self, now: Time, validity: Micros) -> bool {
         self.confirmed_at.is_some_and(|at| now < at + validity)
     }
 
     /// Whether the answer to a question is still awaited.
-    pub fn awaits_answer(&self, now: Time, answer_timeout: Span) -> bool {
+    pub fn awaits_answer(&self, now: Time, answer_timeout: Micros) -> bool {
         self.inquiry.is_some_and(|inquiry| now < inquiry.asked + answer_timeout)
     }
 
--- a/crates/badgerwind-freshness/src/source.rs
+++ b/crates/badgerwind-freshness/src/source.rs
@@ -1,14 +1,14 @@
 //! How long the list that service discovery sent may be relied on.
 
-use badgerwind::interface::{Span, Time};
+use badgerwind::interface::{Micros, Time};
 
 /// After a connection to discovery has ended, changes that it would have announced count as announced this
 /// much later (DAYS page, "Bad peers").
-pub const ANNOUNCED_AFTER_BREAK: Span = 2_000_000;
+pub const ANNOUNCED_AFTER_BREAK: Micros = 2_000_000;
 /// The same after discovery has fallen silent, and the maximum for any outage (PROTOCOL page, "Figures").
-pub const ANNOUNCED_AFTER_SILENCE: Span = 4_000_000;
+pub const ANNOUNCED_AFTER_SILENCE: Micros = 4_000_000;
 /// The same after SIGHUP has changed discovery's address (DAYS page, "New configurations and restarts").
-pub const ANNOUNCED_AFTER_ADDRESS_CHANGE: Span = 4_000_000;
+pub const ANNOUNCED_AFTER_ADDRESS_CHANGE: Micros = 4_000_000;
 
 /// What was received on a connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,12 +36,12 @@
     /// The list may no longer be relied on.
     Stale {
         /// Time since discovery last confirmed the list; `None` if it never did.
-        age: Option<Span>,
+        age: Option<Micros>,
     },
     /// Discovery has confirmed the list again.
     Fresh {
         /// How long it was stale.
-        lasted: Span,
+        lasted: Micros,
     },
 }
 
@@ -55,7 +55,7 @@
     deadline: Option<Time>,
     /// Extends the deadline, so that front ends do not act in step. It is part of the grace period, which
     /// starts at the deadline.
-    jitter: Span,
+    jitter: Micros,
     /// Since when the list is stale, as last reported by [`SourceMonitor::transition`].
     stale_since: Option<Time>,
 }
@@ -64,7 +64,7 @@
     /// Creates a monitor that regards the list as stale until discovery has confirmed it. `jitter` is how
     /// much later than at the deadline the list becomes stale; it must be less than the grace period in which
     /// sends must end.
-    pub fn new(jitter: Span) -> SourceMonitor {
+    pub fn new(jitter: Micros) -> SourceMonitor {
         SourceMonitor { confirmed_at: None, deadline: None, jitter, stale_since: None }
     }
 
--- a/crates/badgerwind-gateway/src/dispatch.rs
+++ b/crates/badgerwind-gateway/src/dispatch.rs
@@ -50,7 +50,7 @@
     pub answer: FinalAnswer<Reply>,
     pub attempts: u32,
     pub worker: Option<WorkerId>,
-    pub lag: Span,
+    pub lag: Micros,
 }
 
 /// Receives the answer of a call. Dropping it unanswered must notify the sender.
--- a/crates/badgerwind-gateway/src/engine.rs
+++ b/crates/badgerwind-gateway/src/engine.rs
@@ -51,8 +51,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ModuleSettings {
     pub limits: Limits,
-    round: Span,
-    load_window: Span,
+    round: Micros,
+    load_window: Micros,
     load_free: f64,
     load_share: f64,
 }
@@ -132,7 +132,7 @@
 }
 
 /// Longest time between a front's check of a call and its arrival at the module, in microseconds.
-const HANDOVER_TIME: Span = 500_000;
+const HANDOVER_TIME: Micros = 500_000;
 
 /// All running modules: the current one accepts calls, the previous ones complete theirs.
 struct Modules<B: Backend> {
@@ -328,7 +328,7 @@
                 Input::Call(call) => started.saturating_sub(B::accepted_at(&call.content)),
                 _ => 0,
             });
-            let late = waited.max().unwrap_or(0).max(overdue).saturating_sub(round.as_micros() as Span);
+            let late = waited.max().unwrap_or(0).max(overdue).saturating_sub(round.as_micros() as Micros);
             for input in &batch {
                 self.backend.observe(started, input);
             }
@@ -339,7 +339,7 @@
             self.lag
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .observe(started, late.max(took.as_micros() as Span));
+                .observe(started, late.max(took.as_micros() as Micros));
             self.backend.on_batch_done(modules.unanswered(), took);
             self.backend.record_stats(modules.current.figures());
             if let Some(text) = failed {
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -79,7 +79,7 @@
 /// Number of recent calls recorded, for replaying against settings before they are applied.
 const MAX_RECENT_CALLS: usize = 2_000;
 /// Age limit of those calls, in microseconds.
-const RECENT_WINDOW: Span = 20_000_000;
+const RECENT_WINDOW: Micros = 20_000_000;
 
 pub(crate) struct Front {
     pub config: RwLock<Arc<FrontConfig>>,
@@ -131,7 +131,7 @@
     settings: Arc<Settings>,
     sender: usize,
     function: usize,
-    sender_timeout: Span,
+    sender_timeout: Micros,
     class: usize,
     webhook_id: Arc<str>,
     /// The id scoped by the sender's name: the key of the replay cache.
--- a/crates/badgerwind-gateway/src/front/responses.rs
+++ b/crates/badgerwind-gateway/src/front/responses.rs
@@ -1,7 +1,7 @@
 //! Responses to senders: problem documents, replayed answers and streamed answers.
 
 use async_channel::Receiver;
-use badgerwind::interface::Span;
+use badgerwind::interface::Micros;
 use badgerwind_http::{Conn, Response, Stream};
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     pub detail: String,
     /// The message did not run, so that a retry cannot run it twice.
     pub safe_to_retry: bool,
-    pub retry_after: Option<Span>,
+    pub retry_after: Option<Micros>,
 }
 
 /// A rejection of a message that did not run.
--- a/crates/badgerwind-gateway/src/log_limit.rs
+++ b/crates/badgerwind-gateway/src/log_limit.rs
@@ -1,10 +1,10 @@
 //! Rate limit for log lines that any client can cause; counts the suppressed ones.
 
-use badgerwind::interface::{Span, Time};
+use badgerwind::interface::{Micros, Time};
 use std::cell::Cell;
 
 /// Least time between two lines of one kind, in microseconds.
-const INTERVAL: Span = 10_000_000;
+const INTERVAL: Micros = 10_000_000;
 
 /// Limits the log lines of one kind.
 #[derive(Default)]
--- a/crates/badgerwind-gateway/src/metrics.rs
+++ b/crates/badgerwind-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of the daemon in the OpenMetrics text format, and the HTTP server for operators.
 
-use badgerwind::interface::{Outcome, RouterStats, Span};
+use badgerwind::interface::{Micros, Outcome, RouterStats};
 use badgerwind_config::Report;
 use badgerwind_http::{Conn, Limits, Response};
 use prometheus_client::encoding::text::encode;
@@ -189,7 +189,7 @@
         Metrics { registry, ..metrics }
     }
 
-    pub(crate) fn record_answer(&self, class: &str, answer: &'static str, lag: Span) {
+    pub(crate) fn record_answer(&self, class: &str, answer: &'static str, lag: Micros) {
         self.answers.get_or_create(&ByAnswer { class: class.to_owned(), answer }).inc();
         self.answer_time.observe(lag as f64 / 1e6);
     }
--- a/crates/badgerwind-gateway/src/platform/clients.rs
+++ b/crates/badgerwind-gateway/src/platform/clients.rs
@@ -16,12 +16,12 @@
 use std::time::Duration;
 
 /// A connection is closed if no request, or only part of one, arrives within this time, in microseconds.
-const REQUEST_TIMEOUT: Span = 2_000_000;
+const REQUEST_TIMEOUT: Micros = 2_000_000;
 /// A connection without open requests is closed after this time, in microseconds. The platform's own clients
 /// close theirs sooner.
-const IDLE_TIMEOUT: Span = 6_000_000;
+const IDLE_TIMEOUT: Micros = 6_000_000;
 /// A connection whose client does not read its answers is closed after this time, in microseconds.
-const WRITE_TIMEOUT: Span = 5_000_000;
+const WRITE_TIMEOUT: Micros = 5_000_000;
 /// Most reads from one connection before other tasks run.
 const READS_PER_TURN: usize = 4;
 /// Most turns of [`READS_PER_TURN`] reads for one connection when input is read for the last time.
--- a/crates/badgerwind-gateway/src/platform/connection.rs
+++ b/crates/badgerwind-gateway/src/platform/connection.rs
@@ -49,7 +49,7 @@
 const READS_PER_TURN: usize = 4;
 /// How long before the end of the drain grace attempts stop being sent, in microseconds. The drain event and
 /// the first byte of an attempt may cross on the network.
-const DRAIN_MARGIN: Span = 5_000;
+const DRAIN_MARGIN: Micros = 5_000;
 
 /// A connection to an executor, and the tasks queued on it.
 pub(super) struct Connection {
--- a/crates/badgerwind-gateway/src/platform/executors.rs
+++ b/crates/badgerwind-gateway/src/platform/executors.rs
@@ -33,7 +33,7 @@
     /// Whether calls share connections.
     sharing: RefCell<Sharing>,
     /// First pause after an executor rejected a connection.
-    reject_pause: Span,
+    reject_pause: Micros,
     /// Number of connections that are established or being established.
     open_connections: Cell<usize>,
     dirty: RefCell<Vec<Rc<Connection>>>,
@@ -42,7 +42,7 @@
 
 impl Executors {
     /// Starts without any executor.
-    pub(super) fn new(connect_timeout: Span) -> Executors {
+    pub(super) fn new(connect_timeout: Micros) -> Executors {
         // A connection attempt fails after `connect_timeout`; a silence of twice that is not considered
         // chance.
         let silence_tolerance = 2 * connect_timeout;
--- a/crates/badgerwind-instance/src/lib.rs
+++ b/crates/badgerwind-instance/src/lib.rs
@@ -190,9 +190,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transport {
     /// Time after which a connection attempt has failed.
-    pub connect_timeout: Span,
+    pub connect_timeout: Micros,
     /// Time after which the other side closes an idle connection.
-    pub idle_close: Span,
+    pub idle_close: Micros,
     /// Maximum number of concurrent attempts on a connection.
     pub streams: usize,
     /// Maximum number of open requests.
--- a/crates/badgerwind-members/src/lib.rs
+++ b/crates/badgerwind-members/src/lib.rs
@@ -16,7 +16,7 @@
 
 /// A point in time on one member's own clock, in microseconds.
 pub type Time = u64;
-/// A length of time, in microseconds.
+/// A duration, in microseconds.
 pub type Micros = u64;
 /// A front end's number in the settings.
 pub type Member = u16;
--- a/crates/badgerwind-platform/src/fields.rs
+++ b/crates/badgerwind-platform/src/fields.rs
@@ -1,7 +1,7 @@
 //! Parses and validates the parameters of a request.
 
 use crate::fcgi;
-use badgerwind::interface::Span;
+use badgerwind::interface::Micros;
 use badgerwind_instance::Names;
 
 /// A parsed request.
@@ -25,7 +25,7 @@
     /// Position of the tenant in the settings.
     pub tenant: usize,
     /// How long the client waits for the answer.
-    pub wait: Span,
+    pub wait: Micros,
     /// Whether the client retries an earlier request.
     pub retry: bool,
     /// Memory of a copy, in MB.
@@ -33,7 +33,7 @@
     /// Number of requests that one copy runs concurrently.
     pub lanes: u32,
     /// Usual time to load a copy, if given.
-    pub load_time: Option<Span>,
+    pub load_time: Option<Micros>,
 }
 
 /// Why a request cannot be used.
@@ -116,7 +116,7 @@
         match name.trim() {
             "memory_mb" => fields.memory_mb = within(1e7, "memory_mb")?,
             "lanes" => fields.lanes = within(1e4, "lanes")? as u32,
-            "load_ms" => fields.load_time = Some((within(1e7, "load_ms")? * 1000.0) as Span),
+            "load_ms" => fields.load_time = Some((within(1e7, "load_ms")? * 1000.0) as Micros),
             _ => {} // attributes of later versions are ignored
         }
     }
--- a/crates/badgerwind-platform/src/reach.rs
+++ b/crates/badgerwind-platform/src/reach.rs
@@ -8,7 +8,7 @@
 //! sent over it has been unanswered for longer than busy executors usually take ([`SilenceTolerance`]), and
 //! after a rejected connection the next one is only tried after a pause.
 
-use badgerwind::interface::{Span, Time};
+use badgerwind::interface::{Micros, Time};
 
 /// The maximum pause before the next new connection, as a multiple of the first one.
 const MAX_PAUSE_FACTOR: u64 = 8;
@@ -23,23 +23,23 @@
 /// front ends that each open another connection to an executor with a queue are its worst load.
 #[derive(Clone, Debug)]
 pub struct SilenceTolerance {
-    min: Span,
-    usual: Span,
+    min: Micros,
+    usual: Micros,
 }
 
 impl SilenceTolerance {
     /// Tolerates at least `min` microseconds of silence.
-    pub fn new(min: Span) -> SilenceTolerance {
+    pub fn new(min: Micros) -> SilenceTolerance {
         SilenceTolerance { min, usual: 0 }
     }
 
     /// Records that an executor sent something after so much silence.
-    pub fn observe(&mut self, silence: Span) {
+    pub fn observe(&mut self, silence: Micros) {
         self.usual = silence.max(self.usual - self.usual / DECAY_ANSWERS);
     }
 
     /// The tolerated silence, in microseconds. A longer one is not explained by a busy executor.
-    pub fn get(&self) -> Span {
+    pub fn get(&self) -> Micros {
         self.usual.clamp(self.min, self.min * MAX_TOLERANCE_FACTOR)
     }
 }
@@ -97,16 +97,16 @@
     /// When something that requires an answer was sent, if nothing was received since.
     unanswered_since: Option<Time>,
     /// The first pause after a rejected connection, in microseconds.
-    first_pause: Span,
+    first_pause: Micros,
     /// No new connection is tried before this time.
     paused_until: Time,
-    pause: Span,
+    pause: Micros,
 }
 
 impl Reachability {
     /// Starts for an executor that was just listed. `first_pause` is the pause after the first rejected
     /// connection, in microseconds.
-    pub fn new(first_pause: Span) -> Reachability {
+    pub fn new(first_pause: Micros) -> Reachability {
         Reachability { unanswered_since: None, first_pause, paused_until: 0, pause: 0 }
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Whether existing connections still count as leading to the executor, if so much silence is tolerated.
-    pub fn is_trusted(&self, now: Time, tolerated_silence: Span) -> bool {
+    pub fn is_trusted(&self, now: Time, tolerated_silence: Micros) -> bool {
         self.unanswered_since.is_none_or(|at| now <= at + tolerated_silence)
     }
 
@@ -134,7 +134,7 @@
             return; // connections opened at the same time as the first rejected one prove nothing more
         }
         self.pause = (self.pause * 2).clamp(self.first_pause, self.first_pause * MAX_PAUSE_FACTOR);
-        self.paused_until = now + (self.pause as f64 * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as Span;
+        self.paused_until = now + (self.pause as f64 * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as Micros;
     }
 
     /// Records that the executor accepted a call over a new connection.
--- a/crates/badgerwind-scale/src/rows/call_counts.rs
+++ b/crates/badgerwind-scale/src/rows/call_counts.rs
@@ -1,11 +1,11 @@
 //! Counts of a call that need no clock, at two sizes of the list, and how they grow from one to the other.
 
 use super::front_end::{CallPath, HollowFrontEnd, Surroundings, SECOND};
-use badgerwind::interface::Span;
+use badgerwind::interface::Micros;
 use thiserror::Error;
 
-const WARM_UP: Span = SECOND;
-const MEASURED: Span = SECOND;
+const WARM_UP: Micros = SECOND;
+const MEASURED: Micros = SECOND;
 
 /// Counts of a call, periodic maintenance included.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/badgerwind-scale/src/rows/front_end.rs
+++ b/crates/badgerwind-scale/src/rows/front_end.rs
@@ -21,16 +21,16 @@
 /// Workers of a cell.
 pub const CELL_WORKERS: u32 = 100;
 /// A second, in the module's unit of time.
-pub const SECOND: Span = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 /// Events that fall due within this time are handed over together, as the driver does.
-const ROUND: Span = 500;
-const AIM: Span = SECOND;
-const DEADLINE: Span = 3 * SECOND;
+const ROUND: Micros = 500;
+const AIM: Micros = SECOND;
+const DEADLINE: Micros = 3 * SECOND;
 const LANES: u32 = 2;
 const FUNCTION_MEMORY_MB: f64 = 400.0;
-const USUAL_LOAD: Span = 900_000;
+const USUAL_LOAD: Micros = 900_000;
 /// A cold start is to take no longer than this.
-pub const COLD_AIM: Span = 1_500_000;
+pub const COLD_AIM: Micros = 1_500_000;
 /// First moment of simulated time.
 const START: Time = SECOND;
 /// Empty readings from which the meter's own cost is taken.
@@ -62,7 +62,7 @@
     /// What a worker does with a call for a function that it does not hold.
     pub when_absent: WhenAbsent,
     /// An idle copy stays for this long.
-    pub keep_alive: Span,
+    pub keep_alive: Micros,
     /// Mean number of other front ends' calls that an answer mentions.
     pub crowd: f64,
     /// Calls of other front ends that keep copies loaded; none by default.
@@ -322,7 +322,7 @@
     }
 
     /// Lets simulated time pass.
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while self.next_at().is_some_and(|at| at <= end) {
             self.take_batch();
@@ -340,7 +340,7 @@
     }
 
     /// From now on and for so long, further calls arrive for one function, so many a second.
-    pub fn begin_burst(&mut self, function: u64, calls_per_second: f64, span: Span) {
+    pub fn begin_burst(&mut self, function: u64, calls_per_second: f64, span: Micros) {
         let Some(pause) = Exp::new(calls_per_second).ok().filter(|_| calls_per_second > 0.0) else { return };
         let until = self.now + span;
         self.schedule(self.now, Pending::Burst { function, pause, until });
@@ -438,12 +438,12 @@
     fn arrival(&mut self, due: Time) -> Event {
         let pause = self.pause.sample(&mut self.rng) * SECOND as f64;
         let function = self.ranks.sample(&mut self.rng) as u64;
-        self.schedule(due.saturating_add(pause as Span), Pending::Arrival);
+        self.schedule(due.saturating_add(pause as Micros), Pending::Arrival);
         self.request(function)
     }
 
     fn burst(&mut self, due: Time, function: u64, pause: Exp<f64>, until: Time) -> Event {
-        let next = due.saturating_add((pause.sample(&mut self.rng) * SECOND as f64) as Span);
+        let next = due.saturating_add((pause.sample(&mut self.rng) * SECOND as f64) as Micros);
         if next < until {
             self.schedule(next, Pending::Burst { function, pause, until });
         }
--- a/crates/badgerwind-scale/src/rows/hard_cases.rs
+++ b/crates/badgerwind-scale/src/rows/hard_cases.rs
@@ -7,14 +7,14 @@
 use super::workers::Others;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use badgerwind::interface::{Availability, ListKind, Span, WorkerEntry};
+use badgerwind::interface::{Availability, ListKind, Micros, WorkerEntry};
 
 const FUNCTIONS: u64 = 1_000;
 const MANY_FUNCTIONS: u64 = 400_000;
-const WARM_UP: Span = 10 * SECOND;
-const MEASURED: Span = 10 * SECOND;
+const WARM_UP: Micros = 10 * SECOND;
+const MEASURED: Micros = 10 * SECOND;
 /// The beginning of a growth, while no further copy is loaded.
-const FIRST: Span = 2 * SECOND;
+const FIRST: Micros = 2 * SECOND;
 /// The function that grows, among the rarely called ones, and its calls a second once it has grown.
 const GROWN: u64 = 900;
 const GROWN_RATE: f64 = CALLS_PER_SECOND;
--- a/crates/badgerwind-scale/src/rows/lists.rs
+++ b/crates/badgerwind-scale/src/rows/lists.rs
@@ -6,23 +6,23 @@
 use crate::cost::ProcessorMeter;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use badgerwind::interface::{Availability, ListKind, Span, WorkerEntry, WorkerId};
+use badgerwind::interface::{Availability, ListKind, Micros, WorkerEntry, WorkerId};
 use badgerwind_platform::config::NameCounts;
 use badgerwind_platform::discovery::Follower;
 
 const FUNCTIONS: u64 = 1_000;
-const WARM_UP: Span = 10 * SECOND;
+const WARM_UP: Micros = 10 * SECOND;
 /// Changes of single workers, each followed by a second of calls.
 const CHANGES: u32 = 10;
 /// A worker drains; that it is gone follows after this.
-const DRAIN: Span = SECOND / 2;
+const DRAIN: Micros = SECOND / 2;
 /// A lost zone's workers go one by one within this time.
-const ZONE_LOSS: Span = 2 * SECOND;
+const ZONE_LOSS: Micros = 2 * SECOND;
 const ZONE_STEPS: usize = 20;
 const LOST_ZONE: u32 = 1;
 /// The part of a zone that restarts at once, and the time within which its workers do.
 const RESTARTED_PART: usize = 10;
-const RESTART_WAVE: Span = 10 * SECOND;
+const RESTART_WAVE: Micros = 10 * SECOND;
 
 const CHANGE: Metric = Metric { name: "change of one worker, taken in", unit: "us" };
 const CALL_BEFORE: Metric = Metric { name: "time of a call with a quiet list", unit: "us" };
@@ -159,7 +159,7 @@
     let step = gone.len().div_ceil(ZONE_STEPS).max(1);
     for part in gone.chunks(step) {
         front_end.list(ListKind::Changes, part.to_vec());
-        front_end.run(ZONE_LOSS / ZONE_STEPS as Span);
+        front_end.run(ZONE_LOSS / ZONE_STEPS as Micros);
     }
     let seconds = ZONE_LOSS as f64 / SECOND as f64 * gone.chunks(step).count() as f64 / ZONE_STEPS as f64;
     let costs = front_end.take_costs();
@@ -175,7 +175,7 @@
 fn restart_wave(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Measurement {
     let zone = lost_zone(front_end.surroundings());
     let restarted = &zone[..zone.len().div_ceil(RESTARTED_PART)];
-    let pause = RESTART_WAVE / (3 * restarted.len().max(1)) as Span;
+    let pause = RESTART_WAVE / (3 * restarted.len().max(1)) as Micros;
     front_end.take_costs();
     for worker in restarted {
         for availability in [Availability::Draining, Availability::Removed, Availability::Ready] {
@@ -222,7 +222,7 @@
 const MUST_BY_ZONE: Metric = Metric { name: "calls that had to move: a zone", unit: "of 1,000" };
 const MOVED_BY_NONE: Metric = Metric { name: "calls moved when nothing changes", unit: "of 1,000" };
 /// Time over which moved calls are counted.
-const COMPARED: Span = 30 * SECOND;
+const COMPARED: Micros = 30 * SECOND;
 
 /// Which calls go to another worker when the list changes.
 struct Moves;
@@ -284,8 +284,8 @@
 pub fn first_workers(
     surroundings: Surroundings,
     seed: u64,
-    warm_up: Span,
-    compared: Span,
+    warm_up: Micros,
+    compared: Micros,
     change: &[WorkerEntry],
 ) -> Vec<Option<WorkerId>> {
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
@@ -335,7 +335,7 @@
 const PEERS_ZONE_30: Metric =
     Metric { name: "the same from 20 to 30 s after both lists are alike", unit: "of 1,000" };
 /// A change reaches all front ends within this.
-const PROPAGATION: Span = 3 * SECOND;
+const PROPAGATION: Micros = 3 * SECOND;
 
 /// Two front ends with lists of different age.
 struct ListAges;
@@ -414,7 +414,7 @@
     }
 
     /// Lets time pass; the share of calls that arrived in it whose first workers differ.
-    fn run(&mut self, span: Span) -> f64 {
+    fn run(&mut self, span: Micros) -> f64 {
         let from = self.one.arrived() as usize;
         self.one.run(span);
         self.other.run(span);
--- a/crates/badgerwind-scale/src/rows/outages.rs
+++ b/crates/badgerwind-scale/src/rows/outages.rs
@@ -6,7 +6,7 @@
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use badgerwind::interface::{FunctionId, Span, Time, WorkerId};
+use badgerwind::interface::{FunctionId, Micros, Time, WorkerId};
 use badgerwind_freshness::{Evidence, Freshness, FreshnessSettings, Permit};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,11 +14,11 @@
 use std::collections::BinaryHeap;
 
 /// Time of the outage.
-const MEASURED: Span = 60 * SECOND;
-const GRACE: Span = SECOND / 2;
+const MEASURED: Micros = 60 * SECOND;
+const GRACE: Micros = SECOND / 2;
 /// From a question's first byte to its answer, and the same of a call.
-const QUESTION_TIME: Span = 1_000;
-const CALL_TIME: Span = 100_000;
+const QUESTION_TIME: Micros = 1_000;
+const CALL_TIME: Micros = 100_000;
 /// A question and its answer, with a function's name of 16 digits and a tag of 10.
 const QUESTION_BYTES: usize =
     r#"{"type":"SPAWN","req":"ask-123456","meta":{"obj":"7f3a9c21e0b4d655","slots_up":0}}"#.len()
@@ -136,7 +136,7 @@
     }
 
     fn play(&mut self) {
-        let apart = (SECOND as f64 / CALLS_PER_SECOND) as Span;
+        let apart = (SECOND as f64 / CALLS_PER_SECOND) as Micros;
         for call in 0..MEASURED / apart {
             let now = call * apart;
             self.take_answers(now);
--- a/crates/badgerwind-scale/src/rows/router.rs
+++ b/crates/badgerwind-scale/src/rows/router.rs
@@ -5,7 +5,7 @@
 use super::workers::Others;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use badgerwind::interface::{Span, WhenAbsent};
+use badgerwind::interface::{Micros, WhenAbsent};
 
 /// Memory that control may take at a front end.
 pub const MEMORY_BOUND: f64 = 134_217_728.0;
@@ -16,11 +16,11 @@
 const FEW_WORKERS: u32 = 120;
 const FEW_FUNCTIONS: u64 = 1_000;
 /// Simulated time before and during the measurement.
-const WARM_UP: Span = 10 * SECOND;
-const MEASURED: Span = 20 * SECOND;
+const WARM_UP: Micros = 10 * SECOND;
+const MEASURED: Micros = 20 * SECOND;
 /// With more workers the simulated time is shortened in proportion, so that a measurement ends.
-const FULL_TIME_WORKERS: Span = 16_000;
-const SHORTEST: Span = SECOND / 2;
+const FULL_TIME_WORKERS: Micros = 16_000;
+const SHORTEST: Micros = SECOND / 2;
 
 /// Processor time of the call path for each call, periodic maintenance included.
 pub const TIME_OF_CALL: Metric = Metric { name: "time of a call", unit: "us" };
@@ -60,8 +60,8 @@
 
 /// What a call path costs once it has run for a while.
 pub fn settled_costs(surroundings: Surroundings, seed: u64) -> (Costs, u64) {
-    let shortened = |span: Span| {
-        let workers = Span::from(surroundings.workers).max(FULL_TIME_WORKERS);
+    let shortened = |span: Micros| {
+        let workers = Micros::from(surroundings.workers).max(FULL_TIME_WORKERS);
         (span * FULL_TIME_WORKERS / workers).max(SHORTEST)
     };
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
@@ -162,7 +162,7 @@
     name: &'static str,
     workers: u32,
     /// When the heap is measured once more, in simulated time.
-    later: Option<Span>,
+    later: Option<Micros>,
     /// Whether the calls of the whole fleet keep copies loaded.
     fleet: bool,
 }
@@ -174,8 +174,8 @@
     Metric { name: "functions called within eight keep-alives, arithmetic", unit: "functions" };
 const HEAP_OF_FUNCTION: Metric = Metric { name: "heap a function in use", unit: "B" };
 const HEAP_OF_LIST: Metric = Metric { name: "heap of the list alone", unit: "B" };
-const HEAP_AFTER: Span = 60 * SECOND;
-const HEAP_MUCH_LATER: Span = 180 * SECOND;
+const HEAP_AFTER: Micros = 60 * SECOND;
+const HEAP_MUCH_LATER: Micros = 180 * SECOND;
 /// Keep-alives without a call after which the module forgets a function.
 const FORGOTTEN_AFTER: f64 = 8.0;
 
--- a/crates/badgerwind-scale/src/rows/workers.rs
+++ b/crates/badgerwind-scale/src/rows/workers.rs
@@ -2,7 +2,7 @@
 //! through calls and load orders. Service and load times depend on the seed, the call and the worker alone,
 //! so that two front ends whose choices differ in one call still see the same times in all others.
 
-use badgerwind::interface::{CopyMark, Outcome, Span, Time, WhenAbsent, WorkerId};
+use badgerwind::interface::{CopyMark, Micros, Outcome, Time, WhenAbsent, WorkerId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal, Poisson};
@@ -10,15 +10,15 @@
 use std::hash::Hasher;
 
 /// Time between a front end and a worker, one way.
-pub const NETWORK: Span = 400;
+pub const NETWORK: Micros = 400;
 /// Median service time; with [`SERVICE_SIGMA`] nine in ten calls take 60 to 140 ms.
 const SERVICE_MEDIAN: f64 = 92_000.0;
 const SERVICE_SIGMA: f64 = 0.25;
 /// Load times are drawn evenly between these.
-const SHORTEST_LOAD: Span = 600_000;
-const LONGEST_LOAD: Span = 1_200_000;
+const SHORTEST_LOAD: Micros = 600_000;
+const LONGEST_LOAD: Micros = 1_200_000;
 /// A call that would wait longer than this for a lane, which may still load, is turned away.
-const LONGEST_WAIT: Span = LONGEST_LOAD;
+const LONGEST_WAIT: Micros = LONGEST_LOAD;
 /// Copies of one function at one worker, at the most.
 const MOST_COPIES: u32 = 16;
 
@@ -28,7 +28,7 @@
     /// What becomes of a call for a function that is not loaded.
     pub when_absent: WhenAbsent,
     /// An idle copy stays for this long.
-    pub keep_alive: Span,
+    pub keep_alive: Micros,
     /// Calls that one copy runs at a time.
     pub lanes: u32,
     /// Mean number of other front ends' calls in hand that an answer mentions; 0: there are none.
@@ -48,7 +48,7 @@
 
 impl Others {
     /// Probability that a copy stands because another front end called the function within a keep-alive.
-    fn loaded(&self, function: u64, keep_alive: Span) -> f64 {
+    fn loaded(&self, function: u64, keep_alive: Micros) -> f64 {
         let rate = self.most_called * (function as f64).powf(-self.exponent);
         1.0 - (-rate * keep_alive as f64 / 1e6).exp()
     }
@@ -118,7 +118,7 @@
     pub fn call(&mut self, sent: Time, worker: WorkerId, function: u64, number: u64) -> Reply {
         let now = sent + NETWORK;
         let mut rng = self.rng(worker, function, number);
-        let service = self.service.sample(&mut rng) as Span;
+        let service = self.service.sample(&mut rng) as Micros;
         let load = load_time(&mut rng);
         let foreign = self.foreign.map_or(0, |f| f.sample(&mut rng) as u32);
         let model = self.model;
@@ -186,7 +186,7 @@
     }
 }
 
-fn load_time(rng: &mut StdRng) -> Span {
+fn load_time(rng: &mut StdRng) -> Micros {
     rng.random_range(SHORTEST_LOAD..=LONGEST_LOAD)
 }
 
@@ -198,7 +198,7 @@
 
     /// Takes the lane that frees first: the end of the call, and when that lane's copy is loaded. None where
     /// the wait would be too long.
-    fn serve(&mut self, now: Time, service: Span) -> Option<(Time, Time)> {
+    fn serve(&mut self, now: Time, service: Micros) -> Option<(Time, Time)> {
         let lane = self.lanes.iter_mut().min_by_key(|lane| lane.free)?;
         let begin = now.max(lane.free);
         if begin - now > LONGEST_WAIT {
--- a/crates/badgerwind-settings/src/typed.rs
+++ b/crates/badgerwind-settings/src/typed.rs
@@ -1,6 +1,6 @@
 //! The typed settings that the daemon uses.
 
-use badgerwind::interface::Span;
+use badgerwind::interface::Micros;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -54,7 +54,7 @@
     /// Number of calls that one copy runs concurrently.
     pub lanes: u32,
     /// Typical time to load a copy.
-    pub load_time: Option<Span>,
+    pub load_time: Option<Micros>,
 }
 
 /// The front for signed webhooks.
@@ -79,7 +79,7 @@
     /// Timeout for a sender to read an answer.
     pub write_timeout: Duration,
     /// How long an id and its final answer are remembered.
-    pub answer_retention: Span,
+    pub answer_retention: Micros,
     /// Maximum number of remembered ids.
     pub max_remembered_ids: usize,
     /// Maximum number of calls with an outstanding callback.
@@ -108,7 +108,7 @@
     /// Maximum number of source addresses with a budget of their own; further ones share a single budget.
     pub max_sources: usize,
     /// How long an address counts as known to a sender after a valid signature.
-    pub known_source_time: Span,
+    pub known_source_time: Micros,
     /// A body counts as one additional check for each this many bytes.
     pub bytes_per_check: u64,
     /// The addresses of load balancers in front of the front end.
@@ -225,9 +225,9 @@
     /// Maximum size of an answer, in bytes.
     pub max_answer_bytes: usize,
     /// A cancellation that is not confirmed within this time counts as done.
-    pub cancel_timeout: Span,
+    pub cancel_timeout: Micros,
     /// Timeout of a probe.
-    pub probe_timeout: Span,
+    pub probe_timeout: Micros,
     /// TLS towards runners; `None` for plain connections.
     pub tls: Option<RunnerTls>,
 }
@@ -310,11 +310,11 @@
     /// How long the service may hold a request open.
     pub poll_timeout: Duration,
     /// The first and shortest pause after a failed request.
-    pub min_backoff: Span,
+    pub min_backoff: Micros,
     /// The longest pause after a failed request.
-    pub max_backoff: Span,
+    pub max_backoff: Micros,
     /// How long an offered part may wait for another part that it needs.
-    pub stage_timeout: Span,
+    pub stage_timeout: Micros,
     /// The addresses of the services, in the order in which they are tried.
     pub services: Vec<SocketAddr>,
 }
--- a/crates/badgerwind-webhook/src/delivery.rs
+++ b/crates/badgerwind-webhook/src/delivery.rs
@@ -3,15 +3,15 @@
 //! Follows the Standard Webhooks specification, "Deliverability and reliability": increasing delays with
 //! jitter over about three days, `Retry-After` is honoured, and status 410 stops delivery.
 
-/// A duration in microseconds.
-pub type Span = u64;
+/// A duration, in microseconds.
+pub type Micros = u64;
 
-const SECOND: Span = 1_000_000;
-const MINUTE: Span = 60 * SECOND;
-const HOUR: Span = 60 * MINUTE;
+const SECOND: Micros = 1_000_000;
+const MINUTE: Micros = 60 * SECOND;
+const HOUR: Micros = 60 * MINUTE;
 
 /// The delay after each failed attempt, as the specification recommends.
-pub const SCHEDULE: [Span; 9] =
+pub const SCHEDULE: [Micros; 9] =
     [5 * SECOND, 5 * MINUTE, 30 * MINUTE, 2 * HOUR, 5 * HOUR, 10 * HOUR, 14 * HOUR, 20 * HOUR, 24 * HOUR];
 
 /// Upper bound of the random extension of a delay, as a share of the delay. It keeps many senders from
@@ -23,7 +23,7 @@
 pub enum AttemptResult {
     /// The receiver answered with this status, and perhaps asked for a delay (`Retry-After`), in
     /// microseconds.
-    Status(u16, Option<Span>),
+    Status(u16, Option<Micros>),
     /// No connection was made, so nothing was sent.
     Unreached,
     /// The connection broke, or no answer came in time: the call may have run.
@@ -36,7 +36,7 @@
     /// The message was delivered.
     Delivered,
     /// Post the message again after this delay, marked as a retry.
-    RetryAfter(Span),
+    RetryAfter(Micros),
     /// Abandon delivery for this reason; an operator should look at the message.
     GiveUp(&'static str),
 }
@@ -66,5 +66,5 @@
     let jittered = *delay as f64 * (1.0 + JITTER * random.clamp(0.0, 1.0));
     // The receiver may ask for a longer delay, up to the longest of the schedule, but not for a shorter one.
     let longest = SCHEDULE[SCHEDULE.len() - 1];
-    NextStep::RetryAfter((jittered as Span).max(requested.unwrap_or(0).min(longest)))
+    NextStep::RetryAfter((jittered as Micros).max(requested.unwrap_or(0).min(longest)))
 }
--- a/crates/badgerwind/src/dispatch.rs
+++ b/crates/badgerwind/src/dispatch.rs
@@ -116,7 +116,7 @@
         let warm = self.warm_copies(slot, worker) > 0;
         let load = if warm { 0.0 } else { self.state.functions[slot].load_time };
         let slowness = self.state.workers.get(&worker).map_or(1.0, |worker| worker.slowness.max(1.0));
-        let expected = (self.service(slot) * slowness * self.state.overdue_factor + load) as Span;
+        let expected = (self.service(slot) * slowness * self.state.overdue_factor + load) as Micros;
         self.state.begin_attempt(id, worker, self.now, expected);
         let copies = self.state.functions[slot].copies.entry(worker);
         copies.and_modify(|copies| copies.used_at = if warm { self.now } else { copies.used_at });
--- a/crates/badgerwind/src/feedback.rs
+++ b/crates/badgerwind/src/feedback.rs
@@ -181,7 +181,7 @@
                 }
             }
             Outcome::Error if unserved => (function.errors, function.failed_at) = (function.errors + 1, now),
-            Outcome::Full | Outcome::Error => worker.no_load_until = now + function.load_time as Span,
+            Outcome::Full | Outcome::Error => worker.no_load_until = now + function.load_time as Micros,
             Outcome::Reset => _ = worker.health.fail(1.0, now, pause),
             _ => _ = worker.health.fail(2.0, now, pause), // a tripped worker gets no loads
         }
--- a/crates/badgerwind/src/interface.rs
+++ b/crates/badgerwind/src/interface.rs
@@ -5,8 +5,8 @@
 
 /// A point in time, in microseconds.
 pub type Time = u64;
-/// A length of time, in microseconds.
-pub type Span = u64;
+/// A duration, in microseconds.
+pub type Micros = u64;
 /// A request's id, unique over the lifetime of the fleet.
 pub type RequestId = Arc<str>;
 /// A function's name.
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Span,
+    pub aim: Micros,
     /// How long a client waits, over all its attempts.
-    pub deadline: Span,
+    pub deadline: Micros,
     /// The aim grows by this many times the request's own work, up to the deadline.
     pub aim_stretch: f64,
     /// Whether a request may be repeated.
@@ -50,7 +50,7 @@
     /// For by-key classes: the workers that drop repeats.
     pub group: Group,
     /// For by-key classes: how long they drop them.
-    pub window: Span,
+    pub window: Micros,
     /// Worth of an answer within the aim.
     pub worth: f64,
     /// Worth of a later answer, as a share of `worth`.
@@ -140,15 +140,15 @@
     /// How the list of workers reaches this front end.
     pub discovery: Discovery,
     /// For [`Discovery::Ask`]: a front end that has not asked for this long counts as informed of all changes.
-    pub ask_within: Span,
+    pub ask_within: Micros,
     /// What a worker does with a request for a function that it has not loaded.
     pub when_absent: WhenAbsent,
     /// Minimum time for which an idle copy stays loaded.
-    pub keep_alive: Span,
+    pub keep_alive: Micros,
     /// Memory of each kind of worker, in MB, by [`WorkerEntry::kind`].
     pub memory_mb: Vec<f64>,
     /// Time after which a load order without an answer ends as [`Outcome::Timeout`].
-    pub order_timeout: Span,
+    pub order_timeout: Micros,
     /// Whether load orders and drops are allowed.
     pub may_order: bool,
     /// Whether answers carry a [`CopyMark`].
@@ -156,7 +156,7 @@
     /// Whether answers carry a crowd mark: the number of requests for the function at the worker.
     pub marks_crowd: bool,
     /// Sliding window of the limit on load orders; 0 for no limit.
-    pub load_window: Span,
+    pub load_window: Micros,
     /// Load orders allowed in that window regardless of the traffic.
     pub load_free: f64,
     /// Further load orders allowed for each request accepted in that window.
@@ -178,21 +178,21 @@
     /// Whether messages to other front ends are allowed.
     pub may_message: bool,
     /// Longest `retry_after` that clients respect; 0 when none is given.
-    pub max_retry_after: Span,
+    pub max_retry_after: Micros,
     /// Time after the client's deadline in which a final answer still counts.
-    pub answer_slack: Span,
+    pub answer_slack: Micros,
     /// Time within which sends to a draining worker must stop.
-    pub drain_grace: Span,
+    pub drain_grace: Micros,
     /// Share of its full capacity that a worker has at its start, at least.
     pub cold_from: f64,
     /// Time after which a worker has its full capacity.
-    pub warm_after: Span,
+    pub warm_after: Micros,
     /// A cold worker fails when it is sent more than this multiple of its current capacity...
     pub fall_multiple: f64,
     /// ...for this time.
-    pub fall_window: Span,
+    pub fall_window: Micros,
     /// Shortest time between two batches of events.
-    pub round: Span,
+    pub round: Micros,
     /// Where load reports are sent.
     pub report_mode: ReportMode,
     /// The values of a load report, in order.
@@ -290,7 +290,7 @@
     /// Its tenant, an index into [`Settings::tenants`].
     pub tenant: usize,
     /// Expected processing time on a standard core, if given.
-    pub hint: Option<Span>,
+    pub hint: Option<Micros>,
     /// The function it calls.
     pub function: FunctionId,
     /// Memory of one copy, in MB.
@@ -302,7 +302,7 @@
     /// When the client gives up.
     pub due: Time,
     /// Usual load time of the function, if given.
-    pub load_time: Option<Span>,
+    pub load_time: Option<Micros>,
 }
 
 /// An input to the router.
@@ -337,7 +337,7 @@
         /// Whether the request has its final answer.
         last: bool,
         /// Time since it was sent.
-        lag: Span,
+        lag: Micros,
         /// What the answer says about the copy.
         mark: CopyMark,
         /// Requests for the function at the worker when this one arrived, if given.
@@ -392,7 +392,7 @@
         /// Copies now loaded at the worker.
         copies: u32,
         /// Time since the order.
-        lag: Span,
+        lag: Micros,
     },
 }
 
@@ -423,7 +423,7 @@
         /// The worker.
         worker: WorkerId,
         /// Timeout; `None`: until the client gives up.
-        timeout: Option<Span>,
+        timeout: Option<Micros>,
     },
     /// Cancel an attempt.
     Cancel {
@@ -437,7 +437,7 @@
         /// The request.
         id: RequestId,
         /// How long the client should wait before a retry.
-        retry_after: Option<Span>,
+        retry_after: Option<Micros>,
     },
     /// Give the final answer: the request failed, and may have had an effect.
     Fail {
@@ -463,7 +463,7 @@
     /// Set an alarm.
     SetAlarm {
         /// Time until it is due.
-        after: Span,
+        after: Micros,
         /// Its name.
         name: Arc<str>,
     },
--- a/crates/badgerwind/src/maintenance.rs
+++ b/crates/badgerwind/src/maintenance.rs
@@ -29,7 +29,7 @@
         // Slowness fades: a worker that was slow for a moment gets hardly any calls that would correct it.
         let window = ago(self.settings.load_window);
         let (sends, starts) = (ago(self.settings.fall_window), ago(self.settings.warm_after));
-        let (unused, fade) = (ago(UNUSED * self.keep_alive() as Span), self.keep_alive() * SLOW_SPAN);
+        let (unused, fade) = (ago(UNUSED * self.keep_alive() as Micros), self.keep_alive() * SLOW_SPAN);
         let limits = MaintenanceLimits { most: MAINTAINED, now, window, sends, starts, unused, fade };
         let (visited, pass_ends) = self.state.maintain(&limits);
         let ready = visited.iter().filter_map(|id| self.state.workers.get(id)).filter(|worker| worker.ready);
--- a/crates/badgerwind/src/records.rs
+++ b/crates/badgerwind/src/records.rs
@@ -269,7 +269,7 @@
     pub mean_service: f64,
     pub quick_service: f64,
     /// Length of a bin of arrivals, the bins (the last one is still open), and the last one's number.
-    pub step: Span,
+    pub step: Micros,
     pub bins: VecDeque<f64>,
     pub bin_number: u64,
     /// Uses with slow decay, and the time of the last one.
@@ -339,7 +339,7 @@
     /// Own attempts for the function that were in flight there when it was sent.
     pub own: u32,
     /// Time after which it is overdue.
-    pub expected: Span,
+    pub expected: Micros,
     pub in_flight: bool,
     pub never_ran: bool,
     /// Its end is no sign of overload, so the next attempt does not use the retry budget.
@@ -354,12 +354,12 @@
 pub(crate) struct Answer {
     pub outcome: Outcome,
     pub last: bool,
-    pub lag: Span,
+    pub lag: Micros,
     pub mark: CopyMark,
     pub crowd: Option<u32>,
     /// Own attempts for the function there when it was sent, and the time since then by this clock.
     pub own: u32,
-    pub waited: Span,
+    pub waited: Micros,
 }
 
 /// What the end of a load order tells.
@@ -367,7 +367,7 @@
 pub(crate) struct LoadResult {
     pub outcome: Outcome,
     pub copies: u32,
-    pub lag: Span,
+    pub lag: Micros,
 }
 
 /// What to do with a request now.
--- a/crates/badgerwind/src/router.rs
+++ b/crates/badgerwind/src/router.rs
@@ -17,7 +17,7 @@
     pub(crate) state: RouterState,
     pub(crate) now: Time,
     pub(crate) started_at: Option<Time>, // time of the first event
-    pub(crate) interval: Span,           // of the periodic maintenance: a small part of the shortest aim
+    pub(crate) interval: Micros,         // of the periodic maintenance: a small part of the shortest aim
 }
 
 impl Router {
@@ -50,7 +50,7 @@
     /// against senders of unknown names: such a function gets one call at a time and no load orders.
     pub(crate) fn is_doubtful(&self, slot: usize) -> bool {
         let function = &self.state.functions[slot];
-        let failed_lately = || function.failed_at + (MAX_HOLD * function.load_time) as Span > self.now;
+        let failed_lately = || function.failed_at + (MAX_HOLD * function.load_time) as Micros > self.now;
         function.mean_service == 0.0 && function.errors >= MIN_ERRORS && failed_lately()
     }
 }
--- a/crates/badgerwind/src/router_state.rs
+++ b/crates/badgerwind/src/router_state.rs
@@ -150,7 +150,7 @@
         Some(changed)
     }
     /// Adds a function and returns its slot.
-    pub(crate) fn insert_function(&mut self, request: &Request, load_time: f64, step: Span) -> usize {
+    pub(crate) fn insert_function(&mut self, request: &Request, load_time: f64, step: Micros) -> usize {
         let (name, class) = (request.function.clone(), request.class);
         let slot = self.free_slots.pop().unwrap_or(self.functions.len());
         self.slots.insert(name.clone(), slot);
@@ -422,7 +422,13 @@
             self.copies_at(slot, id).shared = place < spread;
         }
     }
-    pub(crate) fn begin_attempt(&mut self, id: &RequestId, worker_id: WorkerId, sent: Time, expected: Span) {
+    pub(crate) fn begin_attempt(
+        &mut self,
+        id: &RequestId,
+        worker_id: WorkerId,
+        sent: Time,
+        expected: Micros,
+    ) {
         let Some(slot) = self.open.get(id).map(|open| open.slot) else { return };
         if !self.workers.contains_key(&worker_id) {
             return;
--- a/crates/badgerwind/src/shares.rs
+++ b/crates/badgerwind/src/shares.rs
@@ -26,14 +26,14 @@
     /// Requests a second of a tenant at all front ends, from recent messages, scaled up for silent ones.
     /// Guards against unequal front ends: busy ones would overestimate the sum by scaling up their own rate.
     pub(crate) fn fleet_rate(&self, tenant: usize, local: f64) -> f64 {
-        let from = self.now.saturating_sub((self.keep_alive() * PEER_RATES_VALID) as Span);
+        let from = self.now.saturating_sub((self.keep_alive() * PEER_RATES_VALID) as Micros);
         let (sum, count) = self.state.sum_peer_rates(tenant, from);
         (local + sum) * f64::from(self.settings.front_ends.max(1)) / (1.0 + count)
     }
 
     /// Time between two messages of a front end.
-    pub(crate) fn message_interval(&self) -> Span {
-        (self.keep_alive() / MESSAGES) as Span
+    pub(crate) fn message_interval(&self) -> Micros {
+        (self.keep_alive() / MESSAGES) as Micros
     }
 
     /// Sends a randomly drawn front end the tenants' rates and half of what is known of workers' loads. With
@@ -47,7 +47,7 @@
         self.state.next_message_at = now + self.message_interval();
         let tenants = 0..self.settings.tenants.len().min(MAX_TENANTS);
         let rates: Vec<f64> = tenants.map(|tenant| self.local_rate(tenant).unwrap_or(0.0)).collect();
-        self.state.forget_peer_rates(now.saturating_sub((self.keep_alive() * PEER_RATES_VALID) as Span));
+        self.state.forget_peer_rates(now.saturating_sub((self.keep_alive() * PEER_RATES_VALID) as Micros));
         let loads = self.state.best_known_loads(now, span).into_iter();
         let bytes = message::write(&rates, loads, |id| self.state.split_load(id, now, span));
         let to = (self.settings.my_number + 1 + self.rng.u32(0..others)) % self.settings.front_ends;
