--- a/crates/badgerwind-check/src/judge.rs
+++ b/crates/badgerwind-check/src/judge.rs
@@ -402,7 +402,7 @@
                 draining_since.retain(|(f, _), at| f != front || *at + self.facts.transit < line.at);
             }
             let (front, runner, what) = match &line.event {
-                Event::Listed { front, runner, state: State::Ready } => {
+                Event::Listed { front, runner, availability: Availability::Ready } => {
                     draining_since.remove(&(*front, *runner));
                     continue;
                 }
--- a/crates/badgerwind-check/src/lib.rs
+++ b/crates/badgerwind-check/src/lib.rs
@@ -13,5 +13,5 @@
 
 pub use judge::{judge, LimitUse, Report, Rule, Service, Violation};
 pub use record::{
-    read, Answer, ClassFacts, Effect, Event, Facts, Group, Line, LoadLimit, RunnerFacts, State,
+    read, Answer, Availability, ClassFacts, Effect, Event, Facts, Group, Line, LoadLimit, RunnerFacts,
 };
--- a/crates/badgerwind-check/src/record.rs
+++ b/crates/badgerwind-check/src/record.rs
@@ -24,16 +24,17 @@
     GaveUp,
 }
 
-/// State of a runner in the runner list.
+/// Whether a runner accepts calls, as the runner list reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum Availability {
     /// Accepts calls.
     Ready,
     /// Finishes what it has; accepts no new calls.
     Draining,
     /// Removed from the list.
-    Gone,
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 /// An event that a peer of the gateway observed.
@@ -146,14 +147,15 @@
         /// The runner.
         runner: u32,
     },
-    /// The list service reported a runner's state to a front end.
+    /// The list service reported to a front end whether a runner accepts calls.
     Listed {
         /// The front end.
         front: u32,
         /// The runner.
         runner: u32,
-        /// The reported state.
-        state: State,
+        /// Whether the runner accepts calls.
+        #[serde(rename = "state")]
+        availability: Availability,
     },
     /// A front end began to serve.
     FrontStarted {
--- a/crates/badgerwind-check/tests/edges.rs
+++ b/crates/badgerwind-check/tests/edges.rs
@@ -163,19 +163,24 @@
 
 #[test]
 fn sends_to_a_draining_runner_end_within_the_grace_period() {
-    let listed = |at, state| line(at, Event::Listed { front: 0, runner: 1, state });
+    let listed = |at, availability| line(at, Event::Listed { front: 0, runner: 1, availability });
     let order = |at, copies| line(at, Event::Ordered { runner: 1, front: 0, function: "f".into(), copies });
-    for state in [State::Draining, State::Gone] {
-        assert!(rules(&[listed(0, state), arrived(510_000, 1, "a", 0, "check")]).is_empty());
-        assert_eq!(rules(&[listed(0, state), arrived(510_001, 1, "a", 0, "check")]), [Rule::Drain]);
-        assert_eq!(rules(&[listed(0, state), order(510_001, 1)]), [Rule::Drain]);
-        assert!(rules(&[listed(0, state), order(510_001, 0)]).is_empty(), "a query is not a load order");
-        let again = [listed(0, state), listed(400_000, state), arrived(510_001, 1, "a", 0, "check")];
+    for availability in [Availability::Draining, Availability::Removed] {
+        assert!(rules(&[listed(0, availability), arrived(510_000, 1, "a", 0, "check")]).is_empty());
+        assert_eq!(rules(&[listed(0, availability), arrived(510_001, 1, "a", 0, "check")]), [Rule::Drain]);
+        assert_eq!(rules(&[listed(0, availability), order(510_001, 1)]), [Rule::Drain]);
+        assert!(
+            rules(&[listed(0, availability), order(510_001, 0)]).is_empty(),
+            "a query is not a load order"
+        );
+        let again =
+            [listed(0, availability), listed(400_000, availability), arrived(510_001, 1, "a", 0, "check")];
         assert_eq!(rules(&again), [Rule::Drain], "the first of two reports counts");
-        let back = [listed(0, state), listed(400_000, State::Ready), arrived(S, 1, "a", 0, "check")];
+        let back =
+            [listed(0, availability), listed(400_000, Availability::Ready), arrived(S, 1, "a", 0, "check")];
         assert!(rules(&back).is_empty());
     }
-    let other = line(0, Event::Listed { front: 1, runner: 1, state: State::Draining });
+    let other = line(0, Event::Listed { front: 1, runner: 1, availability: Availability::Draining });
     assert!(
         rules(&[other, arrived(S, 1, "a", 0, "check")]).is_empty(),
         "each front end counts by its own reports"
@@ -286,6 +291,20 @@
     assert!(read(&format!("{text}\nnonsense")).unwrap_err().starts_with("line 2"));
 }
 
+#[test]
+fn availability_keeps_its_names_in_records() {
+    for (name, availability) in [
+        ("ready", Availability::Ready),
+        ("draining", Availability::Draining),
+        ("gone", Availability::Removed),
+    ] {
+        let listed = line(5, Event::Listed { front: 0, runner: 1, availability });
+        let text = format!(r#"{{"at":5,"what":"listed","front":0,"runner":1,"state":"{name}"}}"#);
+        assert_eq!(serde_json::to_string(&listed).unwrap(), text);
+        assert_eq!(read(&text).unwrap(), [listed]);
+    }
+}
+
 fn limit_use(lines: &[Line], rule: Rule) -> LimitUse {
     judge(&facts(), lines).limit_use[&rule]
 }
@@ -311,7 +330,7 @@
         "an attempt that provably never ran does not test the rule"
     );
     // The drain of a runner in use, and of an idle one.
-    let drains = |at| line(at, Event::Listed { front: 0, runner: 1, state: State::Draining });
+    let drains = |at| line(at, Event::Listed { front: 0, runner: 1, availability: Availability::Draining });
     let used = arrived(S, 1, "a", 0, "check");
     assert!(limit_use(&[used.clone(), drains(S + 400_000)], Rule::Drain).is_exercised());
     assert!(!limit_use(&[used, drains(2 * S)], Rule::Drain).is_exercised());
@@ -333,15 +352,16 @@
 
 #[test]
 fn a_front_end_killed_as_a_drain_was_reported_did_not_receive_it() {
-    let listed = |at, state| line(at, Event::Listed { front: 0, runner: 1, state });
+    let listed = |at, availability| line(at, Event::Listed { front: 0, runner: 1, availability });
     let killed = |at| line(at, Event::FrontKilled { front: 0 });
     let late = arrived(2 * S, 1, "a", 0, "check");
     for (reported, killed_at, kept) in [(S, S + 10_000, true), (S, S + 10_001, false), (S, S - 1, false)] {
-        let got = rules(&[listed(reported, State::Draining), killed(killed_at), late.clone()]);
+        let got = rules(&[listed(reported, Availability::Draining), killed(killed_at), late.clone()]);
         assert_eq!(got.is_empty(), kept, "reported at {reported}, killed at {killed_at}: {got:?}");
     }
     // The next process receives the report again, and must keep to it.
-    let again = [listed(S, State::Draining), killed(S + 1), listed(S + 400_000, State::Draining), late];
+    let again =
+        [listed(S, Availability::Draining), killed(S + 1), listed(S + 400_000, Availability::Draining), late];
     assert_eq!(rules(&again), [Rule::Drain]);
 }
 
--- a/crates/badgerwind-cli/examples/blind_to_drains.rs
+++ b/crates/badgerwind-cli/examples/blind_to_drains.rs
@@ -3,7 +3,7 @@
 
 use badgerwind_cli::serve::{load, serve_with};
 use badgerwind_gateway::Options;
-use badgerwind_protocol::list::{List, State};
+use badgerwind_protocol::list::{Availability, List};
 use clap::Parser;
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -15,7 +15,10 @@
 
 /// Marks draining runners as ready.
 fn hide_drains(list: &mut List) {
-    list.runners.iter_mut().filter(|r| r.state == State::Draining).for_each(|r| r.state = State::Ready);
+    list.runners
+        .iter_mut()
+        .filter(|r| r.availability == Availability::Draining)
+        .for_each(|r| r.availability = Availability::Ready);
 }
 
 fn main() -> ExitCode {
--- a/crates/badgerwind-cli/src/day/fleet.rs
+++ b/crates/badgerwind-cli/src/day/fleet.rs
@@ -5,7 +5,7 @@
 use crate::standin::RunnerFile;
 use crate::CommandError;
 use badgerwind_check::Event;
-use badgerwind_protocol::list::{Runner, State};
+use badgerwind_protocol::list::{Availability, Runner};
 use badgerwind_standins::list::Lag;
 use badgerwind_standins::record::{now, Recorder};
 use badgerwind_standins::runner::{FaultCommand, Switch};
@@ -151,7 +151,7 @@
             fleet.start_runner(id, address, false)?;
         }
         let runners: Vec<Runner> =
-            fleet.runners.keys().map(|id| fleet.list_entry(*id, State::Ready, None)).collect();
+            fleet.runners.keys().map(|id| fleet.list_entry(*id, Availability::Ready, None)).collect();
         fleet.list = fleet.start_standin("list", "list", &runners, any_port, &[])?;
         for number in 0..fleet.world.fronts {
             let address = fleet.ports.next()?;
@@ -161,8 +161,8 @@
         Ok(fleet)
     }
 
-    fn list_entry(&self, id: u32, state: State, started: Option<u64>) -> Runner {
-        Runner { id, address: self.runners[&id], zone: 0, cell: 0, kind: 0, size: 1.0, state, started }
+    fn list_entry(&self, id: u32, availability: Availability, started: Option<u64>) -> Runner {
+        Runner { id, address: self.runners[&id], zone: 0, cell: 0, kind: 0, size: 1.0, availability, started }
     }
 
     /// Starts a program with its output in a log file of the folder.
@@ -380,7 +380,7 @@
                 if let Some(process) = self.processes.remove(&format!("runner-{runner}")) {
                     process.kill();
                     self.recorder.add(Event::RunnerKilled { runner: *runner });
-                    let removed = self.list_entry(*runner, State::Gone, None);
+                    let removed = self.list_entry(*runner, Availability::Removed, None);
                     self.pending_updates.push((now() + notice_ms * 1000, removed));
                 }
             }
@@ -389,10 +389,12 @@
                     let (address, started) = (self.runners[runner], now());
                     self.start_runner(*runner, address, true)?;
                     self.pending_updates.retain(|(_, r)| r.id != *runner);
-                    self.update_list(&self.list_entry(*runner, State::Ready, Some(started)));
+                    self.update_list(&self.list_entry(*runner, Availability::Ready, Some(started)));
                 }
             }
-            Act::Drain { runner } => self.update_list(&self.list_entry(*runner, State::Draining, None)),
+            Act::Drain { runner } => {
+                self.update_list(&self.list_entry(*runner, Availability::Draining, None))
+            }
             Act::TurnAway { runner } => {
                 self.send_command(self.runners[runner], "/standin/drain", &Switch { on: true });
             }
--- a/crates/badgerwind-cli/src/demo.rs
+++ b/crates/badgerwind-cli/src/demo.rs
@@ -4,7 +4,7 @@
 use crate::send::{post, Message};
 use crate::CommandError;
 use badgerwind_gateway::{secrets, Options};
-use badgerwind_protocol::list::{Runner, State};
+use badgerwind_protocol::list::{Availability, Runner};
 use badgerwind_settings::read;
 use badgerwind_standins::record::Recorder;
 use badgerwind_standins::runner::FaultCommand;
@@ -71,8 +71,8 @@
             tls: None,
         };
         tasks.push(smol::spawn(runner::serve(socket, options)));
-        let (zone, cell, kind, size, state, started) = (0, 0, 0, 1.0, State::Ready, None);
-        runners.push(Runner { id, address, zone, cell, kind, size, state, started });
+        let (zone, cell, kind, size, availability, started) = (0, 0, 0, 1.0, Availability::Ready, None);
+        runners.push(Runner { id, address, zone, cell, kind, size, availability, started });
     }
     let addresses: Vec<SocketAddr> = runners.iter().map(|r| r.address).collect();
     let (socket, list_address) = bind_loopback().await?;
--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -12,7 +12,7 @@
 use badgerwind_config::Kind;
 use badgerwind_control::{folder, serve, Status};
 use badgerwind_http::{Conn, Limits, Response};
-use badgerwind_protocol::list::State;
+use badgerwind_protocol::list::Availability;
 use futures_lite::future::zip;
 use rig::*;
 use smol::net::TcpListener;
@@ -238,7 +238,7 @@
             rig.send(&format!("m{n}"), CHECK, 1).await;
         }
         let drained = rig.runners[0].clone();
-        rig.update_list(&list_entry(drained.id, drained.address, State::Draining)).await;
+        rig.update_list(&list_entry(drained.id, drained.address, Availability::Draining)).await;
         rig.until("one is ready", async || rig.get("/metrics").await.1.contains("runners_ready 1\n")).await;
         let before = rig.lines().len();
         folder::publish(dir.path(), Kind::Fleet, &fleet("60s")).unwrap();
--- a/crates/badgerwind-cli/tests/hard_cases.rs
+++ b/crates/badgerwind-cli/tests/hard_cases.rs
@@ -4,7 +4,7 @@
 mod rig;
 
 use badgerwind_http::{Conn, Exchange, Limits, Pool, PoolBounds, Response};
-use badgerwind_protocol::list::State;
+use badgerwind_protocol::list::Availability;
 use badgerwind_webhook::{sign, Key, KeyKind, ID, SIGNATURE, TIMESTAMP};
 use futures_lite::future::poll_once;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -374,7 +374,7 @@
     smol::block_on(async {
         let rig = Rig::start(Plan::default()).await;
         for r in rig.runners.clone() {
-            rig.update_list(&list_entry(r.id, r.address, State::Draining)).await;
+            rig.update_list(&list_entry(r.id, r.address, Availability::Draining)).await;
         }
         rig.until("the front end knows that all runners drain", async || rig.get("/health").await.0 == 503)
             .await;
@@ -383,7 +383,7 @@
         assert_eq!((got.status, got.problem().1.as_str()), (503, "harmless"), "{got:?}");
         assert_eq!(rig.arrived(), before);
         for r in rig.runners.clone() {
-            rig.update_list(&list_entry(r.id, r.address, State::Ready)).await;
+            rig.update_list(&list_entry(r.id, r.address, Availability::Ready)).await;
         }
         rig.until("it is served", async || rig.send("m1", LODGE, 1).await.status == 200).await;
         assert_eq!(rig.finished(), 1);
--- a/crates/badgerwind-cli/tests/last_look.rs
+++ b/crates/badgerwind-cli/tests/last_look.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use badgerwind_protocol::list::{Runner, State};
+use badgerwind_protocol::list::{Availability, Runner};
 use badgerwind_standins::platform::full_backlog::FullBacklog;
 use badgerwind_standins::reserved::unused_address;
 use futures_lite::future::{or, pending};
@@ -30,8 +30,8 @@
 fn work_waiting_for_a_connection_is_not_sent_to_a_runner_that_drains_leaves_or_moves() {
     type Change = fn(Runner) -> Runner;
     let changes: [(&str, Change); 3] = [
-        ("drains", |r| Runner { state: State::Draining, ..r }),
-        ("leaves", |r| Runner { state: State::Gone, ..r }),
+        ("drains", |r| Runner { availability: Availability::Draining, ..r }),
+        ("leaves", |r| Runner { availability: Availability::Removed, ..r }),
         ("moves", |r| Runner { address: unused_address(), ..r }),
     ];
     for (what, change) in changes {
--- a/crates/badgerwind-cli/tests/restarts.rs
+++ b/crates/badgerwind-cli/tests/restarts.rs
@@ -5,7 +5,7 @@
 use badgerwind_check::Event;
 use badgerwind_cli::send::{post, Message};
 use badgerwind_http::{Conn, Limits, Response};
-use badgerwind_protocol::list::{List, Runner, State};
+use badgerwind_protocol::list::{Availability, List, Runner};
 use badgerwind_standins::reserved::unused_address;
 use futures_lite::future::zip;
 use rig::*;
@@ -47,7 +47,7 @@
         let first = Rig::start(Plan::default()).await;
         let (drained, ready) = (first.runners[0].clone(), first.runners[1].clone());
         let (listener, list_address) = bind_loopback().await;
-        let runners = vec![Runner { state: State::Draining, ..drained.clone() }, ready];
+        let runners = vec![Runner { availability: Availability::Draining, ..drained.clone() }, ready];
         let (allow, allowed) = smol::channel::bounded(1);
         let _service =
             smol::spawn(serve_when_allowed(listener, List { version: 4, whole: true, runners }, allowed));
--- a/crates/badgerwind-cli/tests/rig/mod.rs
+++ b/crates/badgerwind-cli/tests/rig/mod.rs
@@ -11,7 +11,7 @@
 use badgerwind_driver::Decider;
 use badgerwind_gateway::control::{read_stored, FollowOptions};
 use badgerwind_gateway::{secrets, serve, Options, Running};
-use badgerwind_protocol::list::{List, Runner, State};
+use badgerwind_protocol::list::{Availability, List, Runner};
 use badgerwind_settings::document::parse;
 use badgerwind_settings::read_tree;
 use badgerwind_standins::fenced::Fenced;
@@ -188,8 +188,8 @@
 </badgerwind>"#;
 
 /// An entry of the list of runners.
-pub fn list_entry(id: u32, address: SocketAddr, state: State) -> Runner {
-    Runner { id, address, zone: 0, cell: 0, kind: 0, size: 1.0, state, started: None }
+pub fn list_entry(id: u32, address: SocketAddr, availability: Availability) -> Runner {
+    Runner { id, address, zone: 0, cell: 0, kind: 0, size: 1.0, availability, started: None }
 }
 
 /// A listener on a free port of the loopback interface, and its address.
@@ -235,7 +235,7 @@
         let ledger = Fenced::local(vec!["lodge".into()]);
         let (mut tasks, mut runners) = (Vec::new(), Vec::new());
         for address in plan.scripted_runners {
-            runners.push(list_entry(runners.len() as u32 + 1, address, State::Ready));
+            runners.push(list_entry(runners.len() as u32 + 1, address, Availability::Ready));
         }
         for _ in 0..plan.runners {
             let (listener, address) = bind_loopback().await;
@@ -254,7 +254,8 @@
                 tls: plan.runner_tls.clone(),
             };
             tasks.push(smol::spawn(runner::serve(listener, options)));
-            runners.push(Runner { zone: (id - 1) % plan.zones, ..list_entry(id, address, State::Ready) });
+            runners
+                .push(Runner { zone: (id - 1) % plan.zones, ..list_entry(id, address, Availability::Ready) });
         }
         let (listener, list_address) = bind_loopback().await;
         match &plan.cached_list {
--- a/crates/badgerwind-cli/tests/stories.rs
+++ b/crates/badgerwind-cli/tests/stories.rs
@@ -7,7 +7,7 @@
 use badgerwind_driver::Decider;
 use badgerwind_gateway::Stopped;
 use badgerwind_http::{Conn, Limits, Response};
-use badgerwind_protocol::list::State;
+use badgerwind_protocol::list::Availability;
 use badgerwind_standins::model::Fault;
 use badgerwind_standins::reserved::unused_address;
 use badgerwind_standins::runner::FaultCommand;
@@ -185,7 +185,7 @@
             _ => None,
         });
         let busy = rig.runners.iter().find(|r| Some(r.id) == busy).unwrap();
-        rig.update_list(&list_entry(busy.id, busy.address, State::Gone)).await;
+        rig.update_list(&list_entry(busy.id, busy.address, Availability::Removed)).await;
         rig.until("one is ready", async || {
             rig.get("/metrics").await.1.contains("badgerwind_runners_ready 1\n")
         })
--- a/crates/badgerwind-cli/tests/zones.rs
+++ b/crates/badgerwind-cli/tests/zones.rs
@@ -8,7 +8,7 @@
 use badgerwind_cli::budgets::Net;
 use badgerwind_cli::fleet::{query, ZoneReport};
 use badgerwind_cli::send::{post, Message};
-use badgerwind_protocol::list::{Runner, State};
+use badgerwind_protocol::list::{Availability, Runner};
 use badgerwind_standins::list;
 use badgerwind_standins::relay::{Flow, Link, Relay};
 use rig::{Plan, Rig};
@@ -104,7 +104,7 @@
         let mut links = vec![];
         for r in &self.fronts[0].runners {
             let link = Relay::start(r.address).await.unwrap();
-            listed.push(Runner { address: link.address, state: State::Ready, ..r.clone() });
+            listed.push(Runner { address: link.address, availability: Availability::Ready, ..r.clone() });
             links.push(link);
         }
         let (listener, at) = rig::bind_loopback().await;
--- a/crates/badgerwind-gateway/src/list.rs
+++ b/crates/badgerwind-gateway/src/list.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::{Discovery, ListKind, WorkerEntry};
 use badgerwind_http::{Exchange, Pool, PoolBounds};
-use badgerwind_protocol::list::{target, List, Runner, State};
+use badgerwind_protocol::list::{target, Availability, List, Runner};
 use badgerwind_settings::Settings;
 use futures_lite::FutureExt;
 use smol::Timer;
@@ -157,12 +157,14 @@
         for r in &list.runners {
             known.insert(r.id, r.clone());
         }
-        known.retain(|_, r| r.state != State::Gone);
+        known.retain(|_, r| r.availability != Availability::Removed);
         *self.listed_runners.lock().unwrap_or_else(PoisonError::into_inner) =
             known.values().map(Runner::entry).collect();
         self.runners.apply_list(&list);
         self.metrics.list_version.set(list.version);
-        self.metrics.runners.set(known.values().filter(|r| r.state == State::Ready).count() as i64);
+        self.metrics
+            .runners
+            .set(known.values().filter(|r| r.availability == Availability::Ready).count() as i64);
         let entries = list.runners.iter().map(Runner::entry).collect();
         // Reported before it is stored, so that the engine uses it without waiting for the disk.
         let _ = self.report.send(Input::List { kind, entries }).await;
--- a/crates/badgerwind-gateway/src/runners.rs
+++ b/crates/badgerwind-gateway/src/runners.rs
@@ -111,7 +111,7 @@
             endpoints.retain(|id, _| listed_ids.contains(id));
         }
         for runner in &list.runners {
-            if runner.state == list::State::Gone {
+            if runner.availability == list::Availability::Removed {
                 endpoints.remove(&runner.id);
                 continue;
             }
@@ -121,7 +121,7 @@
                 pool.set_tls(tls.clone());
                 Endpoint { pool: Arc::new(pool), draining: false }
             });
-            endpoint.draining = runner.state != list::State::Ready;
+            endpoint.draining = runner.availability != list::Availability::Ready;
             endpoints.insert(runner.id, endpoint);
         }
     }
--- a/crates/badgerwind-protocol/src/list.rs
+++ b/crates/badgerwind-protocol/src/list.rs
@@ -1,19 +1,20 @@
 //! The list of runners: either complete, or the changes since a version.
 
-use badgerwind::interface::{Availability, WorkerEntry};
+use badgerwind::interface::{self, WorkerEntry};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The state of a runner.
+/// Whether a runner accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum Availability {
     /// The runner accepts work.
     Ready,
     /// The runner accepts no new work and finishes the calls that it has.
     Draining,
     /// The runner was removed.
-    Gone,
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 /// An entry of the list.
@@ -35,8 +36,9 @@
     /// Its capacity relative to other runners.
     #[serde(default = "one")]
     pub size: f64,
-    /// Its state.
-    pub state: State,
+    /// Whether it accepts work.
+    #[serde(rename = "state")]
+    pub availability: Availability,
     /// When its process started, in microseconds since the Unix epoch; absent if it started long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started: Option<u64>,
@@ -56,10 +58,10 @@
             cell: self.cell,
             kind: self.kind,
             size: self.size,
-            availability: match self.state {
-                State::Ready => Availability::Ready,
-                State::Draining => Availability::Draining,
-                State::Gone => Availability::Removed,
+            availability: match self.availability {
+                Availability::Ready => interface::Availability::Ready,
+                Availability::Draining => interface::Availability::Draining,
+                Availability::Removed => interface::Availability::Removed,
             },
             born: self.started,
         }
--- a/crates/badgerwind-protocol/tests/words.rs
+++ b/crates/badgerwind-protocol/tests/words.rs
@@ -1,7 +1,7 @@
 //! Header values and lists: round trips, and the rejection of invalid input.
 
 use badgerwind::interface::{CopyMark, Outcome};
-use badgerwind_protocol::list::List;
+use badgerwind_protocol::list::{Availability, List};
 use badgerwind_protocol::runner::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -47,6 +47,22 @@
     }
 }
 
+#[test]
+fn availability_keeps_its_names_on_the_wire() {
+    for (name, availability) in [
+        ("ready", Availability::Ready),
+        ("draining", Availability::Draining),
+        ("gone", Availability::Removed),
+    ] {
+        let json = format!(
+            r#"{{"version":3,"whole":true,"runners":[{{"id":7,"address":"127.0.0.1:9","state":"{name}"}}]}}"#
+        );
+        let list = List::parse(json.as_bytes()).unwrap();
+        assert_eq!(list.runners[0].availability, availability);
+        assert_eq!(serde_json::to_value(&list).unwrap()["runners"][0]["state"], name);
+    }
+}
+
 #[test]
 fn reports_are_numbers_or_none() {
     assert_eq!(report(Some("3, 0.25")), Some(vec![3.0, 0.25]));
--- a/crates/badgerwind-standins/src/list.rs
+++ b/crates/badgerwind-standins/src/list.rs
@@ -4,9 +4,9 @@
 //! the time after which later changes become visible.
 
 use crate::record::{now, Recorder};
-use badgerwind_check::{Event, State as RecordedState};
+use badgerwind_check::{self as check, Event};
 use badgerwind_http::{Conn, Response, Stream};
-use badgerwind_protocol::list::{List, Runner, State};
+use badgerwind_protocol::list::{Availability, List, Runner};
 use serde::{Deserialize, Serialize};
 use smol::net::TcpListener;
 use std::collections::BTreeMap;
@@ -61,7 +61,7 @@
         let whole = after.is_none();
         let seen = |(r, v): &&(Runner, u64)| match after {
             Some(after) => *v > after,
-            None => r.state != State::Gone,
+            None => r.availability != Availability::Removed,
         };
         let runners = inner.runners.values().filter(seen).map(|(r, _)| r.clone()).collect();
         Some(List { version, whole, runners })
@@ -120,12 +120,12 @@
                 (now() >= until).then(|| List { version, whole: false, runners: vec![] })
             }) {
                 for r in &list.runners {
-                    let state = match r.state {
-                        State::Ready => RecordedState::Ready,
-                        State::Draining => RecordedState::Draining,
-                        State::Gone => RecordedState::Gone,
+                    let availability = match r.availability {
+                        Availability::Ready => check::Availability::Ready,
+                        Availability::Draining => check::Availability::Draining,
+                        Availability::Removed => check::Availability::Removed,
                     };
-                    self.recorder.add(Event::Listed { front, runner: r.id, state });
+                    self.recorder.add(Event::Listed { front, runner: r.id, availability });
                 }
                 return crate::json(200, &list);
             }
