--- a/crates/badgerwind-cli/benches/config.rs
+++ b/crates/badgerwind-cli/benches/config.rs
@@ -15,7 +15,7 @@
 use badgerwind_config::client::{Action, Client, Input, Timing};
 use badgerwind_config::wire::DiscoveryResponse;
 use badgerwind_config::Kind;
-use badgerwind_http::{Exchange, Pool, PoolBounds};
+use badgerwind_http::{Exchange, Pool, PoolLimits};
 use badgerwind_settings::document::parse;
 use badgerwind_standins::reserved::ReservedPort;
 use hdrhistogram::Histogram;
@@ -45,8 +45,10 @@
     let times = Timing { stage_timeout: 1_000_000, min_backoff: 50_000, max_backoff: 1_000_000 };
     let (mut client, ..) = Client::new((name, "c".into()), file, vec![], times).unwrap();
     let time = Duration::from_secs(30);
-    let pool =
-        Pool::new(at, PoolBounds { most: 8, connect_time: time, idle_time: time, body_bytes: 1 << 20 });
+    let pool = Pool::new(
+        at,
+        PoolLimits { max_connections: 8, connect_timeout: time, idle_timeout: time, max_body_bytes: 1 << 20 },
+    );
     let (mut todo, mut out) = (Vec::new(), Vec::new());
     client.start(0, &mut out);
     loop {
--- a/crates/badgerwind-cli/benches/flood.rs
+++ b/crates/badgerwind-cli/benches/flood.rs
@@ -7,7 +7,7 @@
 use badgerwind_cli::day::fleet::{Fleet, Programs};
 use badgerwind_cli::day::world::World;
 use badgerwind_gateway::secrets::read_key;
-use badgerwind_http::{Exchange, Pool, PoolBounds};
+use badgerwind_http::{Exchange, Pool, PoolLimits};
 use badgerwind_webhook::{sign, Key, KeyKind};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -42,7 +42,15 @@
 
 fn pool(to: SocketAddr) -> Pool {
     let time = Duration::from_secs(10);
-    Pool::new(to, PoolBounds { most: 2_000, connect_time: time, idle_time: time, body_bytes: 1 << 20 })
+    Pool::new(
+        to,
+        PoolLimits {
+            max_connections: 2_000,
+            connect_timeout: time,
+            idle_timeout: time,
+            max_body_bytes: 1 << 20,
+        },
+    )
 }
 
 /// User and system time of a process, in seconds.
--- a/crates/badgerwind-cli/benches/gateway.rs
+++ b/crates/badgerwind-cli/benches/gateway.rs
@@ -6,7 +6,7 @@
 use badgerwind_cli::day::fleet::{Fleet, Programs};
 use badgerwind_cli::day::world::World;
 use badgerwind_gateway::secrets::read_key;
-use badgerwind_http::{Conn, Exchange, Limits, Pool, PoolBounds, Response};
+use badgerwind_http::{Conn, Exchange, Limits, Pool, PoolLimits, Response};
 use badgerwind_webhook::{sign, Key};
 use futures_lite::AsyncWriteExt;
 use hdrhistogram::Histogram;
@@ -21,9 +21,9 @@
 const BODY: &str = r#"{"work_us": 50, "mean_us": 50, "form": "2026-household", "persons": 4}"#;
 const CALLERS: usize = 32;
 
-fn bounds(most: usize) -> PoolBounds {
+fn pool_limits(max_connections: usize) -> PoolLimits {
     let time = Duration::from_secs(60);
-    PoolBounds { most, connect_time: time, idle_time: time, body_bytes: 1 << 20 }
+    PoolLimits { max_connections, connect_timeout: time, idle_timeout: time, max_body_bytes: 1 << 20 }
 }
 
 /// A signed request to a path, with the headers of a sender and those that the gateway adds for a runner.
@@ -44,7 +44,7 @@
 
 /// Forwards requests and their answers: the least that a proxy on this runtime does.
 async fn proxy(listener: TcpListener, to: SocketAddr) {
-    let (pool, limits) = (Arc::new(Pool::new(to, bounds(512))), Arc::new(Limits::default()));
+    let (pool, limits) = (Arc::new(Pool::new(to, pool_limits(512))), Arc::new(Limits::default()));
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
         let (pool, limits) = (pool.clone(), limits.clone());
@@ -188,7 +188,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let through = listener.local_addr().unwrap();
         std::thread::spawn(move || smol::block_on(proxy(listener, runner)));
-        let route = |name, to, key, path| Route { name, pool: Pool::new(to, bounds(CALLERS)), key, path };
+        let route =
+            |name, to, key, path| Route { name, pool: Pool::new(to, pool_limits(CALLERS)), key, path };
         let (calls, hooks) = ("/calls/check-0", "/brolga-shire/check-answers/check-0");
         let routes = [
             route("direct", runner, &runner_key, calls),
--- a/crates/badgerwind-cli/src/control.rs
+++ b/crates/badgerwind-cli/src/control.rs
@@ -4,7 +4,7 @@
 use badgerwind_config::parts::Kind;
 use badgerwind_config::waves::{RolloutPolicy, Stage};
 use badgerwind_control::{folder, serve, Pin, Status};
-use badgerwind_http::{Exchange, Pool, PoolBounds};
+use badgerwind_http::{Exchange, Pool, PoolLimits};
 use clap::Subcommand;
 use smol::net::TcpListener;
 use std::net::SocketAddr;
@@ -122,9 +122,14 @@
     body: Vec<u8>,
 ) -> Result<Vec<u8>, CommandError> {
     let timeout = Duration::from_secs(10);
-    let bounds = PoolBounds { most: 1, connect_time: timeout, idle_time: timeout, body_bytes: 64 << 20 };
+    let limits = PoolLimits {
+        max_connections: 1,
+        connect_timeout: timeout,
+        idle_timeout: timeout,
+        max_body_bytes: 64 << 20,
+    };
     let request = Exchange { method, target: target.into(), headers: vec![], body: Arc::from(body) };
-    let (head, body) = smol::block_on(Pool::new(address, bounds).exchange(&request))
+    let (head, body) = smol::block_on(Pool::new(address, limits).exchange(&request))
         .map_err(|e| CommandError::failed(format!("the control service at {address}: {e}")))?;
     match head.status {
         200 => Ok(body),
--- a/crates/badgerwind-cli/src/fleet.rs
+++ b/crates/badgerwind-cli/src/fleet.rs
@@ -1,7 +1,7 @@
 //! `fleet`: queries the status endpoints of front ends and prints members, budgets and zones side by side.
 
 use crate::CommandError;
-use badgerwind_http::{Exchange, Pool, PoolBounds};
+use badgerwind_http::{Exchange, Pool, PoolLimits};
 use clap::Subcommand;
 use futures_lite::FutureExt;
 use serde::{Deserialize, Serialize};
@@ -260,15 +260,19 @@
 
 /// Queries one front end for its complete report.
 pub async fn query(address: SocketAddr) -> Result<FleetReport, String> {
-    let bounds =
-        PoolBounds { most: 1, connect_time: QUERY_TIMEOUT, idle_time: QUERY_TIMEOUT, body_bytes: 16 << 20 };
+    let limits = PoolLimits {
+        max_connections: 1,
+        connect_timeout: QUERY_TIMEOUT,
+        idle_timeout: QUERY_TIMEOUT,
+        max_body_bytes: 16 << 20,
+    };
     let request =
         Exchange { method: "GET", target: "/fleet".into(), headers: vec![], body: Arc::from(&b""[..]) };
     let timeout = async {
         smol::Timer::after(QUERY_TIMEOUT).await;
         Err("no answer in time".to_owned())
     };
-    let answer = async { Pool::new(address, bounds).exchange(&request).await.map_err(|e| e.to_string()) };
+    let answer = async { Pool::new(address, limits).exchange(&request).await.map_err(|e| e.to_string()) };
     let (head, body) = answer.or(timeout).await?;
     match head.status {
         200 => serde_json::from_slice(&body).map_err(|e| format!("the answer is not a fleet report: {e}")),
--- a/crates/badgerwind-cli/src/send.rs
+++ b/crates/badgerwind-cli/src/send.rs
@@ -2,7 +2,7 @@
 
 use crate::CommandError;
 use badgerwind_gateway::secrets::read_key;
-use badgerwind_http::{ClientTls, Exchange, Identity, Pool, PoolBounds, ResponseHead};
+use badgerwind_http::{ClientTls, Exchange, Identity, Pool, PoolLimits, ResponseHead};
 use badgerwind_webhook::{sign, Key, ID, SIGNATURE, TIMESTAMP};
 use futures_lite::FutureExt;
 use std::io::Read;
@@ -109,18 +109,18 @@
     headers.extend(message.callback.map(|name| ("badgerwind-callback", name.to_owned())));
     let (method, target) = ("POST", message.path.to_owned());
     let request = Exchange { method, target, headers, body: message.body.into() };
-    let bounds = PoolBounds {
-        most: 1,
-        connect_time: message.deadline,
-        idle_time: message.deadline,
-        body_bytes: 64 * 1024 * 1024,
+    let limits = PoolLimits {
+        max_connections: 1,
+        connect_timeout: message.deadline,
+        idle_timeout: message.deadline,
+        max_body_bytes: 64 * 1024 * 1024,
     };
     let timeout = async {
         smol::Timer::after(message.deadline).await;
         Err("no answer in time".to_owned())
     };
     let Receiver { address, tls } = receiver.into();
-    let pool = Pool::new(address, bounds);
+    let pool = Pool::new(address, limits);
     pool.set_tls(tls);
     async { pool.exchange(&request).await.map_err(|e| e.to_string()) }.or(timeout).await
 }
--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -216,15 +216,19 @@
 
 async fn get(address: SocketAddr, path: &str) -> (u16, String) {
     let time = std::time::Duration::from_secs(5);
-    let bounds =
-        badgerwind_http::PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 1 << 20 };
+    let limits = badgerwind_http::PoolLimits {
+        max_connections: 1,
+        connect_timeout: time,
+        idle_timeout: time,
+        max_body_bytes: 1 << 20,
+    };
     let request = badgerwind_http::Exchange {
         method: "GET",
         target: path.into(),
         headers: vec![],
         body: Arc::from(&b""[..]),
     };
-    let (head, body) = badgerwind_http::Pool::new(address, bounds).exchange(&request).await.unwrap();
+    let (head, body) = badgerwind_http::Pool::new(address, limits).exchange(&request).await.unwrap();
     (head.status, String::from_utf8(body).unwrap())
 }
 
--- a/crates/badgerwind-cli/tests/floods.rs
+++ b/crates/badgerwind-cli/tests/floods.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use badgerwind_http::{Exchange, Pool, PoolBounds, ResponseHead};
+use badgerwind_http::{Exchange, Pool, PoolLimits, ResponseHead};
 use badgerwind_webhook::{sign, Key, KeyKind, ID, SIGNATURE, TIMESTAMP};
 use rig::*;
 use std::net::SocketAddr;
@@ -36,8 +36,10 @@
         ("x-forwarded-for", from.to_owned()),
     ];
     let time = Duration::from_secs(20);
-    let pool =
-        Pool::new(to, PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 1 << 20 });
+    let pool = Pool::new(
+        to,
+        PoolLimits { max_connections: 1, connect_timeout: time, idle_timeout: time, max_body_bytes: 1 << 20 },
+    );
     let request = Exchange { method: "POST", target: LODGE.into(), headers, body: body.into() };
     pool.exchange(&request).await.unwrap()
 }
--- a/crates/badgerwind-cli/tests/hard_cases.rs
+++ b/crates/badgerwind-cli/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use badgerwind_http::{Conn, Exchange, Limits, Pool, PoolBounds, Response};
+use badgerwind_http::{Conn, Exchange, Limits, Pool, PoolLimits, Response};
 use badgerwind_protocol::list::Availability;
 use badgerwind_webhook::{sign, Key, KeyKind, ID, SIGNATURE, TIMESTAMP};
 use futures_lite::future::poll_once;
@@ -22,8 +22,10 @@
 /// Posts a message with exactly these headers.
 async fn post_raw(to: SocketAddr, headers: Vec<(&'static str, String)>, body: &[u8]) -> (u16, String) {
     let time = Duration::from_secs(10);
-    let pool =
-        Pool::new(to, PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 1 << 20 });
+    let pool = Pool::new(
+        to,
+        PoolLimits { max_connections: 1, connect_timeout: time, idle_timeout: time, max_body_bytes: 1 << 20 },
+    );
     let request = Exchange { method: "POST", target: LODGE.into(), headers, body: body.into() };
     let (head, body) = pool.exchange(&request).await.unwrap();
     (head.status, String::from_utf8(body).unwrap())
--- a/crates/badgerwind-cli/tests/restarts.rs
+++ b/crates/badgerwind-cli/tests/restarts.rs
@@ -84,15 +84,19 @@
 /// A metric of the front end that serves its metrics at this address.
 async fn read_metric(address: SocketAddr, name: &str) -> Option<u64> {
     let time = Duration::from_secs(5);
-    let bounds =
-        badgerwind_http::PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 1 << 20 };
+    let limits = badgerwind_http::PoolLimits {
+        max_connections: 1,
+        connect_timeout: time,
+        idle_timeout: time,
+        max_body_bytes: 1 << 20,
+    };
     let request = badgerwind_http::Exchange {
         method: "GET",
         target: "/metrics".into(),
         headers: vec![],
         body: Arc::from(&b""[..]),
     };
-    let (_, body) = badgerwind_http::Pool::new(address, bounds).exchange(&request).await.ok()?;
+    let (_, body) = badgerwind_http::Pool::new(address, limits).exchange(&request).await.ok()?;
     let text = String::from_utf8(body).unwrap();
     let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '))?;
     line.parse().ok()
--- a/crates/badgerwind-cli/tests/rig/mod.rs
+++ b/crates/badgerwind-cli/tests/rig/mod.rs
@@ -366,13 +366,13 @@
 
     /// GET on the metrics address: status and body.
     pub async fn get(&self, path: &str) -> (u16, String) {
-        let bounds = badgerwind_http::PoolBounds {
-            most: 1,
-            connect_time: Duration::from_secs(5),
-            idle_time: Duration::from_secs(5),
-            body_bytes: 1 << 20,
+        let limits = badgerwind_http::PoolLimits {
+            max_connections: 1,
+            connect_timeout: Duration::from_secs(5),
+            idle_timeout: Duration::from_secs(5),
+            max_body_bytes: 1 << 20,
         };
-        let pool = badgerwind_http::Pool::new(self.metrics, bounds);
+        let pool = badgerwind_http::Pool::new(self.metrics, limits);
         let request = badgerwind_http::Exchange {
             method: "GET",
             target: path.into(),
--- a/crates/badgerwind-control/src/service.rs
+++ b/crates/badgerwind-control/src/service.rs
@@ -267,8 +267,11 @@
             scanner.note_change();
         }
     });
-    let limits =
-        Arc::new(Limits { idle_time: Duration::from_secs(300), body_bytes: 256 * 1024, ..Limits::default() });
+    let limits = Arc::new(Limits {
+        idle_timeout: Duration::from_secs(300),
+        max_body_bytes: 256 * 1024,
+        ..Limits::default()
+    });
     let permits = Arc::new(smol::lock::Semaphore::new(MAX_CONNECTIONS));
     loop {
         let permit = permits.acquire_arc().await;
--- a/crates/badgerwind-gateway/src/callbacks.rs
+++ b/crates/badgerwind-gateway/src/callbacks.rs
@@ -4,7 +4,7 @@
 //! process ends.
 
 use crate::clock::unix_seconds;
-use badgerwind_http::{Exchange, ExchangeError, Pool, PoolBounds};
+use badgerwind_http::{Exchange, ExchangeError, Pool, PoolLimits};
 use badgerwind_webhook::delivery::{next, AttemptResult, NextStep};
 use badgerwind_webhook::{sign, Key, ID, SIGNATURE, TIMESTAMP};
 use futures_lite::FutureExt;
@@ -62,13 +62,13 @@
     }
 
     async fn post_once(&self, id: &str, body: &Arc<[u8]>) -> AttemptResult {
-        let bounds = PoolBounds {
-            most: 1,
-            connect_time: ATTEMPT_TIMEOUT,
-            idle_time: ATTEMPT_TIMEOUT,
-            body_bytes: 64 * 1024,
+        let limits = PoolLimits {
+            max_connections: 1,
+            connect_timeout: ATTEMPT_TIMEOUT,
+            idle_timeout: ATTEMPT_TIMEOUT,
+            max_body_bytes: 64 * 1024,
         };
-        let pool = Pool::new(self.address, bounds);
+        let pool = Pool::new(self.address, limits);
         let signed = sign(std::slice::from_ref(&self.key), id, unix_seconds(), body);
         let headers = vec![
             (ID, signed.id),
--- a/crates/badgerwind-gateway/src/control.rs
+++ b/crates/badgerwind-gateway/src/control.rs
@@ -18,7 +18,7 @@
 use badgerwind_config::shadow::{driver_limits, replay, RecordedCall};
 use badgerwind_config::wire::{DiscoveryRequest, DiscoveryResponse, Health};
 use badgerwind_config::{storage, Report};
-use badgerwind_http::{Exchange, Pool, PoolBounds};
+use badgerwind_http::{Exchange, Pool, PoolLimits};
 use badgerwind_settings::document::Node;
 use badgerwind_settings::{Control as ControlSettings, Problem, Settings};
 use futures_lite::FutureExt;
@@ -116,14 +116,14 @@
     pub(crate) async fn run(self, mut client: Client) {
         let (events, received_events) = async_channel::bounded(256);
         let follower = Arc::new(self);
-        let bounds = PoolBounds {
-            most: 2 * Kind::ALL.len(),
-            connect_time: Duration::from_secs(2),
-            idle_time: follower.settings.poll_timeout + RESPONSE_GRACE,
-            body_bytes: MAX_RESPONSE_BYTES,
+        let limits = PoolLimits {
+            max_connections: 2 * Kind::ALL.len(),
+            connect_timeout: Duration::from_secs(2),
+            idle_timeout: follower.settings.poll_timeout + RESPONSE_GRACE,
+            max_body_bytes: MAX_RESPONSE_BYTES,
         };
         let pools: Vec<Arc<Pool>> =
-            follower.settings.services.iter().map(|a| Arc::new(Pool::new(*a, bounds))).collect();
+            follower.settings.services.iter().map(|a| Arc::new(Pool::new(*a, limits))).collect();
         let next_service = Arc::new(AtomicUsize::new(0));
         let mut prepared: HashMap<u64, Box<PreparedSettings>> = HashMap::new();
         let (mut actions, mut requests) = (Vec::new(), HashMap::new());
--- a/crates/badgerwind-gateway/src/front.rs
+++ b/crates/badgerwind-gateway/src/front.rs
@@ -254,18 +254,18 @@
 fn connection_limits(settings: &Settings) -> Limits {
     let webhook = &settings.webhook;
     Limits {
-        head_bytes: webhook.max_head_bytes,
-        headers: webhook.max_headers,
-        head_time: webhook.head_timeout,
-        body_bytes: webhook.max_body_bytes,
-        body_time: webhook.body_timeout,
-        idle_time: webhook.idle_timeout,
-        write_time: webhook.write_timeout,
+        max_head_bytes: webhook.max_head_bytes,
+        max_headers: webhook.max_headers,
+        head_timeout: webhook.head_timeout,
+        max_body_bytes: webhook.max_body_bytes,
+        body_timeout: webhook.body_timeout,
+        idle_timeout: webhook.idle_timeout,
+        write_timeout: webhook.write_timeout,
     }
 }
 
 /// The limits of the replay cache.
-pub(crate) fn replay_bounds(settings: &Settings) -> ReplayLimits {
+pub(crate) fn replay_limits(settings: &Settings) -> ReplayLimits {
     let webhook = &settings.webhook;
     let longest = webhook.senders.iter().map(|s| ReplayLimits::retention_for(s.tolerance)).max().unwrap_or(0);
     let keep = webhook.answer_retention.max(longest);
@@ -329,7 +329,7 @@
 
     /// Replaces the configuration; messages already being handled keep the previous one.
     pub(crate) fn set_config(&self, config: FrontConfig) {
-        self.replay_cache().set_limits(replay_bounds(&config.settings));
+        self.replay_cache().set_limits(replay_limits(&config.settings));
         let names = |s: &Settings| s.webhook.senders.iter().map(|s| s.name.clone()).collect::<Vec<_>>();
         let mut guard = self.guard();
         guard.set_limits(guard_limits(&config.settings));
@@ -401,7 +401,7 @@
                 front.metrics.connections.inc();
                 let stream = match tls {
                     None => Ok(stream.into()),
-                    Some(tls) => tls.accept(stream, limits.head_time).await,
+                    Some(tls) => tls.accept(stream, limits.head_timeout).await,
                 };
                 match stream {
                     Ok(stream) => front.serve_connection(Conn::new(stream, Arc::new(limits)), peer).await,
--- a/crates/badgerwind-gateway/src/list.rs
+++ b/crates/badgerwind-gateway/src/list.rs
@@ -7,7 +7,7 @@
 use crate::serve::ListFilter;
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::{Discovery, ListKind, WorkerEntry};
-use badgerwind_http::{Exchange, Pool, PoolBounds};
+use badgerwind_http::{Exchange, Pool, PoolLimits};
 use badgerwind_protocol::list::{target, Availability, List, Runner};
 use badgerwind_settings::Settings;
 use futures_lite::FutureExt;
@@ -47,13 +47,13 @@
         let mut known: BTreeMap<u32, Runner> = BTreeMap::new();
         let mut cached = self.load_cache();
         let list_settings = &self.settings.list;
-        let bounds = PoolBounds {
-            most: 2,
-            connect_time: self.settings.runners.connect_timeout,
-            idle_time: list_settings.poll_timeout + RESPONSE_GRACE,
-            body_bytes: MAX_LIST_BYTES,
+        let limits = PoolLimits {
+            max_connections: 2,
+            connect_timeout: self.settings.runners.connect_timeout,
+            idle_timeout: list_settings.poll_timeout + RESPONSE_GRACE,
+            max_body_bytes: MAX_LIST_BYTES,
         };
-        let pool = Pool::new(list_settings.address, bounds);
+        let pool = Pool::new(list_settings.address, limits);
         let on_request = self.settings.router.discovery == Discovery::Ask;
         let (mut watching, mut version, mut failing) = (!on_request, None, false);
         loop {
--- a/crates/badgerwind-gateway/src/metrics.rs
+++ b/crates/badgerwind-gateway/src/metrics.rs
@@ -260,7 +260,7 @@
     config: Arc<Mutex<Vec<Report>>>,
     fleet: FleetReport,
 ) {
-    let limits = Arc::new(Limits { body_bytes: 1024, ..Limits::default() });
+    let limits = Arc::new(Limits { max_body_bytes: 1024, ..Limits::default() });
     let permits = Arc::new(smol::lock::Semaphore::new(MAX_CONNECTIONS));
     loop {
         let permit = permits.acquire_arc().await;
--- a/crates/badgerwind-gateway/src/runners.rs
+++ b/crates/badgerwind-gateway/src/runners.rs
@@ -7,7 +7,7 @@
 use badgerwind_attempts::Fence;
 use badgerwind_driver::{AttemptEnd, CancelReason};
 use badgerwind_http::client::Answer;
-use badgerwind_http::{ClientTls, Exchange, ExchangeError, Pool, PoolBounds, ResponseHead};
+use badgerwind_http::{ClientTls, Exchange, ExchangeError, Pool, PoolLimits, ResponseHead};
 use badgerwind_protocol::list;
 use badgerwind_protocol::runner::{self, LoadAnswer, LoadOrder, LoadParameters};
 use badgerwind_settings::Settings;
@@ -77,11 +77,11 @@
     /// Replaces settings, key and certificates; calls already accepted keep the settings they were accepted
     /// under.
     pub(crate) fn update(&self, settings: Arc<Settings>, key: Key, tls: Option<ClientTls>) {
-        let bounds = pool_bounds(&settings);
+        let limits = pool_limits(&settings);
         let mut current_tls = self.tls.write().unwrap_or_else(PoisonError::into_inner);
         let under_tls = current_tls.is_some() || tls.is_some();
         for endpoint in self.endpoints().values() {
-            endpoint.pool.set_bounds(bounds);
+            endpoint.pool.set_limits(limits);
             if under_tls {
                 endpoint.pool.set_tls(tls.clone());
             }
@@ -103,7 +103,7 @@
     /// Applies a list: endpoints, draining and removed runners. Attempts at a removed runner keep their
     /// connections.
     pub(crate) fn apply_list(&self, list: &list::List) {
-        let bounds = pool_bounds(&self.settings());
+        let limits = pool_limits(&self.settings());
         let tls = self.tls.read().unwrap_or_else(PoisonError::into_inner);
         let mut endpoints = self.endpoints();
         if list.whole {
@@ -117,7 +117,7 @@
             }
             let existing = endpoints.remove(&runner.id).filter(|p| p.pool.address() == runner.address);
             let mut endpoint = existing.unwrap_or_else(|| {
-                let pool = Pool::new(runner.address, bounds);
+                let pool = Pool::new(runner.address, limits);
                 pool.set_tls(tls.clone());
                 Endpoint { pool: Arc::new(pool), draining: false }
             });
@@ -374,13 +374,13 @@
     }
 }
 
-fn pool_bounds(settings: &Settings) -> PoolBounds {
+fn pool_limits(settings: &Settings) -> PoolLimits {
     let runners = &settings.runners;
-    PoolBounds {
-        most: runners.max_connections,
-        connect_time: runners.connect_timeout,
-        idle_time: runners.idle_timeout,
-        body_bytes: runners.max_answer_bytes,
+    PoolLimits {
+        max_connections: runners.max_connections,
+        connect_timeout: runners.connect_timeout,
+        idle_timeout: runners.idle_timeout,
+        max_body_bytes: runners.max_answer_bytes,
     }
 }
 
--- a/crates/badgerwind-gateway/src/serve.rs
+++ b/crates/badgerwind-gateway/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::control::{FollowOptions, Follower};
 use crate::dispatch::Dispatch;
 use crate::engine::{Control, Engine, EngineEnd, ModuleSettings};
-use crate::front::{guard_limits, replay_bounds, AnswerCounts, Front, FrontConfig};
+use crate::front::{guard_limits, replay_limits, AnswerCounts, Front, FrontConfig};
 use crate::list::ListClient;
 use crate::metrics::{self, Metrics};
 use crate::peers::Peers;
@@ -278,7 +278,7 @@
         recent_calls: Mutex::default(),
         counts: AnswerCounts::default(),
         pending_callbacks: Arc::default(),
-        replay: Mutex::new(Replay::new(replay_bounds(&settings))),
+        replay: Mutex::new(Replay::new(replay_limits(&settings))),
         lag,
         guard: Mutex::new(Guard::new(clock.now(), guard_limits(&settings))),
         wall: Mutex::new(WallClock::default()),
--- a/crates/badgerwind-http/src/body.rs
+++ b/crates/badgerwind-http/src/body.rs
@@ -6,10 +6,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
     /// The body exceeds the limit.
-    #[error("the body is longer than {most} bytes")]
+    #[error("the body is longer than {max_bytes} bytes")]
     TooLong {
         /// The limit.
-        most: usize,
+        max_bytes: usize,
     },
     /// A chunk's size line or end violates RFC 9112 section 7.1.
     #[error("malformed chunk: {0}")]
@@ -51,7 +51,7 @@
     /// length exceeds the limit.
     pub fn new(framing: Framing, max_bytes: usize) -> Result<Self, BodyError> {
         let state = match framing {
-            Framing::Length(n) if n > max_bytes as u64 => return Err(BodyError::TooLong { most: max_bytes }),
+            Framing::Length(n) if n > max_bytes as u64 => return Err(BodyError::TooLong { max_bytes }),
             Framing::Length(0) => State::Done,
             Framing::Length(n) => State::Counted(n),
             Framing::Chunked => State::Size,
@@ -94,7 +94,7 @@
                 }
                 State::UntilClose => {
                     if self.decoded + rest.len() > self.max_bytes {
-                        return Err(BodyError::TooLong { most: self.max_bytes });
+                        return Err(BodyError::TooLong { max_bytes: self.max_bytes });
                     }
                     out.extend_from_slice(rest);
                     self.decoded += rest.len();
@@ -105,7 +105,7 @@
                     used += n;
                     let size = size(line)?;
                     if size > (self.max_bytes - self.decoded) as u64 {
-                        return Err(BodyError::TooLong { most: self.max_bytes });
+                        return Err(BodyError::TooLong { max_bytes: self.max_bytes });
                     }
                     self.state = if size == 0 { State::Trailer(0) } else { State::Chunk(size) };
                 }
--- a/crates/badgerwind-http/src/client.rs
+++ b/crates/badgerwind-http/src/client.rs
@@ -13,15 +13,15 @@
 
 /// Limits of a pool.
 #[derive(Clone, Copy, Debug)]
-pub struct PoolBounds {
+pub struct PoolLimits {
     /// Largest number of connections, including idle ones.
-    pub most: usize,
+    pub max_connections: usize,
     /// How long establishing a connection may take, including the TLS handshake.
-    pub connect_time: Duration,
+    pub connect_timeout: Duration,
     /// How long an idle connection may be reused.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// Largest size of a response body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
 }
 
 /// Why an exchange failed.
@@ -83,7 +83,7 @@
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
-    bounds: Mutex<PoolBounds>,
+    limits: Mutex<PoolLimits>,
     /// TLS for new connections; `None` for plain TCP.
     tls: Mutex<Option<ClientTls>>,
     state: Mutex<PoolState>,
@@ -108,8 +108,8 @@
 
 impl Pool {
     /// Creates a pool without connections.
-    pub fn new(address: SocketAddr, bounds: PoolBounds) -> Self {
-        Pool { address, bounds: Mutex::new(bounds), tls: Mutex::default(), state: Mutex::default() }
+    pub fn new(address: SocketAddr, limits: PoolLimits) -> Self {
+        Pool { address, limits: Mutex::new(limits), tls: Mutex::default(), state: Mutex::default() }
     }
 
     /// Sets whether new connections use TLS, and how; closes the idle connections.
@@ -127,13 +127,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn bounds(&self) -> PoolBounds {
-        *self.bounds.lock().unwrap_or_else(PoisonError::into_inner)
+    fn limits(&self) -> PoolLimits {
+        *self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Changes the limits from now on.
-    pub fn set_bounds(&self, bounds: PoolBounds) {
-        *self.bounds.lock().unwrap_or_else(PoisonError::into_inner) = bounds;
+    pub fn set_limits(&self, limits: PoolLimits) {
+        *self.limits.lock().unwrap_or_else(PoisonError::into_inner) = limits;
     }
 
     /// Number of open connections, including idle ones.
@@ -154,7 +154,7 @@
             let idle = self.lock().idle.pop();
             let Some(IdleConnection { mut stream, since }) = idle else { break };
             let slot = Slot(self);
-            if since.elapsed() >= self.bounds().idle_time {
+            if since.elapsed() >= self.limits().idle_timeout {
                 continue;
             }
             // An idle connection that is readable was closed, or received data without a request: do not
@@ -166,7 +166,7 @@
             drop(slot);
         }
         let slot = {
-            let max_connections = self.bounds().most;
+            let max_connections = self.limits().max_connections;
             let mut state = self.lock();
             if state.open >= max_connections {
                 let text = format!("all {max_connections} connections to it are in use");
@@ -176,7 +176,7 @@
             Slot(self)
         };
         let timeout = async {
-            Timer::after(self.bounds().connect_time).await;
+            Timer::after(self.limits().connect_timeout).await;
             Err(ExchangeError::Connect(std::io::Error::from(std::io::ErrorKind::TimedOut).to_string()))
         };
         let tls = self.tls.lock().unwrap_or_else(PoisonError::into_inner).clone();
@@ -230,7 +230,7 @@
                 if head.status < 200 {
                     continue; // interim response: read on to the final one (RFC 9110 section 15.2)
                 }
-                let body = Body::new(head.framing, pool.bounds().body_bytes);
+                let body = Body::new(head.framing, pool.limits().max_body_bytes);
                 let body = body.map_err(|e| ExchangeError::Malformed(e.to_string()))?;
                 return Ok(Answer { head, body, buf, stream, slot });
             }
--- a/crates/badgerwind-http/src/head.rs
+++ b/crates/badgerwind-http/src/head.rs
@@ -4,16 +4,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
     /// The head exceeds the limit on bytes.
-    #[error("the head is longer than {most} bytes")]
+    #[error("the head is longer than {max_bytes} bytes")]
     TooLong {
         /// The limit.
-        most: usize,
+        max_bytes: usize,
     },
     /// The head exceeds the limit on header lines.
-    #[error("the head has more than {most} header lines")]
+    #[error("the head has more than {max_lines} header lines")]
     TooMany {
         /// The limit.
-        most: usize,
+        max_lines: usize,
     },
     /// The head is not well-formed HTTP/1.x.
     #[error("malformed head: {0}")]
@@ -129,8 +129,8 @@
 impl HeadEnd {
     /// Examines the new bytes at the end of `bytes`, which must start with the bytes of the previous call.
     /// Returns the head's length once the head is complete, `None` before that.
-    pub fn find(&mut self, bytes: &[u8], most: usize) -> Result<Option<usize>, HeadError> {
-        while self.seen < bytes.len().min(most) {
+    pub fn find(&mut self, bytes: &[u8], max_bytes: usize) -> Result<Option<usize>, HeadError> {
+        while self.seen < bytes.len().min(max_bytes) {
             let n = self.seen;
             let bare = match bytes[n] {
                 b'\n' => n == 0 || bytes[n - 1] != b'\r',
@@ -150,21 +150,21 @@
                 return Ok(Some(n + 1));
             }
         }
-        if bytes.len() < most {
+        if bytes.len() < max_bytes {
             Ok(None)
         } else {
-            Err(HeadError::TooLong { most })
+            Err(HeadError::TooLong { max_bytes })
         }
     }
 }
 
-fn end(bytes: &[u8], most: usize) -> Result<Option<usize>, HeadError> {
-    HeadEnd::default().find(bytes, most)
+fn end(bytes: &[u8], max_bytes: usize) -> Result<Option<usize>, HeadError> {
+    HeadEnd::default().find(bytes, max_bytes)
 }
 
-fn head_error(e: httparse::Error, most: usize) -> HeadError {
+fn head_error(e: httparse::Error, max_lines: usize) -> HeadError {
     match e {
-        httparse::Error::TooManyHeaders => HeadError::TooMany { most },
+        httparse::Error::TooManyHeaders => HeadError::TooMany { max_lines },
         httparse::Error::HeaderName => HeadError::Malformed("a header name"),
         httparse::Error::HeaderValue => HeadError::Malformed("a header value"),
         httparse::Error::NewLine => HeadError::Malformed("a line end"),
@@ -219,9 +219,9 @@
 ) -> Result<Option<(RequestHead, usize)>, HeadError> {
     let Some(length) = end(bytes, max_bytes)? else { return Ok(None) };
     let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let most = max_lines.min(MAX_HEADERS);
-    let mut parsed = httparse::Request::new(&mut space[..most]);
-    parsed.parse(&bytes[..length]).map_err(|e| head_error(e, most))?;
+    let max_lines = max_lines.min(MAX_HEADERS);
+    let mut parsed = httparse::Request::new(&mut space[..max_lines]);
+    parsed.parse(&bytes[..length]).map_err(|e| head_error(e, max_lines))?;
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version) else {
         return Err(HeadError::Malformed("the first line"));
     };
--- a/crates/badgerwind-http/src/lib.rs
+++ b/crates/badgerwind-http/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod tls;
 
 pub use body::{Body, BodyError};
-pub use client::{Exchange, ExchangeError, Pool, PoolBounds};
+pub use client::{Exchange, ExchangeError, Pool, PoolLimits};
 pub use head::{Framing, HeadError, RequestHead, ResponseHead};
 pub use server::{Conn, Limits, Response, ServeError};
 pub use tls::{ClientTls, Identity, ServerTls, Stream, TlsError};
--- a/crates/badgerwind-http/src/server.rs
+++ b/crates/badgerwind-http/src/server.rs
@@ -15,31 +15,31 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Largest size of a head in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Largest number of header lines in a head; at most [`head::MAX_HEADERS`], 128.
-    pub headers: usize,
+    pub max_headers: usize,
     /// How long a head may take, from its first byte to its last.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Largest size of a body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// How long a body may take, from the end of the head to the end of the body.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// How long a connection may be idle, from a response to the first byte of the next head.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// How long writing a response may take, for clients that do not read.
-    pub write_time: Duration,
+    pub write_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            head_bytes: 16 * 1024,
-            headers: 64,
-            head_time: Duration::from_secs(5),
-            body_bytes: 1024 * 1024,
-            body_time: Duration::from_secs(10),
-            idle_time: Duration::from_secs(60),
-            write_time: Duration::from_secs(10),
+            max_head_bytes: 16 * 1024,
+            max_headers: 64,
+            head_timeout: Duration::from_secs(5),
+            max_body_bytes: 1024 * 1024,
+            body_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(60),
+            write_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -189,7 +189,7 @@
         let limits = self.limits.clone();
         if self.buf.is_empty() {
             let first =
-                within(limits.idle_time, "next request", async { Ok(self.fill(IDLE_READ_BYTES).await?) })
+                within(limits.idle_timeout, "next request", async { Ok(self.fill(IDLE_READ_BYTES).await?) })
                     .await;
             match first {
                 Ok(true) => {}
@@ -197,7 +197,7 @@
                 Err(e) => return Err(e),
             }
         }
-        within(limits.head_time, "head", async {
+        within(limits.head_timeout, "head", async {
             let mut end = head::HeadEnd::default();
             loop {
                 // Empty lines before a request line are ignored (RFC 9112 section 2.2).
@@ -205,8 +205,9 @@
                     self.buf.drain(..2);
                     end = head::HeadEnd::default();
                 }
-                if end.find(&self.buf, limits.head_bytes)?.is_some() {
-                    if let Some((head, length)) = head::request(&self.buf, limits.head_bytes, limits.headers)?
+                if end.find(&self.buf, limits.max_head_bytes)?.is_some() {
+                    if let Some((head, length)) =
+                        head::request(&self.buf, limits.max_head_bytes, limits.max_headers)?
                     {
                         self.buf.drain(..length);
                         return Ok(Some(head));
@@ -224,9 +225,9 @@
     /// for it.
     pub async fn body(&mut self, head: &RequestHead) -> Result<Vec<u8>, ServeError> {
         let limits = self.limits.clone();
-        let mut body = Body::new(head.framing, limits.body_bytes)?;
+        let mut body = Body::new(head.framing, limits.max_body_bytes)?;
         let mut out = Vec::new();
-        within(limits.body_time, "body", async {
+        within(limits.body_timeout, "body", async {
             if head.expects_continue() && !body.is_done() && self.buf.is_empty() {
                 self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
                 self.stream.flush().await?;
@@ -250,7 +251,7 @@
     /// read up to the limit on a head; anything beyond stays in the socket, and a close after it is not
     /// noticed until that is read.
     pub async fn closed(&mut self) {
-        while self.buf.len() < self.limits.head_bytes {
+        while self.buf.len() < self.limits.max_head_bytes {
             if !matches!(self.fill(IDLE_READ_BYTES).await, Ok(true)) {
                 return;
             }
@@ -264,7 +265,7 @@
     }
 
     async fn write(&mut self, bytes: &[u8]) -> Result<(), ServeError> {
-        within(self.limits.write_time, "answer's writing", async {
+        within(self.limits.write_timeout, "answer's writing", async {
             self.stream.write_all(bytes).await?;
             Ok(self.stream.flush().await?) // TLS may buffer bytes until the flush
         })
--- a/crates/badgerwind-http/tests/framing.rs
+++ b/crates/badgerwind-http/tests/framing.rs
@@ -65,13 +65,16 @@
 fn limits_are_exact() {
     let head = b"GET / HTTP/1.1\r\nhost: a\r\nx: y\r\n\r\n";
     assert!(request(head, head.len(), 2).unwrap().is_some());
-    assert_eq!(request(head, head.len() - 1, 2).unwrap_err(), HeadError::TooLong { most: head.len() - 1 });
-    assert_eq!(request(head, head.len(), 1).unwrap_err(), HeadError::TooMany { most: 1 });
+    assert_eq!(
+        request(head, head.len() - 1, 2).unwrap_err(),
+        HeadError::TooLong { max_bytes: head.len() - 1 }
+    );
+    assert_eq!(request(head, head.len(), 1).unwrap_err(), HeadError::TooMany { max_lines: 1 });
     assert_eq!(request(&head[..20], 21, 2).unwrap(), None);
     assert_eq!(request(&head[..20], 20, 2).unwrap_err().status(), 431, "an incomplete head at the limit");
-    assert_eq!(Body::new(Framing::Length(11), 10).unwrap_err(), BodyError::TooLong { most: 10 });
+    assert_eq!(Body::new(Framing::Length(11), 10).unwrap_err(), BodyError::TooLong { max_bytes: 10 });
     let mut body = Body::new(Framing::Chunked, 10).unwrap();
-    assert_eq!(body.decode(b"b\r\n", &mut Vec::new()), Err(BodyError::TooLong { most: 10 }));
+    assert_eq!(body.decode(b"b\r\n", &mut Vec::new()), Err(BodyError::TooLong { max_bytes: 10 }));
     let mut body = Body::new(Framing::Close, 10).unwrap();
     assert!(body.decode(b"0123456789a", &mut Vec::new()).is_err());
 }
@@ -132,9 +135,9 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn arbitrary_bytes_do_not_panic(bytes: Vec<u8>, most in 1usize..200) {
-        let _ = request(&bytes, most, 8);
-        let _ = response(&bytes, most, false);
+    fn arbitrary_bytes_do_not_panic(bytes: Vec<u8>, max_bytes in 1usize..200) {
+        let _ = request(&bytes, max_bytes, 8);
+        let _ = response(&bytes, max_bytes, false);
         let _ = chunked(&bytes, 7);
     }
 
--- a/crates/badgerwind-http/tests/sockets.rs
+++ b/crates/badgerwind-http/tests/sockets.rs
@@ -65,7 +65,7 @@
 }
 
 fn limits() -> Limits {
-    Limits { head_bytes: 512, headers: 8, body_bytes: 64, ..Limits::default() }
+    Limits { max_head_bytes: 512, max_headers: 8, max_body_bytes: 64, ..Limits::default() }
 }
 
 #[test]
@@ -100,7 +100,8 @@
 #[test]
 fn slow_heads_and_bodies_get_408_and_idle_clients_no_response() {
     let quick = Duration::from_millis(50);
-    let address = server(Limits { head_time: quick, body_time: quick, idle_time: quick, ..limits() });
+    let address =
+        server(Limits { head_timeout: quick, body_timeout: quick, idle_timeout: quick, ..limits() });
     assert!(raw(address, b"GET / HT").starts_with("HTTP/1.1 408 "));
     let body = raw(address, b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\na");
     assert!(body.starts_with("HTTP/1.1 408 "));
@@ -128,13 +129,16 @@
     Exchange { method: "GET", target: target.into(), headers: vec![], body: Arc::from(&b""[..]) }
 }
 
-fn pool(address: SocketAddr, most: usize) -> Pool {
+fn pool(address: SocketAddr, max_connections: usize) -> Pool {
     let second = Duration::from_secs(1);
-    Pool::new(address, PoolBounds { most, connect_time: second, idle_time: second, body_bytes: 1000 })
+    Pool::new(
+        address,
+        PoolLimits { max_connections, connect_timeout: second, idle_timeout: second, max_body_bytes: 1000 },
+    )
 }
 
 #[test]
-fn a_pool_uses_its_connections_again_and_stays_within_its_bound() {
+fn a_pool_uses_its_connections_again_and_stays_within_its_limit() {
     let pool = pool(server(limits()), 2);
     smol::block_on(async {
         for _ in 0..5 {
--- a/crates/badgerwind-http/tests/tls.rs
+++ b/crates/badgerwind-http/tests/tls.rs
@@ -4,7 +4,7 @@
 
 use authority::Authority;
 use badgerwind_http::{
-    ClientTls, Conn, Exchange, ExchangeError, Identity, Limits, Pool, PoolBounds, Response, ServerTls,
+    ClientTls, Conn, Exchange, ExchangeError, Identity, Limits, Pool, PoolLimits, Response, ServerTls,
     TlsError,
 };
 use smol::net::TcpListener;
@@ -40,8 +40,10 @@
 
 fn pool(address: SocketAddr, tls: Option<ClientTls>) -> Pool {
     let time = Duration::from_secs(10);
-    let pool =
-        Pool::new(address, PoolBounds { most: 2, connect_time: time, idle_time: time, body_bytes: 1 << 20 });
+    let pool = Pool::new(
+        address,
+        PoolLimits { max_connections: 2, connect_timeout: time, idle_timeout: time, max_body_bytes: 1 << 20 },
+    );
     pool.set_tls(tls);
     pool
 }
--- a/crates/badgerwind-standins/src/lib.rs
+++ b/crates/badgerwind-standins/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod share;
 pub mod store;
 
-use badgerwind_http::{Conn, Exchange, Pool, PoolBounds, Response, ServerTls, Stream};
+use badgerwind_http::{Conn, Exchange, Pool, PoolLimits, Response, ServerTls, Stream};
 use smol::net::TcpListener;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -32,8 +32,8 @@
     serve: impl Fn(Conn<Stream>) -> F + Clone + Send + 'static,
 ) {
     let limits = Arc::new(badgerwind_http::Limits {
-        idle_time: Duration::from_secs(300),
-        body_bytes: 8 * 1024 * 1024,
+        idle_timeout: Duration::from_secs(300),
+        max_body_bytes: 8 * 1024 * 1024,
         ..Default::default()
     });
     let permits = Arc::new(smol::lock::Semaphore::new(MAX_CONNECTIONS));
@@ -49,7 +49,7 @@
             let _permit = permit;
             let stream = match tls {
                 None => Ok(stream.into()),
-                Some(tls) => tls.accept(stream, limits.head_time).await,
+                Some(tls) => tls.accept(stream, limits.head_timeout).await,
             };
             if let Ok(stream) = stream {
                 serve(Conn::new(stream, limits)).await;
@@ -69,13 +69,13 @@
 }
 
 fn pool(address: SocketAddr, max_connections: usize) -> Pool {
-    let bounds = PoolBounds {
-        most: max_connections,
-        connect_time: Duration::from_millis(500),
-        idle_time: Duration::from_secs(20),
-        body_bytes: 8 * 1024 * 1024,
+    let limits = PoolLimits {
+        max_connections,
+        connect_timeout: Duration::from_millis(500),
+        idle_timeout: Duration::from_secs(20),
+        max_body_bytes: 8 * 1024 * 1024,
     };
-    Pool::new(address, bounds)
+    Pool::new(address, limits)
 }
 
 /// Sends a command to a stand-in: a JSON document by POST. Returns the answer's body, or a description of the
--- a/crates/badgerwind-webhook/src/sign.rs
+++ b/crates/badgerwind-webhook/src/sign.rs
@@ -78,10 +78,10 @@
     #[error("webhook-signature holds no signature of version v1 or v1a")]
     NoSignature,
     /// There are more signatures than the limit.
-    #[error("webhook-signature holds more than {most} signatures")]
+    #[error("webhook-signature holds more than {max} signatures")]
     TooMany {
         /// The limit.
-        most: usize,
+        max: usize,
     },
     /// No signature of this message matches a live key.
     #[error("no signature matches")]
@@ -173,7 +173,7 @@
         let (mut shared, mut public) = (Vec::new(), Vec::new());
         for (n, part) in signature.split(' ').filter(|p| !p.is_empty()).enumerate() {
             if n >= MAX_SIGNATURES {
-                return Err(VerifyError::TooMany { most: MAX_SIGNATURES });
+                return Err(VerifyError::TooMany { max: MAX_SIGNATURES });
             }
             let Some((version, text)) = part.split_once(',') else { continue };
             let Ok(bytes) = STANDARD.decode(text) else { continue };
--- a/crates/badgerwind-webhook/tests/signatures.rs
+++ b/crates/badgerwind-webhook/tests/signatures.rs
@@ -123,7 +123,7 @@
         (Some("m"), Some(time.as_str()), Some(""), NoSignature),
         (Some("m"), Some(time.as_str()), Some("v2,AAAA v1 v1,!!"), NoSignature),
         (Some("m"), Some(time.as_str()), Some("v1,AAAA"), NoSignature),
-        (Some("m"), Some(time.as_str()), Some(&many), TooMany { most: 8 }),
+        (Some("m"), Some(time.as_str()), Some(&many), TooMany { max: 8 }),
     ] {
         assert_eq!(ring.verify(NOW, id, timestamp, signature, b"x").unwrap_err(), want);
     }
