--- a/crates/badgerwind-budgets/src/lessee.rs
+++ b/crates/badgerwind-budgets/src/lessee.rs
@@ -8,6 +8,13 @@
 use crate::Mutant;
 use std::collections::BTreeMap;
 
+/// A lease request that was sent and not answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct PendingRequest {
+    serial: u32,
+    sent_at: Time,
+}
+
 /// What a front end holds of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lessee {
@@ -20,8 +27,8 @@
     lease: Micros,
     granted: Units,
     lease_end: Time,
-    /// Serial number of the request whose answer is accepted, and when it was sent.
-    pending_request: Option<(u32, Time)>,
+    /// The request whose answer is accepted.
+    pending_request: Option<PendingRequest>,
     /// Units that were spent, and when each may be spent again.
     cooling: BTreeMap<Unit, Time>,
     /// Cooldown of a spent unit, measured on this clock.
@@ -132,7 +139,7 @@
     pub fn request_lease(&mut self, now: Time, wants: Unit) -> Message {
         self.granted = self.granted(now).first_ranges(MAX_RANGES);
         self.serial += 1;
-        self.pending_request = Some((self.serial, now));
+        self.pending_request = Some(PendingRequest { serial: self.serial, sent_at: now });
         let held =
             if self.mutant == Some(Mutant::HidesHoldings) { Units::new() } else { self.granted.clone() };
         let (budget, incarnation, serial, version) =
@@ -145,12 +152,15 @@
         match message {
             Message::Grant { budget, incarnation, serial, version, renewed, added } => {
                 let addressed = *budget == self.budget && *incarnation == self.incarnation;
-                let request = self.pending_request.filter(|(s, _)| *s == *serial);
+                let request = self.pending_request.filter(|pending| pending.serial == *serial);
                 let request = match self.mutant {
-                    Some(Mutant::AcceptsAnyGrant) => request.or(Some((0, now))),
+                    Some(Mutant::AcceptsAnyGrant) => {
+                        request.or(Some(PendingRequest { serial: 0, sent_at: now }))
+                    }
                     _ => request,
                 };
-                let Some((_, requested_at)) = request.filter(|_| addressed && *version == self.version)
+                let Some(PendingRequest { sent_at, .. }) =
+                    request.filter(|_| addressed && *version == self.version)
                 else {
                     return false;
                 };
@@ -160,7 +170,7 @@
                 let lease_end = if self.mutant == Some(Mutant::LeaseFromReceipt) {
                     now + self.lease
                 } else {
-                    grant_expiry(requested_at, self.lease)
+                    grant_expiry(sent_at, self.lease)
                 };
                 if now >= lease_end {
                     return false; // already expired
--- a/crates/badgerwind-budgets/src/voter.rs
+++ b/crates/badgerwind-budgets/src/voter.rs
@@ -5,11 +5,18 @@
 
 use crate::settings::{Incarnation, LeaseSettings, Member, Time};
 
+/// A vote that was promised.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Promise {
+    candidate: Member,
+    incarnation: Incarnation,
+    until: Time,
+}
+
 /// A voter's state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    /// The candidate, its incarnation, and when the promise expires.
-    promise: Option<(Member, Incarnation, Time)>,
+    promise: Option<Promise>,
     quiet_until: Time,
 }
 
@@ -29,8 +36,8 @@
         (candidate_version, own_version): (u32, u32),
         settings: &LeaseSettings,
     ) -> bool {
-        let promised_to_other = |(member, promised, until): (Member, Incarnation, Time)| {
-            (member, promised) != (from, incarnation) && now < until
+        let promised_to_other = |promise: Promise| {
+            (promise.candidate, promise.incarnation) != (from, incarnation) && now < promise.until
         };
         if candidate_version < own_version
             || now < self.quiet_until
@@ -38,7 +45,8 @@
         {
             return false;
         }
-        self.promise = Some((from, incarnation, now + settings.drift_adjusted(settings.vote)));
+        let until = now + settings.drift_adjusted(settings.vote);
+        self.promise = Some(Promise { candidate: from, incarnation, until });
         true
     }
 }
--- a/crates/badgerwind-driver/src/driver.rs
+++ b/crates/badgerwind-driver/src/driver.rs
@@ -1,6 +1,6 @@
 //! The driver: translates inputs into events for the decision module, and its actions into outputs.
 
-use crate::ledger::{Attempt, PendingCall, PendingOrder, Timer, Timers};
+use crate::ledger::{Attempt, PendingCall, PendingOrder, SentAttempt, Timer, Timers};
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -132,7 +132,7 @@
             self.complete(&id, FinalAnswer::Failed(failure), None, out);
             let Some(call) = self.calls.get_mut(&id) else { continue };
             for (n, attempt) in call.attempts.iter_mut().enumerate() {
-                if let Some((worker, _)) = attempt.end() {
+                if let Some(SentAttempt { worker, .. }) = attempt.end() {
                     let (id, attempt) = (id.clone(), n as u32);
                     out.push(Output::Cancel { id, attempt, worker, reason: CancelReason::Cancelled });
                 }
@@ -244,7 +244,9 @@
         out: &mut Outputs<O, C, R>,
     ) {
         let Some(call) = self.calls.get_mut(id) else { return };
-        let Some((worker, sent)) = call.attempts.get_mut(attempt as usize).and_then(Attempt::end) else {
+        let Some(SentAttempt { worker, sent }) =
+            call.attempts.get_mut(attempt as usize).and_then(Attempt::end)
+        else {
             return; // already reported, or timed out in the meantime
         };
         let AttemptEnd { mut outcome, mark, crowd, report, reply } = end;
--- a/crates/badgerwind-driver/src/ledger.rs
+++ b/crates/badgerwind-driver/src/ledger.rs
@@ -20,13 +20,20 @@
     Ended,
 }
 
+/// Where and when an attempt was sent.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SentAttempt {
+    pub worker: WorkerId,
+    pub sent: Time,
+}
+
 impl Attempt {
-    /// Marks the attempt as ended. Returns its worker and the time of sending on the first call only, and
-    /// only if it was sent.
-    pub(crate) fn end(&mut self) -> Option<(WorkerId, Time)> {
+    /// Marks the attempt as ended. Returns where and when it was sent on the first call only, and only if it
+    /// was sent.
+    pub(crate) fn end(&mut self) -> Option<SentAttempt> {
         match std::mem::replace(self, Attempt::Ended) {
             Attempt::InFlight { worker, sent } | Attempt::Cancelling { worker, sent, .. } => {
-                Some((worker, sent))
+                Some(SentAttempt { worker, sent })
             }
             Attempt::NotSent | Attempt::Ended => None,
         }
--- a/crates/badgerwind-gateway/src/zones.rs
+++ b/crates/badgerwind-gateway/src/zones.rs
@@ -11,7 +11,7 @@
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::{Availability, ListKind, Outcome, Time, WorkerEntry, WorkerId};
 use badgerwind_settings::{Leaving, Settings};
-use badgerwind_zones::{Cause, Member, Message, Node, Observation};
+use badgerwind_zones::{Cause, FleetEvidence, Member, Message, Node, Observation};
 use futures_lite::FutureExt;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -188,7 +188,7 @@
             let current = (zone_state.stage.share().mul_add(8.0, 0.0) as u8, zone_state.generation, cause);
             if current != *last {
                 // The line includes the evidence, so that the cause can be found from the log later.
-                let (fronts, evidence) = node.fleet_evidence(now, zone).unwrap_or_default();
+                let FleetEvidence { members, digest } = node.fleet_evidence(now, zone).unwrap_or_default();
                 let own = node.observed_counts(now, zone);
                 tracing::info!(
                     zone = %name,
@@ -196,10 +196,10 @@
                     share = node.share(zone),
                     generation = zone_state.generation,
                     alone = (cause == Cause::Alone),
-                    fronts,
-                    hearing = evidence.reached_by,
-                    lost_64ths = evidence.lost,
-                    late_64ths = evidence.late,
+                    fronts = members,
+                    hearing = digest.reached_by,
+                    lost_64ths = digest.lost,
+                    late_64ths = digest.late,
                     own_heard = own.answered,
                     own_late = own.late,
                     own_lost = own.lost,
@@ -258,11 +258,11 @@
                 "size": sizes[n],
                 "runners": counts[n],
                 "own": { "heard": own.answered, "late": own.late, "lost": own.lost },
-                "fleet": fleet.map(|(fronts, evidence)| json!({
-                    "fronts": fronts,
-                    "hearing": evidence.reached_by,
-                    "lost": f64::from(evidence.lost) / 64.0,
-                    "late": f64::from(evidence.late) / 64.0,
+                "fleet": fleet.map(|FleetEvidence { members, digest }| json!({
+                    "fronts": members,
+                    "hearing": digest.reached_by,
+                    "lost": f64::from(digest.lost) / 64.0,
+                    "late": f64::from(digest.late) / 64.0,
                 })),
             }))
         };
--- a/crates/badgerwind-register/src/leases.rs
+++ b/crates/badgerwind-register/src/leases.rs
@@ -15,12 +15,19 @@
     pub stamp: Time,
 }
 
+/// The last renewal of a member's lease.
+#[derive(Clone, Copy, Debug)]
+struct LastRenewal {
+    incarnation: Incarnation,
+    /// When it was granted, by the leader's clock.
+    at: Time,
+}
+
 #[derive(Debug)]
 pub(crate) struct Leases {
     /// When the first entry of this leadership was committed. From then on no other voter grants renewals.
     since: Time,
-    /// The incarnation of each member and when its lease was last renewed, by the leader's clock.
-    renewed: BTreeMap<Member, (Incarnation, Time)>,
+    renewed: BTreeMap<Member, LastRenewal>,
     /// Incarnations whose end was proposed; they are not renewed any more.
     ending: BTreeSet<Incarnation>,
 }
@@ -32,7 +39,7 @@
 
     /// An incarnation began under this leadership.
     pub(crate) fn began(&mut self, now: Time, member: Member, incarnation: Incarnation) {
-        self.renewed.insert(member, (incarnation, now));
+        self.renewed.insert(member, LastRenewal { incarnation, at: now });
     }
 
     /// Handles a renewal request that provably arrived while this voter was the leader; returns whether it is
@@ -46,7 +53,8 @@
     ) -> bool {
         let grants = is_alive && (grants_ending || !self.ending.contains(&renewal.incarnation));
         if grants {
-            self.renewed.insert(renewal.member, (renewal.incarnation, now));
+            let last = LastRenewal { incarnation: renewal.incarnation, at: now };
+            self.renewed.insert(renewal.member, last);
         }
         grants
     }
@@ -60,8 +68,8 @@
     ) -> Vec<(Member, Incarnation)> {
         let mut expired = Vec::new();
         for (member, incarnation) in live {
-            let renewed =
-                self.renewed.get(&member).filter(|r| r.0 == incarnation).map_or(self.since, |r| r.1);
+            let last = self.renewed.get(&member).filter(|last| last.incarnation == incarnation);
+            let renewed = last.map_or(self.since, |last| last.at);
             if now > renewed.max(self.since) + adjusted_lease && self.ending.insert(incarnation) {
                 expired.push((member, incarnation));
             }
@@ -72,7 +80,7 @@
     /// The end of an incarnation was committed.
     pub(crate) fn ended(&mut self, member: Member, incarnation: Incarnation) {
         self.ending.remove(&incarnation);
-        if self.renewed.get(&member).is_some_and(|r| r.0 == incarnation) {
+        if self.renewed.get(&member).is_some_and(|last| last.incarnation == incarnation) {
             self.renewed.remove(&member);
         }
     }
--- a/crates/badgerwind-register/src/node.rs
+++ b/crates/badgerwind-register/src/node.rs
@@ -7,7 +7,7 @@
 use crate::session::{AnnounceError, Session};
 use crate::settings::{Incarnation, Index, Member, Settings, SettingsError, Time};
 use crate::storage::{VoterStorage, Write};
-use crate::voter::{self, Voter};
+use crate::voter::{self, CommittedEntry, Voter};
 use crate::Mutant;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -389,8 +389,8 @@
                 self.update_session(now, out);
             }
         }
-        for (at, term, data) in completed.committed {
-            self.apply(now, at, term, &data, out);
+        for CommittedEntry { index, term, data } in completed.committed {
+            self.apply(now, index, term, &data, out);
         }
     }
 
--- a/crates/badgerwind-register/src/session.rs
+++ b/crates/badgerwind-register/src/session.rs
@@ -21,6 +21,13 @@
     TooManyPending(usize),
 }
 
+/// An announcement that is not committed yet.
+#[derive(Debug)]
+struct PendingAnnouncement {
+    serial: u64,
+    bytes: Vec<u8>,
+}
+
 /// This member's session.
 #[derive(Debug)]
 pub(crate) struct Session {
@@ -44,8 +51,7 @@
     requested: Time,
     /// Serial number of the last announcement.
     serial: u64,
-    /// Announcements that are not committed yet, with their serial numbers.
-    pending: VecDeque<(u64, Vec<u8>)>,
+    pending: VecDeque<PendingAnnouncement>,
 }
 
 impl Session {
@@ -115,13 +121,13 @@
             return Err(AnnounceError::TooManyPending(settings.max_pending));
         }
         self.serial += 1;
-        self.pending.push_back((self.serial, bytes));
+        self.pending.push_back(PendingAnnouncement { serial: self.serial, bytes });
         Ok((incarnation, self.serial))
     }
 
     /// Announcements up to this serial number are committed.
     pub(crate) fn on_committed(&mut self, up_to: u64) {
-        while self.pending.front().is_some_and(|(serial, _)| *serial <= up_to) {
+        while self.pending.front().is_some_and(|pending| pending.serial <= up_to) {
             self.pending.pop_front();
         }
     }
@@ -146,12 +152,12 @@
     fn pending_records(&self, from: usize, max_bytes: usize) -> Vec<Record> {
         let Some(incarnation) = self.incarnation else { return Vec::new() };
         let (mut bytes, mut out) = (0, Vec::new());
-        for (serial, announcement) in self.pending.iter().skip(from) {
+        for pending in self.pending.iter().skip(from) {
             let record = Record::Announce {
                 member: self.me,
                 incarnation,
-                serial: *serial,
-                bytes: announcement.clone(),
+                serial: pending.serial,
+                bytes: pending.bytes.clone(),
             };
             bytes += record.size();
             if bytes > max_bytes && !out.is_empty() {
--- a/crates/badgerwind-register/src/voter.rs
+++ b/crates/badgerwind-register/src/voter.rs
@@ -35,13 +35,21 @@
     VoterStorage::new(&voters.iter().map(|v| id(*v)).collect::<Vec<_>>())
 }
 
+/// A committed entry of the log.
+pub(crate) struct CommittedEntry {
+    pub index: Index,
+    pub term: u64,
+    /// The encoded records; empty for a change of voters.
+    pub data: Vec<u8>,
+}
+
 /// What follows from a completed write.
 pub(crate) struct Completed {
     pub messages: Vec<WireMessage>,
     /// Replaces the whole state.
     pub snapshot: Option<WireSnapshot>,
-    /// Committed entries in order: index, term and records.
-    pub committed: Vec<(Index, u64, Vec<u8>)>,
+    /// Committed entries in order.
+    pub committed: Vec<CommittedEntry>,
 }
 
 /// A proof, in progress, that this voter is still the leader.
@@ -53,6 +61,12 @@
     renewals: Vec<Renewal>,
 }
 
+/// The serial number of an announcement, within an incarnation.
+struct QueuedSerial {
+    incarnation: Incarnation,
+    serial: u64,
+}
+
 /// The state of a leader besides the log.
 struct Leadership {
     term: u64,
@@ -61,7 +75,7 @@
     queue: VecDeque<Record>,
     queued_bytes: usize,
     /// The last announcement of each member that was queued.
-    queued_serials: BTreeMap<Member, (Incarnation, u64)>,
+    queued_serials: BTreeMap<Member, QueuedSerial>,
     /// Renewals for which no proof has been started yet.
     renewals: Vec<Renewal>,
     proofs: VecDeque<LeadershipProof>,
@@ -288,14 +302,16 @@
                     let queued = leadership
                         .queued_serials
                         .get(&from)
-                        .filter(|q| q.0 == *incarnation)
-                        .map_or(0, |q| q.1);
+                        .filter(|queued| queued.incarnation == *incarnation)
+                        .map_or(0, |queued| queued.serial);
                     let from_ended = self.mutant == Some(Mutant::AcceptsFromEndedIncarnation);
                     let any_serial =
                         matches!(self.mutant, Some(Mutant::AcceptsDuplicates | Mutant::AcceptsGaps));
                     let is_next = *serial == committed.max(queued) + 1 || any_serial;
                     if is_next {
-                        leadership.queued_serials.insert(from, (*incarnation, *serial));
+                        leadership
+                            .queued_serials
+                            .insert(from, QueuedSerial { incarnation: *incarnation, serial: *serial });
                     }
                     is_next && (ledger.is_alive(from, *incarnation) || from_ended)
                 }
@@ -420,7 +436,7 @@
         Some(Completed { messages, snapshot, committed })
     }
 
-    fn on_committed(&mut self, now: Time, entry: Entry) -> (Index, u64, Vec<u8>) {
+    fn on_committed(&mut self, now: Time, entry: Entry) -> CommittedEntry {
         if entry.get_entry_type() != EntryType::EntryNormal {
             if let Some((add, member)) = entry.context.split_first().filter(|(_, m)| m.len() == 2) {
                 let member = Member::from_be_bytes([member[0], member[1]]);
@@ -431,7 +447,7 @@
                     self.node.mut_store().set_voters(&conf);
                 }
             }
-            return (entry.index, entry.term, Vec::new());
+            return CommittedEntry { index: entry.index, term: entry.term, data: Vec::new() };
         }
         if let Some(leadership) =
             self.leadership.as_mut().filter(|l| l.term == entry.term && l.leases.is_none())
@@ -439,7 +455,7 @@
             let since = if self.mutant == Some(Mutant::NewLeaderEndsAtOnce) { 0 } else { now };
             leadership.leases = Some(Leases::new(since));
         }
-        (entry.index, entry.term, entry.data.to_vec())
+        CommittedEntry { index: entry.index, term: entry.term, data: entry.data.to_vec() }
     }
 
     /// The start of an incarnation was committed.
--- a/crates/badgerwind-zones/src/aggregate.rs
+++ b/crates/badgerwind-zones/src/aggregate.rs
@@ -66,13 +66,30 @@
     zones: Vec<ZoneReport>,
 }
 
+/// A digest that answers reports until it is too old.
+#[derive(Clone, Debug)]
+struct CachedDigest {
+    computed_at: Time,
+    /// Front ends that reported.
+    members: u16,
+    zones: Vec<ZoneDigest>,
+}
+
+/// A stage that front ends report of a zone.
+#[derive(Clone, Copy, Default)]
+struct ReportedStage {
+    generation: u16,
+    stage: Stage,
+    failed_returns: u8,
+}
+
 /// A voter's table of the latest report of each front end.
 #[derive(Clone, Debug)]
 pub struct Aggregator {
     zones: usize,
     reports: BTreeMap<Member, StoredReport>,
-    /// The last digest: when it was computed, the number of reporting members, and the zones.
-    digest: Option<(Time, u16, Vec<ZoneDigest>)>,
+    /// The last digest.
+    digest: Option<CachedDigest>,
     /// When outdated reports were last removed.
     pruned_at: Time,
     mutant: Option<Mutant>,
@@ -184,15 +201,19 @@
 
     /// The newest stage that more than one front end reports, so that a single front end cannot move the
     /// others.
-    fn newest(&self, now: Time, zone: usize, settings: &Settings) -> (u16, Stage, u8) {
-        let mut all: Vec<(u16, Stage, u8)> = self
+    fn newest(&self, now: Time, zone: usize, settings: &Settings) -> ReportedStage {
+        let mut all: Vec<ReportedStage> = self
             .reports
             .values()
             .filter(|r| r.received_at + settings.evidence_window > now)
             .filter_map(|r| r.zones.get(zone))
-            .map(|z| (z.generation, z.stage, z.failed_returns))
+            .map(|z| ReportedStage {
+                generation: z.generation,
+                stage: z.stage,
+                failed_returns: z.failed_returns,
+            })
             .collect();
-        all.sort_by_key(|a| std::cmp::Reverse((a.0, a.1.severity())));
+        all.sort_by_key(|a| std::cmp::Reverse((a.generation, a.stage.severity())));
         let alone = self.mutant == Some(Mutant::LoneStage);
         let at = if alone { 0 } else { self.trim(all.len()).max(1) };
         if all.len() == 1 {
@@ -205,11 +226,11 @@
     /// The digest that answers a report: the cached one as long as it may be reused.
     pub fn digest(&mut self, now: Time, listed: &[usize], settings: &Settings) -> (u16, Vec<ZoneDigest>) {
         let lifetime = self.digest_lifetime(settings);
-        if let Some((_, members, zones)) = self.digest.as_ref().filter(|d| now < d.0 + lifetime) {
-            return (*members, zones.clone());
+        if let Some(cached) = self.digest.as_ref().filter(|d| now < d.computed_at + lifetime) {
+            return (cached.members, cached.zones.clone());
         }
         let (members, zones) = self.compute_digest(now, listed, settings);
-        self.digest = Some((now, members, zones.clone()));
+        self.digest = Some(CachedDigest { computed_at: now, members, zones: zones.clone() });
         (members, zones)
     }
 
@@ -218,7 +239,7 @@
         let one = |zone: usize| {
             let aggregate = self.aggregate(now, zone, listed.get(zone).copied().unwrap_or(1), settings);
             members = members.max(aggregate.members);
-            let (generation, stage, failed_returns) = self.newest(now, zone, settings);
+            let ReportedStage { generation, stage, failed_returns } = self.newest(now, zone, settings);
             let units =
                 |nats: f64| (nats * UNITS_PER_NAT).clamp(f64::from(i16::MIN), f64::from(i16::MAX)) as i16;
             let reached_by = aggregate.reached_by.min(usize::from(u16::MAX)) as u16;
--- a/crates/badgerwind-zones/src/evidence.rs
+++ b/crates/badgerwind-zones/src/evidence.rs
@@ -68,11 +68,17 @@
     answered: Time,
 }
 
+/// What service discovery says about an executor.
+#[derive(Clone, Copy, Debug)]
+struct ListedExecutor {
+    zone: usize,
+    size: f64,
+}
+
 /// A front end's own evidence.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Zone and size of each listed executor.
-    listed: BTreeMap<Executor, (usize, f64)>,
+    listed: BTreeMap<Executor, ListedExecutor>,
     /// By zone, so that a query costs as much as the recent observations of that zone, and not as all listed
     /// executors.
     zones: BTreeMap<usize, ZoneEvidence>,
@@ -95,10 +101,11 @@
     /// Sets the executors that exist now, with zone and size. Observations of other executors are removed,
     /// and of those that moved to another zone.
     pub fn set_executors(&mut self, all: impl IntoIterator<Item = (Executor, usize, f64)>) {
-        let next: BTreeMap<Executor, (usize, f64)> = all.into_iter().map(|(e, z, s)| (e, (z, s))).collect();
+        let listed = all.into_iter().map(|(executor, zone, size)| (executor, ListedExecutor { zone, size }));
+        let next: BTreeMap<Executor, ListedExecutor> = listed.collect();
         self.listed = next;
         let mut old = std::mem::take(&mut self.zones);
-        for (executor, (zone, size)) in &self.listed {
+        for (executor, ListedExecutor { zone, size }) in &self.listed {
             let evidence = self.zones.entry(*zone).or_default();
             evidence.executors.push(*executor);
             evidence.size += size;
@@ -107,7 +114,7 @@
             let Some(before) = old.remove(zone) else { continue };
             let listed = &self.listed;
             evidence.records = before.records;
-            evidence.records.retain(|e, _| listed.get(e).is_some_and(|l| l.0 == *zone));
+            evidence.records.retain(|e, _| listed.get(e).is_some_and(|l| l.zone == *zone));
             evidence.answered = before.answered;
         }
     }
@@ -132,7 +139,7 @@
 
     /// Records the result of a request that was sent to an executor at `sent`.
     pub fn record(&mut self, now: Time, executor: Executor, observation: Observation, sent: Time) {
-        let zone = self.listed.get(&executor).and_then(|(zone, _)| self.zones.get_mut(zone));
+        let zone = self.listed.get(&executor).and_then(|listed| self.zones.get_mut(&listed.zone));
         let Some(zone) = zone else { return };
         if observation != Observation::Lost {
             zone.answered = zone.answered.max(now);
@@ -151,7 +158,7 @@
     /// Records that the caller gave up an attempt, sent at `sent`, without an answer. If the executor has
     /// answered anything since then, it works but is late; otherwise it is lost.
     pub fn record_unanswered(&mut self, now: Time, executor: Executor, sent: Time) {
-        let zone = self.listed.get(&executor).and_then(|(zone, _)| self.zones.get(zone));
+        let zone = self.listed.get(&executor).and_then(|listed| self.zones.get(&listed.zone));
         let record = zone.and_then(|zone| zone.records.get(&executor));
         let answered = record.is_some_and(|r| r.answered.max(r.late) >= Some(sent));
         self.record(now, executor, if answered { Observation::Late } else { Observation::Lost }, sent);
--- a/crates/badgerwind-zones/src/lib.rs
+++ b/crates/badgerwind-zones/src/lib.rs
@@ -18,7 +18,7 @@
 pub use aggregate::{Aggregate, Aggregator};
 pub use evidence::{Evidence, Observation, ObservedCounts};
 pub use message::{Message, ZoneDigest, ZoneReport, MAX_BYTES, MAX_ZONES};
-pub use node::{Cause, Node};
+pub use node::{Cause, FleetEvidence, Node};
 pub use settings::Settings;
 pub use stages::{Assessment, Directive, Stage, Stages, ZoneState};
 
--- a/crates/badgerwind-zones/src/node.rs
+++ b/crates/badgerwind-zones/src/node.rs
@@ -25,6 +25,15 @@
     Alone,
 }
 
+/// The fleet's evidence of a zone.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct FleetEvidence {
+    /// Front ends that reported.
+    pub members: usize,
+    /// The median of the voters' digests.
+    pub digest: ZoneDigest,
+}
+
 /// A front end.
 #[derive(Clone, Debug)]
 pub struct Node {
@@ -186,9 +195,9 @@
         }
     }
 
-    /// The number of reporting members and the digest of a zone: for each figure, the median of the voters'
-    /// recent digests. So one faulty voter of three decides nothing.
-    fn median_digest(&self, now: Time, zone: usize) -> Option<(usize, ZoneDigest)> {
+    /// The evidence of a zone: for each figure, the median of the voters' recent digests. So one faulty voter
+    /// of three decides nothing.
+    fn median_digest(&self, now: Time, zone: usize) -> Option<FleetEvidence> {
         let window = self.settings.evidence_window / 2;
         let fresh: Vec<_> = self.digests.values().filter(|d| d.received_at + window > now).collect();
         // Where there are several voters, a single digest is not enough for a decision.
@@ -207,10 +216,11 @@
         let reached_by = all[middle].reached_by;
         all.sort_by_key(|d| (d.generation, d.stage.severity()));
         let newest = all[middle];
-        Some((usize::from(members[middle]), ZoneDigest { lost, late, reached_by, ..newest }))
+        let digest = ZoneDigest { lost, late, reached_by, ..newest };
+        Some(FleetEvidence { members: usize::from(members[middle]), digest })
     }
 
-    fn assess(&self, members: usize, d: &ZoneDigest) -> Assessment {
+    fn assess(&self, FleetEvidence { members, digest: d }: &FleetEvidence) -> Assessment {
         let (lost, late, proven) = (nats(d.lost), nats(d.late), proven(&self.settings));
         // The digest's units truncate the evidence by up to 1/64 nat.
         let enough = proven - 0.05;
@@ -220,7 +230,7 @@
             Assessment::Late
         } else if lost > 0.0 {
             Assessment::Suspect
-        } else if usize::from(d.reached_by) >= members.clamp(1, 2) && lost < 0.0 && late < 0.0 {
+        } else if usize::from(d.reached_by) >= (*members).clamp(1, 2) && lost < 0.0 && late < 0.0 {
             Assessment::Healthy
         } else {
             Assessment::Unknown
@@ -229,14 +239,13 @@
 
     fn evaluate(&mut self, now: Time) {
         let sizes = self.evidence.sizes(self.zones);
-        let fleet: Vec<Option<(usize, ZoneDigest)>> =
-            (0..self.zones).map(|z| self.median_digest(now, z)).collect();
+        let fleet: Vec<Option<FleetEvidence>> = (0..self.zones).map(|z| self.median_digest(now, z)).collect();
         let assessments: Vec<Assessment> = fleet
             .iter()
-            .map(|d| d.as_ref().map_or(Assessment::Unknown, |(members, d)| self.assess(*members, d)))
+            .map(|evidence| evidence.as_ref().map_or(Assessment::Unknown, |e| self.assess(e)))
             .collect();
-        for (zone, zone_digest) in fleet.iter().enumerate() {
-            if let Some((_, digest)) = zone_digest {
+        for (zone, evidence) in fleet.iter().enumerate() {
+            if let Some(FleetEvidence { digest, .. }) = evidence {
                 self.stages.follow(now, zone, digest, &sizes, &self.settings);
             }
         }
@@ -300,9 +309,8 @@
         Some((*self.stages.of(zone)?, cause))
     }
 
-    /// The fleet's evidence of a zone, as last received: the number of front ends that reported, and the
-    /// digest.
-    pub fn fleet_evidence(&self, now: Time, zone: usize) -> Option<(usize, ZoneDigest)> {
+    /// The fleet's evidence of a zone, as last received.
+    pub fn fleet_evidence(&self, now: Time, zone: usize) -> Option<FleetEvidence> {
         (zone < self.zones).then(|| self.median_digest(now, zone)).flatten()
     }
 
