--- a/crates/badgerwind-attempts/src/lib.rs
+++ b/crates/badgerwind-attempts/src/lib.rs
@@ -1,7 +1,7 @@
 //! Attempts of calls that must not run twice, with several front ends that may restart. The crate does no
 //! I/O.
 //!
-//! A front end knows only the results of its own attempts. When it dies, nobody knows what became of them:
+//! A front end knows only the results of its own attempts. If it crashes, no process knows how they ended:
 //! another front end, to which the sender repeats the call, must not run it while or after such an attempt
 //! may have run. The front ends do not have to agree; instead the runners of a group share a ledger, as they
 //! see every attempt.
--- a/crates/badgerwind-budgets/src/election.rs
+++ b/crates/badgerwind-budgets/src/election.rs
@@ -18,7 +18,7 @@
     /// same rank.
     rank: u64,
     next_request: Time,
-    /// When a coordinator was last heard from.
+    /// When a coordinator's message was last received.
     coordinator_seen: Time,
     /// When this coordinator last sent its request to all members.
     announced: Time,
--- a/crates/badgerwind-budgets/tests/world/mod.rs
+++ b/crates/badgerwind-budgets/tests/world/mod.rs
@@ -43,7 +43,7 @@
     pub duplication: f64,
     pub delay: u64,
     pub drift: u32,
-    /// Probability per tick that a member requests votes though it hears a coordinator: safety must not
+    /// Probability per tick that a member requests votes although a coordinator exists: safety must not
     /// depend on when votes are requested.
     pub unsolicited_vote_requests: f64,
     pub faults: Vec<(u64, Fault)>,
--- a/crates/badgerwind-cli/benches/flood.rs
+++ b/crates/badgerwind-cli/benches/flood.rs
@@ -61,7 +61,7 @@
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
 }
 
-/// Counts of status codes, 0 standing for no answer, and the latencies.
+/// Counts of status codes, with 0 for no answer, and the latencies.
 #[derive(Default)]
 struct Results {
     statuses: BTreeMap<u16, u64>,
--- a/crates/badgerwind-cli/src/budgets/net.rs
+++ b/crates/badgerwind-cli/src/budgets/net.rs
@@ -36,7 +36,7 @@
     stopped: Arc<AtomicBool>,
 }
 
-/// A loopback address of its own for each network of each process.
+/// A loopback address that is unique to each network of each process.
 fn own_address() -> Ipv4Addr {
     static NETS: AtomicU32 = AtomicU32::new(0);
     let (pid, n) = (std::process::id().to_be_bytes(), NETS.fetch_add(1, Ordering::Relaxed));
--- a/crates/badgerwind-cli/src/trace/draw.rs
+++ b/crates/badgerwind-cli/src/trace/draw.rs
@@ -4,7 +4,7 @@
 use super::read::{Event, Kind};
 use plotters::prelude::*;
 
-/// What a bar stands for.
+/// What a bar represents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BarKind {
     /// Waiting at the front end, with no attempt in flight.
@@ -28,7 +28,7 @@
     pub from: u64,
     /// End.
     pub to: u64,
-    /// What the bar stands for.
+    /// What the bar represents.
     pub kind: BarKind,
 }
 
--- a/crates/badgerwind-cli/tests/budgets.rs
+++ b/crates/badgerwind-cli/tests/budgets.rs
@@ -5,7 +5,7 @@
 use badgerwind_cli::budgets::{run_schedule, Act, Schedule};
 use std::path::Path;
 
-/// A schedule of so many members and so many milliseconds with two units a member and these events only.
+/// A schedule with two units per member and no events other than `acts`.
 fn quiet(members: u16, ms: u64, acts: Vec<(u64, Act)>) -> Schedule {
     Schedule {
         seed: 7,
--- a/crates/badgerwind-cli/tests/connect_floods.rs
+++ b/crates/badgerwind-cli/tests/connect_floods.rs
@@ -1,7 +1,7 @@
 //! A flood of new connections must not stop a front end from doing its other work: answering open calls,
-//! serving executors and handling signals. The tests check only that each event happens while the flood goes
-//! on. How many connections that takes follows from what the front end accepts, not from any speed. A test
-//! program of its own, so that no other test runs during the flood.
+//! serving executors and handling signals. The tests check only that each event happens while the flood
+//! continues. How many connections that takes follows from what the front end accepts, not from any speed.
+//! This is a separate test program, so that no other test runs during the flood.
 
 #[allow(dead_code)] // the platform's other tests use the remaining items
 #[path = "platform/rig.rs"]
--- a/crates/badgerwind-cli/tests/days.rs
+++ b/crates/badgerwind-cli/tests/days.rs
@@ -79,7 +79,7 @@
             .collect();
         assert_eq!(drained.len(), world.runners.len(), "every runner drains within the day");
     }
-    let expected = KINDS.len() - 1; // changes of settings have days of their own
+    let expected = KINDS.len() - 1; // changes of settings are drawn for separate days
     assert!(kinds.len() >= expected, "{kinds:?}");
     assert!(WORST.iter().all(|k| !kinds.contains(*k)));
 }
--- a/crates/badgerwind-cli/tests/platform/address_reuse.rs
+++ b/crates/badgerwind-cli/tests/platform/address_reuse.rs
@@ -142,8 +142,8 @@
     web.send(1, &book(2)).unwrap();
     assert_eq!(web.answer().unwrap().status, 200);
     assert_eq!(calls(leaves), 2, "the call goes where its function is loaded");
-    let standing = || leaves.connections.open.load(Ordering::Relaxed);
-    let before = standing();
+    let open_connections = || leaves.connections.open.load(Ordering::Relaxed);
+    let before = open_connections();
     // A round has just ended, so the next call waits for the next round.
     web.send(1, &book(3)).unwrap();
     web.send_health_check(2).unwrap();
@@ -151,7 +151,7 @@
     rig.discovery
         .send_changes(&[record(id(at), leaves.address, GONE), record(SUCCESSOR, leaves.address, DRAINING)]);
     // Once the front end has processed the announcement, it closes the idle connection.
-    assert!(wait_until(|| standing() < before));
+    assert!(wait_until(|| open_connections() < before));
     assert_eq!(calls(leaves), 2, "the third call was sent before its round ended");
 
     assert_eq!(web.answer().unwrap().status, 200);
--- a/crates/badgerwind-cli/tests/platform/executors.rs
+++ b/crates/badgerwind-cli/tests/platform/executors.rs
@@ -35,8 +35,8 @@
     assert_eq!((rig.call(&empty).status, rig.call(&empty).body.len()), (200, 0));
 }
 
-/// The decision module gives up a call that may have run and must not run twice. The client is told at once,
-/// not near its deadline.
+/// The decision module gives up a call that may have run and must not run twice. The client is answered at
+/// once, not near its deadline.
 #[test]
 fn an_abandoned_call_is_answered_at_once() {
     let first = AtomicUsize::new(0);
@@ -193,7 +193,7 @@
     assert!((1..=10).contains(&turned_away), "{turned_away}");
 }
 
-/// If each call took a connection of its own, hundreds of front ends would fill the executors' connection
+/// If each call took a separate connection, hundreds of front ends would fill the executors' connection
 /// tables. But when a connection breaks, all calls that share it fail. So calls stop sharing connections to
 /// an executor whose connections break.
 #[test]
@@ -220,7 +220,7 @@
 }
 
 /// A call that must not run twice could not be repeated if another call broke its connection. So it has a
-/// connection of its own.
+/// separate connection.
 #[test]
 fn calls_that_must_not_run_twice_share_no_connection() {
     let asked = [WebRequest::new(1), book(2), WebRequest::new(3), book(4), WebRequest::new(5)];
--- a/crates/badgerwind-cli/tests/platform/lifecycle.rs
+++ b/crates/badgerwind-cli/tests/platform/lifecycle.rs
@@ -81,7 +81,7 @@
     let other = DiscoveryServer::start(3).unwrap();
     let mut config = rig.config.clone();
     config["board"] = other.address.to_string().into();
-    // The earlier event has been received by then, so the new address is asked for the events after it.
+    // The earlier event has been received by then, so the events after it are requested from the new address.
     std::thread::sleep(Duration::from_millis(200));
     rig.replace_config(&config.to_string());
     rig.signal("-HUP");
--- a/crates/badgerwind-cli/tests/platform/main.rs
+++ b/crates/badgerwind-cli/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The platform front as a program of its own, between scripted web servers, executors and service discovery.
+//! The platform front as a separate process, between scripted web servers, executors and service discovery.
 
 mod address_reuse;
 mod confirmations;
--- a/crates/badgerwind-cli/tests/platform/outages.rs
+++ b/crates/badgerwind-cli/tests/platform/outages.rs
@@ -50,7 +50,7 @@
 
 /// What front ends log when events arrive, and when the list is fresh again. The latter is logged after a
 /// start as well.
-const EVENTS_ARRIVE: &str = "tells events while the list of executors is stale";
+const EVENTS_ARRIVE: &str = "sent events while the list of executors is stale";
 const FRESH_AGAIN: &str = "fresh again";
 /// Interval between closes of connections, in outages with repeated ones.
 const CLOSE_INTERVAL: Duration = Duration::from_millis(500);
@@ -453,7 +453,7 @@
         self.discovery.send_changes(&leaving.iter().map(of).collect::<Vec<_>>());
     }
 
-    /// Starts another executor, with an id of its own, at the address of a removed one.
+    /// Starts another executor, with a new id, at the address of a removed one.
     fn replace(&self, n: usize) -> Server {
         let port = self.servers[n].port.clone();
         let mut listener = None;
--- a/crates/badgerwind-cli/tests/platform/rig.rs
+++ b/crates/badgerwind-cli/tests/platform/rig.rs
@@ -16,7 +16,7 @@
 /// What an executor does on a line that it receives.
 pub type Script = Box<dyn Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync>;
 
-/// A front end that runs as a process of its own.
+/// A front end that runs as a separate process.
 pub struct FrontEnd {
     pub address: SocketAddr,
     pub config: Value,
@@ -164,7 +164,7 @@
         WebConnection::connect(self.address).unwrap()
     }
 
-    /// Makes one call on a connection of its own and returns the answer.
+    /// Makes one call on a new connection and returns the answer.
     pub fn call(&self, ask: &WebRequest) -> Answer {
         let mut web = self.web();
         web.send(1, ask).unwrap();
--- a/crates/badgerwind-cli/tests/platform/shutdown.rs
+++ b/crates/badgerwind-cli/tests/platform/shutdown.rs
@@ -80,7 +80,7 @@
 }
 
 /// SIGKILL comes 3.7 s after SIGTERM however long deadlines are. Every client must have its answer before
-/// that, and those whose calls may be repeated must be told so while they have time to repeat them.
+/// that, and an answer that permits a retry must arrive while there is time for the retry.
 #[test]
 fn calls_with_deadlines_beyond_the_stop_are_answered_before_it_ends() {
     let rig =
--- a/crates/badgerwind-cli/tests/rig/mod.rs
+++ b/crates/badgerwind-cli/tests/rig/mod.rs
@@ -46,7 +46,7 @@
     pub cached_list: Option<Vec<Runner>>,
     /// Shares the runners, the list service, the keys and the recorder of another rig; see [`Rig::shared`].
     pub shared: Option<SharedStandIns>,
-    /// Runs the front end as a process of its own.
+    /// Runs the front end as a separate process.
     pub process: bool,
     /// The runners' shared ledger fences lodgements.
     pub fenced: bool,
@@ -120,7 +120,7 @@
     /// Address of the list service.
     pub list: SocketAddr,
     pub runners: Vec<Runner>,
-    /// The front end, unless it is a process of its own.
+    /// The front end, unless it is a separate process.
     pub running: Option<Running>,
     pub recorder: Recorder,
     /// The sender's keys.
@@ -133,7 +133,7 @@
     tasks: Vec<smol::Task<()>>,
 }
 
-/// A front end that runs as a process of its own.
+/// A front end that runs as a separate process.
 struct FrontEndProcess(Process);
 
 impl FrontEndProcess {
@@ -424,7 +424,7 @@
         badgerwind_standins::command(self.list, "/standin/runner", runner).await.unwrap();
     }
 
-    /// Id of the front end's process, if it runs as one of its own.
+    /// Id of the front end's process, if it is a separate process.
     pub fn process_id(&self) -> Option<u32> {
         self.process.as_ref().map(|p| p.0.id())
     }
--- a/crates/badgerwind-cli/tests/rig/version_reports.rs
+++ b/crates/badgerwind-cli/tests/rig/version_reports.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Takes `front_ends` front ends, `processes` of them processes of their own, through `versions` versions
+/// Takes `front_ends` front ends, `processes` of them as separate processes, through `versions` versions
 /// while the control service is killed `kills` times. Every third version is invalid. Panics at the first
 /// report that does not agree with the front end's behaviour, and returns the number of reports checked. The
 /// number of versions must not be a multiple of three, so that the last one is valid.
--- a/crates/badgerwind-cli/tests/zones.rs
+++ b/crates/badgerwind-cli/tests/zones.rs
@@ -1,5 +1,5 @@
 //! Zone failures with front ends as processes: every connection of a front end to a runner goes through a
-//! relay of its own. The tests check where calls arrive and what the front ends report about zones, not how
+//! separate relay. The tests check where calls arrive and what the front ends report about zones, not how
 //! fast that happens.
 
 mod rig;
@@ -98,7 +98,7 @@
         fleet
     }
 
-    /// Starts a front end with relays of its own to every runner.
+    /// Starts a front end with separate relays to every runner.
     async fn start_front_end(&mut self, n: usize) {
         let mut listed: Vec<Runner> = vec![];
         let mut links = vec![];
--- a/crates/badgerwind-config/tests/machine.rs
+++ b/crates/badgerwind-config/tests/machine.rs
@@ -375,7 +375,7 @@
     assert_eq!(s.webhook.listen.port(), 8080);
     assert_eq!((s.webhook.max_connections, s.runners.max_connections), (7, 8));
     assert_eq!(s.runners.key_file.to_str(), Some("secrets/runners.key"));
-    assert_eq!(s.webhook.routes.len(), 2, "the limits leave the routes as they are");
+    assert_eq!(s.webhook.routes.len(), 2, "the limits do not change the routes");
 }
 
 #[test]
--- a/crates/badgerwind-driver/src/lib.rs
+++ b/crates/badgerwind-driver/src/lib.rs
@@ -226,7 +226,7 @@
 /// Why an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
-    /// The module asked for it.
+    /// The module requested it.
     Cancelled,
     /// Its timeout has expired.
     TimedOut,
--- a/crates/badgerwind-freshness/src/confirmation.rs
+++ b/crates/badgerwind-freshness/src/confirmation.rs
@@ -457,7 +457,7 @@
         record.maybe_replaced |= service == Service::Unidentified;
         // If the list may be older than the process, and its first answer says that it has no copy of a
         // called function, the process may have just started. Shortly after a start of the front end this is
-        // not presumed, because discovery's first frame is on its way and contains restarts.
+        // not presumed, because discovery's first frame, which contains restarts, may not have arrived yet.
         let list_of_unknown_age = !self.source.ever_confirmed() && now >= self.started + MAX_FIRST_LIST_TIME;
         let has_answered = std::mem::replace(&mut record.has_answered, true);
         let mut changes = Vec::new();
--- a/crates/badgerwind-gateway/src/callbacks.rs
+++ b/crates/badgerwind-gateway/src/callbacks.rs
@@ -46,7 +46,7 @@
         loop {
             attempts += 1;
             let result = self.post_once(&id, &body).await;
-            // Posting an answer twice is harmless: its receiver can tell by the id.
+            // Posting an answer twice is harmless: its receiver recognizes the id.
             match next(result, attempts, false, fastrand::f64()) {
                 NextStep::Delivered => {
                     tracing::info!(callback = %self.name, webhook_id = %id, attempts, "callback delivered");
--- a/crates/badgerwind-gateway/src/engine.rs
+++ b/crates/badgerwind-gateway/src/engine.rs
@@ -28,7 +28,7 @@
     fn accepted_at(content: &Self::Content) -> Time;
     /// Called for each input before the driver processes it.
     fn observe(&mut self, now: Time, input: &InputOf<Self>);
-    /// Executes one output. If the driver expects a result, it is sent as an input of its own.
+    /// Executes one output. If the driver expects a result, it is sent as a separate input.
     fn execute(&mut self, now: Time, output: OutputOf<Self>);
     /// Whether the limit that the front ends share permits a load order; a permitted order is counted.
     fn may_order(&mut self, _now: Time) -> bool {
--- a/crates/badgerwind-gateway/src/platform/discovery.rs
+++ b/crates/badgerwind-gateway/src/platform/discovery.rs
@@ -171,7 +171,7 @@
         if !updates.is_empty() && !self.freshness.borrow().is_fresh(self.clock.now()) {
             tracing::info!(
                 events = updates.len(),
-                "service discovery tells events while the list of executors is stale"
+                "service discovery sent events while the list of executors is stale"
             );
         }
         updates.iter().for_each(|update| self.on_list_update(update));
--- a/crates/badgerwind-gateway/src/platform/executors.rs
+++ b/crates/badgerwind-gateway/src/platform/executors.rs
@@ -293,9 +293,9 @@
         if !may_open {
             return shared.min_by_key(|connection| connection.task_count()).cloned();
         }
-        let standing = executor.connections.iter().filter(|connection| connection.accepts(task)).count();
-        let all_in_use = trusted && standing > 0;
-        tracing::debug!(worker, standing, trusted, all_in_use, "opening a connection");
+        let accepting = executor.connections.iter().filter(|connection| connection.accepts(task)).count();
+        let all_in_use = trusted && accepting > 0;
+        tracing::debug!(worker, accepting, trusted, all_in_use, "opening a connection");
         Some(self.open_connection(runtime, worker, executor))
     }
 
--- a/crates/badgerwind-guard/src/guard.rs
+++ b/crates/badgerwind-guard/src/guard.rs
@@ -11,7 +11,7 @@
     pub source: Budget,
     /// Failed checks of all unknown sources that post as one sender.
     pub sender: Budget,
-    /// Upper bound of the sources with a budget of their own, and of the known pairs of source and sender.
+    /// Upper bound of the sources with their own budget, and of the known pairs of source and sender.
     /// Further sources share one budget.
     pub max_sources: usize,
     /// How long a source is known to a sender after a valid signature, in microseconds.
@@ -56,7 +56,7 @@
     bytes: u64,
     cost: u64,
     unknown: bool,
-    /// The source has no budget of its own.
+    /// The source uses the budget that further sources share.
     shared: bool,
 }
 
@@ -124,7 +124,7 @@
         self.unknown_sources.clear();
     }
 
-    /// The number of sources with a budget of their own that is not full.
+    /// The number of sources with their own budget that is not full.
     pub fn tracked_sources(&self) -> usize {
         self.sources.len()
     }
@@ -203,7 +203,7 @@
         (self.shared, true)
     }
 
-    /// Whether one more source can have a budget of its own. If necessary, removes one whose budget is full
+    /// Whether one more source can have its own budget. If necessary, removes one whose budget is full
     /// again.
     fn make_room(&mut self, now: Time) -> bool {
         if self.sources.len() < self.limits.max_sources {
--- a/crates/badgerwind-members/src/lib.rs
+++ b/crates/badgerwind-members/src/lib.rs
@@ -35,7 +35,7 @@
     AcceptsStaleUpdates,
     /// Dead members are never probed again.
     NeverProbesDead,
-    /// A member never considers that a missed answer may be due to a fault of its own.
+    /// A member never considers that a missed answer may be due to its own slowness.
     NoLocalHealth,
     /// No other member is asked to probe.
     NoIndirectProbes,
--- a/crates/badgerwind-platform/src/client.rs
+++ b/crates/badgerwind-platform/src/client.rs
@@ -166,7 +166,7 @@
     fn begin_request(&mut self, request_id: u16, body: &[u8]) {
         let &[r1, r0, ..] = body else { return self.close_input() };
         if self.slots.contains_key(&request_id) {
-            // The request id is in use, so that answers could not be told apart. The new request only gets
+            // The request id is in use, so that answers could not be distinguished. The new request only gets
             // the close.
             if let Some(Slot::Receiving { .. }) = self.slots.get(&request_id) {
                 self.reject(request_id, 400);
@@ -315,7 +315,7 @@
         &self.output[self.written..]
     }
 
-    /// Records that the socket has accepted so many bytes of the output.
+    /// Records that the socket has accepted this many bytes of the output.
     pub fn on_written(&mut self, bytes: usize) {
         self.written += bytes;
         if self.written >= self.output.len() {
--- a/crates/badgerwind-platform/src/link.rs
+++ b/crates/badgerwind-platform/src/link.rs
@@ -300,7 +300,7 @@
         &self.output[self.written..]
     }
 
-    /// Records that the socket has accepted so many bytes of the output.
+    /// Records that the socket has accepted this many bytes of the output.
     pub fn on_written(&mut self, bytes: usize, ends: &mut Vec<End<C>>) {
         self.written += bytes;
         while self.started.front().is_some_and(|line| line.to <= self.written) {
--- a/crates/badgerwind-platform/src/reach.rs
+++ b/crates/badgerwind-platform/src/reach.rs
@@ -33,7 +33,7 @@
         SilenceTolerance { min, usual: 0 }
     }
 
-    /// Records that an executor sent something after so much silence.
+    /// Records that an executor sent something after this much silence.
     pub fn observe(&mut self, silence: Micros) {
         self.usual = silence.max(self.usual - self.usual / DECAY_ANSWERS);
     }
@@ -121,7 +121,8 @@
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Whether existing connections still count as leading to the executor, if so much silence is tolerated.
+    /// Whether existing connections still count as leading to the executor, if this much silence is
+    /// tolerated.
     pub fn is_trusted(&self, now: Time, tolerated_silence: Micros) -> bool {
         self.unanswered_since.is_none_or(|at| now <= at + tolerated_silence)
     }
--- a/crates/badgerwind-register/src/record.rs
+++ b/crates/badgerwind-register/src/record.rs
@@ -15,8 +15,8 @@
     Join {
         /// The member.
         member: Member,
-        /// Drawn by the process, so that it can tell its own incarnation from that of another process with
-        /// the same member number.
+        /// Drawn by the process, so that it can distinguish its own incarnation from that of another process
+        /// with the same member number.
         nonce: u64,
         /// The member's zone.
         zone: u8,
--- a/crates/badgerwind-register/src/session.rs
+++ b/crates/badgerwind-register/src/session.rs
@@ -40,8 +40,8 @@
     /// This member has announced that it leaves, or its incarnation has ended.
     pub ended: bool,
     pub leader: Option<Member>,
-    /// Position in the list of voters of the one that is asked for the log's next entries and, while no
-    /// leader is known, for the leader.
+    /// Position in the list of voters of the one that receives the requests for the log's next entries and,
+    /// while no leader is known, the requests for the leader.
     voter_index: usize,
     /// When the leader last renewed the lease, the incarnation began, or the last leader was given up.
     renewed: Time,
--- a/crates/badgerwind-rig/tests/register.rs
+++ b/crates/badgerwind-rig/tests/register.rs
@@ -69,8 +69,8 @@
     // A voter, which may lead, and a follower.
     for stopped in [vec![0, 3], vec![1, 4]] {
         fleet.apply(&Fault::Stop(stopped.clone())).unwrap();
-        let told = |lines: &[Line]| stopped.iter().all(|m| ends(lines, *m as u16) > 0);
-        assert!(fleet.until(TIMEOUT, told).unwrap(), "the others end their incarnations");
+        let ended = |lines: &[Line]| stopped.iter().all(|m| ends(lines, *m as u16) > 0);
+        assert!(fleet.until(TIMEOUT, ended).unwrap(), "the others end their incarnations");
         fleet.apply(&Fault::Continue(stopped)).unwrap();
         assert!(all_act(&mut fleet, 5), "{:?}", fleet.unexpected_exits);
     }
@@ -115,8 +115,8 @@
             let since = wall() - LEASE / 2;
             assert!(!acting_since(&fleet.lines().unwrap(), since).contains(&4), "it receives no lease");
         } else {
-            let told = |lines: &[Line]| ends(lines, 4) > so_far;
-            assert!(fleet.until(TIMEOUT, told).unwrap(), "cut {n}: its incarnation is ended");
+            let ended = |lines: &[Line]| ends(lines, 4) > so_far;
+            assert!(fleet.until(TIMEOUT, ended).unwrap(), "cut {n}: its incarnation is ended");
         }
         fleet.apply(&Fault::Heal).unwrap();
         assert!(all_act(&mut fleet, 5), "cut {n}: {:?}", fleet.unexpected_exits);
--- a/crates/badgerwind-settings/src/document.rs
+++ b/crates/badgerwind-settings/src/document.rs
@@ -217,7 +217,7 @@
     }
 }
 
-/// Validates a value; the error tells message to write instead.
+/// Validates a value; the error says what to write instead.
 fn validate_value(attr: &Attr, value: &str) -> Result<(), String> {
     let valid = match attr.attr_type {
         AttrType::Name => is_valid_name(value),
--- a/crates/badgerwind-settings/src/typed.rs
+++ b/crates/badgerwind-settings/src/typed.rs
@@ -105,7 +105,7 @@
     pub source_limit: (u32, u32),
     /// Failed checks as one sender by addresses that are not known to it: burst, and rate per second.
     pub sender_limit: (u32, u32),
-    /// Maximum number of source addresses with a budget of their own; further ones share a single budget.
+    /// Maximum number of source addresses with their own budget; further ones share a single budget.
     pub max_sources: usize,
     /// How long an address counts as known to a sender after a valid signature.
     pub known_source_time: Micros,
--- a/crates/badgerwind-standins/src/platform/executor.rs
+++ b/crates/badgerwind-standins/src/platform/executor.rs
@@ -99,7 +99,7 @@
 
 impl Executor {
     /// Starts an executor on a free port. Each complete line is passed to the script, whose steps run on a
-    /// thread of their own, so that a waiting script does not delay others.
+    /// separate thread, so that a waiting script does not delay others.
     pub fn start(
         script: impl Fn(&ReceivedLine) -> Vec<ScriptStep> + Send + Sync + 'static,
     ) -> io::Result<Executor> {
--- a/crates/badgerwind-standins/tests/relay.rs
+++ b/crates/badgerwind-standins/tests/relay.rs
@@ -39,12 +39,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let relay = Relay::start(listener.local_addr().unwrap()).await.unwrap();
         // One connection exists when the link falls silent, the others are made while it is silent.
-        let mut standing = TcpStream::connect(relay.address).await.unwrap();
+        let mut established = TcpStream::connect(relay.address).await.unwrap();
         let (mut far, _) = listener.accept().await.unwrap();
-        standing.write_all(b"ask").await.unwrap();
+        established.write_all(b"ask").await.unwrap();
         far.read_exact(&mut [0; 3]).await.unwrap();
         relay.set(SILENT);
-        let mut callers = vec![standing];
+        let mut callers = vec![established];
         for _ in 0..10 {
             let mut caller = TcpStream::connect(relay.address).await.unwrap();
             caller.write_all(b"ask").await.unwrap();
--- a/crates/badgerwind-webhook/src/delivery.rs
+++ b/crates/badgerwind-webhook/src/delivery.rs
@@ -21,7 +21,7 @@
 /// The result of one delivery attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The receiver answered with this status, and perhaps asked for a delay (`Retry-After`), in
+    /// The receiver answered with this status, and possibly requested a delay (`Retry-After`), in
     /// microseconds.
     Status(u16, Option<Micros>),
     /// No connection was made, so nothing was sent.
--- a/crates/badgerwind-zones/src/aggregate.rs
+++ b/crates/badgerwind-zones/src/aggregate.rs
@@ -22,9 +22,9 @@
 const MIN_REPORTS_TO_TRIM: usize = 4;
 /// Number of reports from which on a fleet is large, so that digests are cached.
 const LARGE_FLEET: usize = 64;
-/// One more contribution is trimmed on either side for each so many reports: one front end in so many may
-/// send false reports.
-const REPORTS_PER_LIAR: usize = 12;
+/// One more contribution is trimmed on either side for each group of this many reports: one front end of each
+/// group may send false reports.
+const REPORTS_PER_FALSE_REPORT: usize = 12;
 
 /// The evidence, in nats, that these observations give for the hypothesis that the zone is lost over the one
 /// that it is degraded.
@@ -153,7 +153,7 @@
         match n {
             _ if self.mutant == Some(Mutant::NoTrim) => 0,
             0..MIN_REPORTS_TO_TRIM => 0,
-            n => 1 + n / REPORTS_PER_LIAR,
+            n => 1 + n / REPORTS_PER_FALSE_REPORT,
         }
     }
 
--- a/crates/badgerwind-zones/src/lib.rs
+++ b/crates/badgerwind-zones/src/lib.rs
@@ -53,6 +53,6 @@
     CountsCalls,
     /// Every member probes.
     AllProbe,
-    /// A front end that hears from no zone takes that for a fault of the zones and not of its own network.
+    /// A front end without answers from any zone attributes that to the zones and not to its own network.
     TrustsOwnNetwork,
 }
--- a/crates/badgerwind-zones/src/node.rs
+++ b/crates/badgerwind-zones/src/node.rs
@@ -253,11 +253,11 @@
         self.evaluate_locally(now, &sizes);
     }
 
-    /// Leaves the zones that do not answer this front end, whatever the fleet does. A front end that hears
-    /// from no zone at all has lost its own network, and leaves none.
+    /// Leaves the zones that do not answer this front end, whatever the fleet does. A front end that gets
+    /// answers from no zone at all has lost its own network, and leaves none.
     fn evaluate_locally(&mut self, now: Time, sizes: &[f64]) {
         let observed: Vec<ObservedCounts> = (0..self.zones).map(|z| self.observed_counts(now, z)).collect();
-        let hears_any =
+        let any_answers =
             observed.iter().any(|o| o.answered + o.late > 0) || self.mutant == Some(Mutant::TrustsOwnNetwork);
         let counts = self.evidence.listed_counts(self.zones);
         for (zone, o) in observed.iter().enumerate() {
@@ -270,8 +270,8 @@
             let silent = o.answered + o.late == 0;
             if self.left_locally[zone] {
                 // It stays left until an executor answers; the absence of observations is not evidence.
-                self.left_locally[zone] = silent && hears_any;
-            } else if silent && usize::from(o.lost) >= min_lost && hears_any {
+                self.left_locally[zone] = silent && any_answers;
+            } else if silent && usize::from(o.lost) >= min_lost && any_answers {
                 let remaining: f64 =
                     (0..self.zones).filter(|z| *z != zone).map(|z| self.share(z) * sizes[z]).sum();
                 let bound = self.settings.min_remaining_on_loss * sizes.iter().sum::<f64>();
--- a/crates/badgerwind/src/interface.rs
+++ b/crates/badgerwind/src/interface.rs
@@ -88,7 +88,7 @@
 /// How the list of workers reaches the front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive without being asked for.
+    /// Changes arrive without a request.
     Push,
     /// Changes arrive only after [`Action::Subscribe`] or [`Action::FetchList`].
     Ask,
@@ -139,7 +139,8 @@
     pub over_share_worth: f64,
     /// How the list of workers reaches this front end.
     pub discovery: Discovery,
-    /// For [`Discovery::Ask`]: a front end that has not asked for this long counts as informed of all changes.
+    /// For [`Discovery::Ask`]: after this time without a request for the list, a front end counts as informed
+    /// of all changes.
     pub ask_within: Micros,
     /// What a worker does with a request for a function that it has not loaded.
     pub when_absent: WhenAbsent,
--- a/crates/badgerwind/src/records.rs
+++ b/crates/badgerwind/src/records.rs
@@ -349,7 +349,7 @@
     pub called_off: bool,
 }
 
-/// What the end of an attempt tells.
+/// What is known from the end of an attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct Answer {
     pub outcome: Outcome,
@@ -362,7 +362,7 @@
     pub waited: Micros,
 }
 
-/// What the end of a load order tells.
+/// What is known from the end of a load order.
 #[derive(Clone, Copy)]
 pub(crate) struct LoadResult {
     pub outcome: Outcome,
--- a/crates/badgerwind/src/router_state.rs
+++ b/crates/badgerwind/src/router_state.rs
@@ -67,7 +67,7 @@
     pub class_service: Vec<f64>,
     /// Beliefs older than this are not trusted.
     pub trust_from: Time,
-    /// When the list was last asked for, and when a silent worker was last logged.
+    /// When the list was last requested, and when a silent worker was last logged.
     pub asked_at: Time,
     pub logged_at: Time,
     /// Multiple of the expected service time that hardly any answer exceeds.
--- a/crates/badgerwind/tests/sockets.rs
+++ b/crates/badgerwind/tests/sockets.rs
@@ -199,7 +199,7 @@
     assert!(at_preferred[0] > 30 && at_preferred[1] < 15, "{at_preferred:?} of 40 at the preferred worker");
 }
 
-/// Estimates of loads are passed on to other front ends, and no sample counts twice on its way.
+/// Estimates of loads are passed on to other front ends, and each of them counts a sample only once.
 #[test]
 fn received_loads_are_passed_on() {
     let mut set = settings(Effect::Repeatable);
