--- a/crates/badgerwind-cli/tests/scale_processes.rs
+++ b/crates/badgerwind-cli/tests/scale_processes.rs
@@ -5,7 +5,7 @@
 mod rig;
 
 use badgerwind_cli::fleet::{query_budgets, BudgetsReport};
-use badgerwind_scale::rows::members::{Fleet as HollowMembers, ENVELOPE};
+use badgerwind_scale::rows::members::{Fleet as HollowMembers, ENVELOPE_BYTES};
 use badgerwind_scale::rows::network::{Conditions, SECOND};
 use badgerwind_scale::rows::zones::Fleet as HollowZones;
 use badgerwind_standins::reserved::unused_address;
@@ -184,16 +184,16 @@
     let span = COUNT_TIME.as_secs() * SECOND;
     let mut hollow = HollowMembers::under(Conditions::loopback(), (members, members), true, 1);
     hollow.run(2 * SECOND);
-    hollow.network.begin_counts();
+    hollow.network.reset_counts();
     hollow.run(span);
     let hollow_members = hollow.traffic(span);
     let mut hollow = HollowZones::under(Conditions::loopback(), members, 1);
     hollow.run(2 * SECOND);
-    hollow.network.begin_counts();
+    hollow.network.reset_counts();
     hollow.run(span);
     let hollow_zones = hollow.traffic(span);
     let voter = (0..VOTERS).map(|v| hollow.network.traffic(v));
-    let voter_bytes: u64 = voter.map(|c| c.bytes + c.messages * ENVELOPE).sum();
+    let voter_bytes: u64 = voter.map(|c| c.bytes + c.messages * ENVELOPE_BYTES).sum();
     let hollow_voter = voter_bytes as f64 / VOTERS as f64 / COUNT_TIME.as_secs_f64();
 
     let compare = |real: f64, hollow: f64| format!("{real:.1} | {hollow:.1} | {:.3}", hollow / real);
--- a/crates/badgerwind-scale/src/cost.rs
+++ b/crates/badgerwind-scale/src/cost.rs
@@ -1,46 +1,47 @@
-//! Meters of processor time and memory. Wall time is never a figure: machines are shared.
+//! Meters of processor time and heap memory. Wall time is not measured, because the machines are shared.
 
 use cpu_time::ThreadTime;
 use stats_alloc::{Region, StatsAlloc};
 use std::alloc::System;
 
-/// Processor time of this thread, from its start on.
+/// Processor time that the current thread has used since the meter was started.
 #[derive(Debug)]
 pub struct ProcessorMeter(ThreadTime);
 
 impl ProcessorMeter {
-    /// Begins now.
+    /// Starts measuring on the current thread.
     pub fn start() -> Self {
         ProcessorMeter(ThreadTime::now())
     }
 
-    /// Microseconds of this thread's processor time since the start.
+    /// Processor time used since the start, in microseconds.
     pub fn microseconds(&self) -> f64 {
         self.0.elapsed().as_secs_f64() * 1e6
     }
 }
 
-/// Heap bytes allocated and not freed since its start, over the whole process. Exact where the program's
-/// global allocator is [`stats_alloc::INSTRUMENTED_SYSTEM`] and nothing else runs beside what is measured.
+/// Heap allocations of the whole process since the meter was started. Exact only if the program's global
+/// allocator is [`stats_alloc::INSTRUMENTED_SYSTEM`] and no other thread allocates during the measurement.
 #[derive(Debug)]
 pub struct HeapMeter(Region<'static, System>);
 
 impl HeapMeter {
-    /// Begins now.
+    /// Starts measuring.
     pub fn start() -> Self {
         let allocator: &'static StatsAlloc<System> = &stats_alloc::INSTRUMENTED_SYSTEM;
         HeapMeter(Region::new(allocator))
     }
 
-    /// Bytes still allocated of those taken since the start; 0 where more was freed than taken.
-    pub fn bytes(&self) -> u64 {
+    /// Net growth of the heap since the start, in bytes; 0 if more was freed than allocated.
+    pub fn net_bytes(&self) -> u64 {
         let change = self.0.change();
-        // What a reallocation adds or frees is in these two already; `bytes_reallocated` is the sum of both.
+        // Both counters already include reallocations;
+        // `bytes_reallocated` is the net change by reallocations alone.
         let grown = change.bytes_allocated as i64 - change.bytes_deallocated as i64;
         grown.max(0) as u64
     }
 
-    /// Calls to the allocator that took memory since the start.
+    /// Number of allocations and reallocations since the start.
     pub fn allocations(&self) -> u64 {
         let change = self.0.change();
         (change.allocations + change.reallocations) as u64
--- a/crates/badgerwind-scale/src/error.rs
+++ b/crates/badgerwind-scale/src/error.rs
@@ -1,80 +1,84 @@
-//! What can be wrong with a request for a measurement, worded for the person who typed it.
+//! Errors of a measurement, worded for the user of the command line.
 
 use thiserror::Error;
 
-/// Why a row could not be measured.
+/// The reason why a row could not be measured.
 #[derive(Debug, Error)]
 pub enum ScaleError {
     /// No row has this name.
     #[error("argument ROW: no row is called '{name}'; `badgerwind-scale list` prints the names")]
     UnknownRow {
-        /// The name that was asked for.
+        /// The requested name.
         name: String,
     },
-    /// A size of 0 measures nothing.
-    #[error("option --sizes: 0 is no size; give whole numbers above 0, such as 10,30,100")]
+    /// A size is 0.
+    #[error("option --sizes: 0 is not a valid size; give whole numbers above 0, such as 10,30,100")]
     ZeroSize,
-    /// No size was given.
+    /// The list of sizes is empty.
     #[error("option --sizes: the list is empty; give whole numbers above 0, such as 10,30,100")]
     NoSizes,
     /// A size would need more memory than allowed.
     #[error(
-        "option --sizes: {size} {variable} need about {needed_mib} MiB, over --memory-mib {allowed_mib}; \
-         leave the size out or allow more"
+        "option --sizes: {size} {variable} need about {needed_mib} MiB, more than --memory-mib {allowed_mib}; \
+         remove this size or raise --memory-mib"
     )]
     TooLarge {
-        /// The size that was asked for.
+        /// The requested size.
         size: u64,
         /// What the size counts.
         variable: &'static str,
-        /// Estimated need.
+        /// Estimated memory in MiB.
         needed_mib: u64,
-        /// What is allowed.
+        /// Allowed memory in MiB.
         allowed_mib: u64,
     },
     /// The measurements took longer than allowed.
     #[error(
-        "option --seconds: {elapsed} s were over before size {size} of row '{row}'; leave out large sizes or \
-         allow more"
+        "option --seconds: the time limit was exceeded after {elapsed} s, before size {size} of row '{row}'; remove \
+         large sizes or raise --seconds"
     )]
     OutOfTime {
-        /// The row that was being measured.
+        /// The measured row.
         row: &'static str,
-        /// The size that was not begun.
+        /// The first size that was not measured.
         size: u64,
-        /// Seconds that passed.
+        /// Elapsed seconds.
         elapsed: u64,
     },
-    /// A result could not be written.
-    #[error("option {option}: {path}: {reason}; name a folder that exists and may be written to")]
+    /// A result file could not be written.
+    #[error("option {option}: {path}: {reason}; name a file in a folder that exists and is writable")]
     Output {
         /// The option that named the file.
         option: &'static str,
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         reason: String,
     },
     /// The hollow fleet did not reach the state in which it is measured.
-    #[error("row '{row}', size {size}: {reason}; try another --seed, and report it if that fails as well")]
+    #[error(
+        "row '{row}', size {size}: {reason}; try another --seed, and report a bug if that fails as well"
+    )]
     NotSettled {
-        /// The row.
+        /// The measured row.
         row: &'static str,
-        /// The size.
+        /// The measured size.
         size: u64,
-        /// What was waited for.
+        /// The condition that was not reached.
         reason: String,
     },
-    /// A size has no meaning for this row.
-    #[error("option --sizes: {size} {variable}: this row measures {least} to {most}; take one of these")]
+    /// The size is outside the range of the row.
+    #[error(
+        "option --sizes: {size} {variable}: this row measures {min} to {max}; choose sizes in this range"
+    )]
     SizeOutOfRange {
-        /// The size that was asked for.
+        /// The requested size.
         size: u64,
         /// What the size counts.
         variable: &'static str,
-        /// The least that makes sense.
-        least: u64,
-        /// The most that makes sense.
-        most: u64,
+        /// Smallest size of the row.
+        min: u64,
+        /// Largest size of the row.
+        max: u64,
     },
 }
--- a/crates/badgerwind-scale/src/lib.rs
+++ b/crates/badgerwind-scale/src/lib.rs
@@ -1,6 +1,7 @@
-//! Scale tests: thousands of hollow members in one process run the real state machines and the real codecs over
-//! a simulated network, and the slopes of what they cost are fitted, printed and drawn. Each row of
-//! `docs/CAPACITY.md` is one [`row::Row`], printed by one command with a fixed seed.
+//! Scalability measurements. Thousands of hollow members, which are the product's real state machines and
+//! codecs without processes or sockets, run in one process over a simulated network. The package measures
+//! what they cost at several sizes, fits the growth of each cost, and prints and plots the result. Each row
+//! of `docs/CAPACITY.md` is one [`row::Row`], reproduced by one command with a fixed seed.
 
 pub mod config_world;
 pub mod cost;
--- a/crates/badgerwind-scale/src/main.rs
+++ b/crates/badgerwind-scale/src/main.rs
@@ -1,7 +1,7 @@
 //! `badgerwind-scale`: prints the slopes behind `docs/CAPACITY.md`, one command a row.
 
 use badgerwind_scale::error::ScaleError;
-use badgerwind_scale::run::Request;
+use badgerwind_scale::run::RunOptions;
 use badgerwind_scale::{report, rows, run};
 use clap::{Parser, Subcommand};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -81,20 +81,20 @@
 
 fn measure(arguments: RowArguments) -> Result<(), ScaleError> {
     let row = rows::find(&arguments.row)?;
-    let request = Request {
+    let options = RunOptions {
         sizes: arguments.sizes,
         seed: arguments.seed,
-        plays: arguments.plays,
-        memory_mib: arguments.memory_mib,
-        time: Duration::from_secs(arguments.seconds),
+        repetitions: arguments.plays,
+        max_memory_mib: arguments.memory_mib,
+        time_limit: Duration::from_secs(arguments.seconds),
     };
-    let outcome = run::run(row.as_ref(), &request)?;
-    print!("{}", report::table(&outcome));
+    let result = run::measure_row(row.as_ref(), &options)?;
+    print!("{}", report::table(&result));
     if let Some(path) = &arguments.json {
-        write_json(path, &report::json(&outcome))?;
+        write_json(path, &report::json(&result))?;
     }
     if let Some(path) = &arguments.svg {
-        report::draw(&outcome, path)?;
+        report::draw(&result, path)?;
     }
     Ok(())
 }
--- a/crates/badgerwind-scale/src/report.rs
+++ b/crates/badgerwind-scale/src/report.rs
@@ -1,83 +1,81 @@
-//! A measured row as text, as JSON and as a drawing.
+//! Formats a measured row as a text table, as JSON or as an SVG chart.
 
 use crate::error::ScaleError;
-use crate::run::{Outcome, Slope};
+use crate::run::{MetricResult, RowResult};
 use plotters::prelude::*;
 use std::fmt::Write;
 use std::path::Path;
 
-const DRAWING: (u32, u32) = (720, 440);
+/// Width and height of the chart in pixels.
+const CHART_SIZE: (u32, u32) = (720, 440);
 
-/// A table: a line a metric and size, then the fit with its residuals.
-pub fn table(outcome: &Outcome) -> String {
+/// A text table: one line for each metric and size, with the residual of the fit, then a line with the fit.
+pub fn table(result: &RowResult) -> String {
     let mut text = String::new();
     // Writing to a string does not fail.
-    _ = writeln!(text, "{}: {}", outcome.row, outcome.about);
-    _ = writeln!(text, "seed {}, {} plays a size", outcome.seed, outcome.plays);
-    for slope in &outcome.slopes {
-        _ = writeln!(text, "\n{} ({}) by {}", slope.metric.name, slope.metric.unit, outcome.variable);
-        for (point, residual) in slope.points.iter().zip(&slope.fit.residuals) {
-            let (size, mean, least, most) = (point.size, point.mean, point.least, point.most);
-            _ = writeln!(text, "{size:>10} {mean:>16.2}  ({least:.2} to {most:.2})  residual {residual:+.3}");
+    _ = writeln!(text, "{}: {}", result.row, result.about);
+    _ = writeln!(text, "seed {}, {} plays a size", result.seed, result.repetitions);
+    for series in &result.metrics {
+        _ = writeln!(text, "\n{} ({}) by {}", series.metric.name, series.metric.unit, result.variable);
+        for (point, residual) in series.points.iter().zip(&series.fit.residuals) {
+            let (size, mean, min, max) = (point.size, point.mean, point.min, point.max);
+            _ = writeln!(text, "{size:>10} {mean:>16.2}  ({min:.2} to {max:.2})  residual {residual:+.3}");
         }
-        _ = writeln!(text, "{}", summary(outcome, slope));
+        _ = writeln!(text, "{}", summary(result, series));
     }
     text
 }
 
-fn summary(outcome: &Outcome, slope: &Slope) -> String {
-    let (fit, planned) = (&slope.fit, outcome.planned);
-    let how = if slope.extrapolated { "extrapolated" } else { "measured or between measured sizes" };
+fn summary(result: &RowResult, series: &MetricResult) -> String {
+    let (fit, planned) = (&series.fit, result.planned_size);
+    let source = if series.extrapolated { "extrapolated" } else { "measured or between measured sizes" };
     let mut line = format!(
-        "fit: {:?}, base {:.4}, slope {:.6}, spread {:.3}; at {planned}: {:.2} ({how})",
+        "fit: {:?}, base {:.4}, slope {:.6}, spread {:.3}; at {planned}: {:.2} ({source})",
         fit.order,
-        fit.base,
+        fit.intercept,
         fit.slope,
-        fit.spread(),
-        slope.at_planned
+        fit.rms_residual(),
+        series.planned_value
     );
-    if let (Some(bound), Some(ratio)) = (slope.bound, slope.ratio) {
-        _ = write!(line, "; bound {:.2} ({}); need over bound {ratio:.3}", bound.most, bound.source);
+    if let (Some(bound), Some(ratio)) = (series.bound, series.bound_ratio) {
+        _ = write!(line, "; bound {:.2} ({}); need over bound {ratio:.3}", bound.max, bound.source);
     }
     line
 }
 
-/// The same as JSON.
-pub fn json(outcome: &Outcome) -> String {
-    serde_json::to_string_pretty(outcome).unwrap_or_default()
+/// The result as JSON.
+pub fn json(result: &RowResult) -> String {
+    serde_json::to_string_pretty(result).unwrap_or_default()
 }
 
-/// Draws one line a metric over the sizes, both axes logarithmic, into an SVG file.
-pub fn draw(outcome: &Outcome, path: &Path) -> Result<(), ScaleError> {
+/// Writes an SVG chart with one line for each metric over the sizes, both axes logarithmic.
+pub fn draw(result: &RowResult, path: &Path) -> Result<(), ScaleError> {
     let failed =
         |reason: String| ScaleError::Output { option: "--svg", path: path.display().to_string(), reason };
-    draw_slopes(outcome, path).map_err(|e| failed(e.to_string()))
+    draw_chart(result, path).map_err(|e| failed(e.to_string()))
 }
 
-fn draw_slopes(outcome: &Outcome, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let sizes = || outcome.slopes.iter().flat_map(|s| &s.points).map(|p| p.size as f64);
-    let values = || outcome.slopes.iter().flat_map(|s| &s.points).map(|p| p.mean).filter(|v| *v > 0.0);
+fn draw_chart(result: &RowResult, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
+    let sizes = || result.metrics.iter().flat_map(|m| &m.points).map(|p| p.size as f64);
+    let values = || result.metrics.iter().flat_map(|m| &m.points).map(|p| p.mean).filter(|v| *v > 0.0);
     let (low, high) = (sizes().fold(f64::INFINITY, f64::min), sizes().fold(1.0, f64::max));
-    let (least, most) = (values().fold(f64::INFINITY, f64::min), values().fold(1e-9, f64::max));
-    let area = SVGBackend::new(path, DRAWING).into_drawing_area();
+    let (min, max) = (values().fold(f64::INFINITY, f64::min), values().fold(1e-9, f64::max));
+    let area = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption(outcome.row, ("sans-serif", 18))
+        .caption(result.row, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(70)
-        .build_cartesian_2d(
-            (low..high * 1.01).log_scale(),
-            (least.min(most) / 2.0..most * 2.0).log_scale(),
-        )?;
-    chart.configure_mesh().x_desc(outcome.variable).draw()?;
-    for (place, slope) in outcome.slopes.iter().enumerate() {
-        let colour = Palette99::pick(place).to_rgba();
+        .build_cartesian_2d((low..high * 1.01).log_scale(), (min.min(max) / 2.0..max * 2.0).log_scale())?;
+    chart.configure_mesh().x_desc(result.variable).draw()?;
+    for (index, series) in result.metrics.iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
         let points: Vec<(f64, f64)> =
-            slope.points.iter().filter(|p| p.mean > 0.0).map(|p| (p.size as f64, p.mean)).collect();
-        let label = format!("{} ({})", slope.metric.name, slope.metric.unit);
-        let series = chart.draw_series([PathElement::new(points.clone(), colour)])?;
-        series.label(label).legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
+            series.points.iter().filter(|p| p.mean > 0.0).map(|p| (p.size as f64, p.mean)).collect();
+        let label = format!("{} ({})", series.metric.name, series.metric.unit);
+        let plotted = chart.draw_series([PathElement::new(points.clone(), colour)])?;
+        plotted.label(label).legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
         chart.draw_series(points.into_iter().map(|at| Circle::new(at, 3, colour.filled())))?;
     }
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
--- a/crates/badgerwind-scale/src/row.rs
+++ b/crates/badgerwind-scale/src/row.rs
@@ -1,17 +1,17 @@
-//! What one row of the capacity page is: a cost of one role, as it grows with one size.
+//! A row of the capacity page: a cost of one role as a function of one size.
 
 use crate::error::ScaleError;
 use serde::Serialize;
 
-/// A part of the system that the page has a section for.
+/// A part of the system that has a section on the capacity page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
     /// A front end, on the path of a call.
     FrontEndCall,
-    /// A front end, for control: views, lists, settings, budgets.
+    /// A front end's control work: membership, lists, settings, budgets.
     FrontEndControl,
-    /// A worker, as far as the product causes its work.
+    /// A worker, limited to the work that the product causes.
     Worker,
     /// A voter of the register.
     Voter,
@@ -21,7 +21,7 @@
     ControlService,
 }
 
-/// What is measured, and in what unit.
+/// A measured quantity and its unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Metric {
     /// Short name, such as "time of a call".
@@ -30,23 +30,24 @@
     pub unit: &'static str,
 }
 
-/// One figure at one size.
+/// The value of a metric, measured once at one size.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Measurement {
-    /// What it is a figure of.
+    /// The measured metric.
     pub metric: Metric,
-    /// The figure.
+    /// Value in the metric's unit.
     pub value: f64,
 }
 
-/// The most that a metric may be at the planned size, and where that comes from.
+/// Upper bound of a metric at the planned size, and its origin.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Bound {
-    /// The metric that is bounded.
+    /// The bounded metric.
     pub metric: Metric,
-    /// The most, in the metric's unit.
-    pub most: f64,
-    /// Where the bound comes from, such as "1% of a core at 127 calls a second".
+    /// Largest allowed value, in the metric's unit.
+    #[serde(rename = "most")]
+    pub max: f64,
+    /// Origin of the bound, such as "1% of a core at 127 calls a second".
     pub source: &'static str,
 }
 
@@ -54,20 +55,21 @@
 pub trait Row {
     /// Name on the command line.
     fn name(&self) -> &'static str;
-    /// The role whose cost it is.
+    /// The role that bears the cost.
     fn role(&self) -> Role;
-    /// What is measured, and how, in a sentence.
+    /// What is measured and how, in one sentence.
     fn about(&self) -> &'static str;
     /// What the size counts, such as "listed workers".
     fn variable(&self) -> &'static str;
-    /// Sizes that are measured by default.
-    fn sizes(&self) -> &'static [u64];
-    /// The planned size; larger than the largest measured one, the figure there is an extrapolation.
-    fn planned(&self) -> u64;
+    /// Sizes to measure if the command line names none.
+    fn default_sizes(&self) -> &'static [u64];
+    /// The planned size. If it is larger than the largest measured size, the value there is an extrapolation.
+    fn planned_size(&self) -> u64;
     /// Bounds at the planned size.
     fn bounds(&self) -> Vec<Bound>;
-    /// About how many bytes of heap a measurement needs; checked before it begins.
-    fn bytes_needed(&self, size: u64) -> u64;
-    /// Measures at one size. The same size and seed give the same counts.
+    /// Estimated heap of a measurement in bytes, which is compared with the memory limit before the
+    /// measurement.
+    fn estimated_heap_bytes(&self, size: u64) -> u64;
+    /// Measures at one size. Counts are deterministic for a given size and seed.
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError>;
 }
--- a/crates/badgerwind-scale/src/rows/budgets.rs
+++ b/crates/badgerwind-scale/src/rows/budgets.rs
@@ -4,8 +4,10 @@
 
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use crate::rows::load::{all_regions, cut_off, heap_of, load_metrics, mean, Load, LoadMetrics};
-use crate::rows::network::{Area, Count, Micros, MILLISECOND, REGIONS, SECOND};
+use crate::rows::load::{
+    all_regions, cost_metrics, heap_bytes, isolate_region, mean_cost, CostMetrics, MemberCost,
+};
+use crate::rows::network::{Area, Micros, TrafficCount, MILLISECOND, REGIONS, SECOND};
 use group::{Group, Plan};
 
 /// What a datagram between front ends adds to a message: number (4), counter (8) and tag (16).
@@ -32,11 +34,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SteadyLoads {
     /// The mean member that neither votes nor coordinates.
-    pub member: Load,
+    pub member: MemberCost,
     /// The mean voter that is not coordinator.
-    pub voter: Load,
+    pub voter: MemberCost,
     /// The lease coordinator.
-    pub coordinator: Load,
+    pub coordinator: MemberCost,
 }
 
 /// Starts a group and runs it until nearly all members own units.
@@ -68,44 +70,48 @@
     let sample: Vec<usize> = members.iter().copied().take(WATCHED).collect();
     let watched = [&sample[..], &voters[..], &[coordinator][..]].concat();
     group.begin_counts();
-    group.processor.watch(&watched);
+    group.processor.track(&watched);
     group.run(window);
     if group.coordinator() != Some(coordinator) {
         return Err(not_settled("another coordinator was elected while it was measured"));
     }
     let seconds = window as f64 / SECOND as f64;
     let counts = counts(&mut group, &members, seconds);
-    let member = mean(&loads(&mut group, &sample, seconds));
+    let member = mean_cost(&loads(&mut group, &sample, seconds));
     Ok(SteadyLoads {
-        member: Load { messages: counts.messages, bytes: counts.bytes, ..member },
-        voter: mean(&loads(&mut group, &voters, seconds)),
-        coordinator: mean(&loads(&mut group, &[coordinator], seconds)),
+        member: MemberCost { messages: counts.messages, bytes: counts.bytes, ..member },
+        voter: mean_cost(&loads(&mut group, &voters, seconds)),
+        coordinator: mean_cost(&loads(&mut group, &[coordinator], seconds)),
     })
 }
 
 /// Mean messages and bytes a second over all of these.
-fn counts(group: &mut Group, members: &[usize], seconds: f64) -> Load {
+fn counts(group: &mut Group, members: &[usize], seconds: f64) -> MemberCost {
     let load = |member: &usize| {
-        let Count { messages, bytes } = group.network().traffic(*member);
-        Load { messages: messages as f64 / seconds, bytes: bytes as f64 / seconds, ..Load::default() }
+        let TrafficCount { messages, bytes } = group.network().traffic(*member);
+        MemberCost {
+            messages: messages as f64 / seconds,
+            bytes: bytes as f64 / seconds,
+            ..MemberCost::default()
+        }
     };
-    mean(&members.iter().map(load).collect::<Vec<_>>())
+    mean_cost(&members.iter().map(load).collect::<Vec<_>>())
 }
 
 /// The loads of these; their nodes are taken out and weighed.
-fn loads(group: &mut Group, members: &[usize], seconds: f64) -> Vec<Load> {
+fn loads(group: &mut Group, members: &[usize], seconds: f64) -> Vec<MemberCost> {
     let load = |member: &usize| {
         let counted = counts(group, &[*member], seconds);
-        let processor = group.processor.used(*member) / seconds;
-        let heap = group.take(*member).map_or(0.0, heap_of);
-        Load { processor, heap, ..counted }
+        let processor = group.processor.microseconds(*member) / seconds;
+        let heap = group.take(*member).map_or(0.0, heap_bytes);
+        MemberCost { processor, heap, ..counted }
     };
     members.iter().map(load).collect()
 }
 
-const MEMBER: LoadMetrics = load_metrics!("member");
-const VOTER: LoadMetrics = load_metrics!("voter");
-const COORDINATOR: LoadMetrics = load_metrics!("coordinator");
+const MEMBER: CostMetrics = cost_metrics!("member");
+const VOTER: CostMetrics = cost_metrics!("voter");
+const COORDINATOR: CostMetrics = cost_metrics!("coordinator");
 
 /// Figures and bounds of all three roles.
 fn steady_measurements(loads: &SteadyLoads) -> Vec<Measurement> {
@@ -160,16 +166,16 @@
     fn variable(&self) -> &'static str {
         "members of the group"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 100, 314, 520, 1_000, 1_570, 3_000]
     }
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         11_000
     }
     fn bounds(&self) -> Vec<Bound> {
         steady_bounds()
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         bytes_needed(size, 1)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
@@ -201,16 +207,16 @@
     fn variable(&self) -> &'static str {
         "budgets"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[1, 2, 4, 8, 16]
     }
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         16
     }
     fn bounds(&self) -> Vec<Bound> {
         steady_bounds()
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         bytes_needed(SHARE_OF_A_CONTROL_MACHINE, size)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
@@ -248,9 +254,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HourSeen {
     /// The most at the coordinator, or at any voter, in one second.
-    pub coordinator: Count,
+    pub coordinator: TrafficCount,
     /// The most at any other member in one second.
-    pub member: Count,
+    pub member: TrafficCount,
     /// Seconds from the last step of the fault until 99 of 100 of those that run own units for good.
     pub until_owning: f64,
     /// Seconds from the fault until there is a coordinator.
@@ -276,14 +282,14 @@
             watch(&mut group, WATCH)
         }
         Hour::ZoneLost => {
-            let zone = group.network().within(Area::Zone(0));
+            let zone = group.network().members_in(Area::Zone(0));
             group.kill(&zone);
             let lost = watch(&mut group, AWAY);
             group.start(&zone);
             (watch(&mut group, WATCH).0, lost.1)
         }
         Hour::RegionApart => {
-            cut_off(group.network(), REGIONS - 1);
+            isolate_region(group.network(), REGIONS - 1);
             group.run(AWAY);
             group.network().heal();
             watch(&mut group, WATCH)
@@ -297,8 +303,8 @@
     let coordinators: Vec<usize> = group.voters().into_iter().chain(group.coordinator()).collect();
     let members: Vec<usize> = others.into_iter().filter(|member| !coordinators.contains(member)).collect();
     Ok(HourSeen {
-        coordinator: group.peaks().busiest(&coordinators),
-        member: group.peaks().busiest(&members),
+        coordinator: group.peaks().max_among(&coordinators),
+        member: group.peaks().max_among(&members),
         until_owning,
         until_coordinator,
     })
@@ -388,23 +394,23 @@
     fn variable(&self) -> &'static str {
         "members of the group"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[30, 100, 314, 520, 1_000, 1_570]
     }
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         11_000
     }
     fn bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: COORDINATOR_BYTES, most: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
+            Bound { metric: COORDINATOR_BYTES, max: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
             Bound {
                 metric: MEMBER_BYTES_BUSIEST,
-                most: 6_144.0,
+                max: 6_144.0,
                 source: "6 KB a second for control, in and out",
             },
         ]
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         bytes_needed(size, 1)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
--- a/crates/badgerwind-scale/src/rows/budgets/group.rs
+++ b/crates/badgerwind-scale/src/rows/budgets/group.rs
@@ -1,6 +1,6 @@
 //! A hollow group of the budgets: real nodes and the real codec over simulated ways between sites.
 
-use crate::rows::load::{Peaks, Processor, SLICE};
+use crate::rows::load::{PeakTraffic, ProcessorTimes, SAMPLE_INTERVAL};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND, SECOND};
 use badgerwind_budgets::{LeaseSettings, Limit, LimitSet, Member, Message, Node, Recipient, Unit};
 use rand::rngs::StdRng;
@@ -61,9 +61,9 @@
     rng: StdRng,
     network: Network,
     hosts: Vec<Host>,
-    peaks: Peaks,
+    peaks: PeakTraffic,
     /// Processor time of members that are watched.
-    pub processor: Processor,
+    pub processor: ProcessorTimes,
 }
 
 /// Voters are the first members: the network deals members out to different zones and regions in turn.
@@ -89,17 +89,17 @@
         let terms = terms(voters(plan.members));
         let units = (plan.members * UNITS_EACH).min(UNITS_MOST) as Unit;
         let limit = Limit { units, floor: 0, members: plan.members as Member, cooldown: WINDOW };
-        let conditions = Conditions { drift: u64::from(terms.drift_ppm), ..plan.conditions };
+        let conditions = Conditions { max_drift_ppm: u64::from(terms.drift_ppm), ..plan.conditions };
         let network = Network::new(conditions, plan.members, plan.seed);
         let host = |_| Host { node: None, incarnation: 0, demand_changes: 0 };
         Group {
             terms,
             book: LimitSet { version: 1, limits: vec![limit; plan.budgets] },
             rng: StdRng::seed_from_u64(plan.seed ^ 0xb0d9e7),
-            peaks: Peaks::new(&network),
+            peaks: PeakTraffic::new(&network),
             network,
             hosts: (0..plan.members).map(host).collect(),
-            processor: Processor::new(plan.members),
+            processor: ProcessorTimes::new(plan.members),
             plan,
         }
     }
@@ -126,7 +126,7 @@
     }
 
     fn start_one(&mut self, member: usize) {
-        let now = self.network.clock(member);
+        let now = self.network.local_time(member);
         let part = self.rng.random();
         let host = &mut self.hosts[member];
         host.incarnation += 1;
@@ -136,7 +136,7 @@
         let first_tick = self.rng.random_range(0..node.tick_interval());
         host.node = Some(node);
         self.network.start(member);
-        self.network.wake_at(member, TICK, now + first_tick);
+        self.network.set_timer(member, TICK, now + first_tick);
     }
 
     /// Kills members.
@@ -154,12 +154,12 @@
 
     /// Begins to count traffic and its busiest second anew.
     pub fn begin_counts(&mut self) {
-        self.network.begin_counts();
-        self.peaks = Peaks::new(&self.network);
+        self.network.reset_counts();
+        self.peaks = PeakTraffic::new(&self.network);
     }
 
     /// The busiest second of each member since the counts began.
-    pub fn peaks(&self) -> &Peaks {
+    pub fn peaks(&self) -> &PeakTraffic {
         &self.peaks
     }
 
@@ -167,16 +167,16 @@
     pub fn run(&mut self, span: Micros) {
         let until = self.network.now() + span;
         while self.network.now() < until {
-            let slice = (self.network.now() / SLICE + 1) * SLICE;
+            let slice = (self.network.now() / SAMPLE_INTERVAL + 1) * SAMPLE_INTERVAL;
             self.take_events(slice.min(until));
             if self.network.now() == slice {
-                self.peaks.slice(&self.network);
+                self.peaks.sample(&self.network);
             }
         }
     }
 
     fn take_events(&mut self, until: Micros) {
-        while let Some(event) = self.network.next_before(until) {
+        while let Some(event) = self.network.next_event(until) {
             match event {
                 Event::Datagram { from, to, bytes } => self.arrive(from, to, &bytes),
                 Event::Timer { member, .. } => self.tick(member),
@@ -187,7 +187,7 @@
     /// Who is coordinator, by its own clock and votes.
     pub fn coordinator(&mut self) -> Option<usize> {
         (0..self.plan.members).find(|member| {
-            let now = self.network.clock(*member);
+            let now = self.network.local_time(*member);
             self.hosts[*member].node.as_mut().is_some_and(|node| node.is_coordinator(now))
         })
     }
@@ -195,7 +195,7 @@
     /// How many own something of each budget at this moment.
     pub fn owning(&self) -> usize {
         let owns = |member: &usize| {
-            let now = self.network.clock(*member);
+            let now = self.network.local_time(*member);
             let node = self.hosts[*member].node.as_ref();
             node.is_some_and(|node| (0..self.plan.budgets).all(|budget| !node.owned(now, budget).is_empty()))
         };
@@ -214,7 +214,7 @@
     }
 
     fn tick(&mut self, member: usize) {
-        let now = self.network.clock(member);
+        let now = self.network.local_time(member);
         self.demand(member, now);
         let part = self.rng.random();
         let Some(node) = &mut self.hosts[member].node else { return };
@@ -222,7 +222,7 @@
         let out = node.tick(now, part);
         let sends: Vec<_> = out.iter().map(|(to, message)| (*to, kind(message), message.encode())).collect();
         self.processor.stop(member, meter);
-        self.network.wake_at(member, TICK, now + node.tick_interval());
+        self.network.set_timer(member, TICK, now + node.tick_interval());
         sends.iter().for_each(|(to, kind, bytes)| self.send_all(member, *to, kind, bytes));
     }
 
@@ -244,7 +244,7 @@
     }
 
     fn arrive(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        let now = self.network.clock(to);
+        let now = self.network.local_time(to);
         let Some(node) = &mut self.hosts[to].node else { return };
         let meter = self.processor.start(to);
         let answer = Message::decode(bytes).and_then(|message| node.receive(now, from as Member, &message));
--- a/crates/badgerwind-scale/src/rows/call_counts.rs
+++ b/crates/badgerwind-scale/src/rows/call_counts.rs
@@ -22,14 +22,14 @@
 
 /// A count grew faster than allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
-#[error("{count} grow {factor:.1} times where {most:.1} are allowed")]
+#[error("{count} grow {factor:.1} times where {max:.1} are allowed")]
 pub struct GrowthTooLarge {
     /// What grew.
     pub count: &'static str,
     /// Its value at many workers over that at few.
     pub factor: f64,
     /// What is allowed.
-    pub most: f64,
+    pub max: f64,
 }
 
 /// Counts of a call path over two simulated seconds, the first of which does not count. Exact where the counting allocator
@@ -48,13 +48,13 @@
     }
 }
 
-/// Growth of allocations and of allocated bytes from few workers to many; an error where one is over `most`.
-pub fn check_growth(few: &CallCounts, many: &CallCounts, most: f64) -> Result<(f64, f64), GrowthTooLarge> {
+/// Growth of allocations and of allocated bytes from few workers to many; an error where one is over `max`.
+pub fn check_growth(few: &CallCounts, many: &CallCounts, max: f64) -> Result<(f64, f64), GrowthTooLarge> {
     let allocations = growth(few.allocations, many.allocations);
     let bytes = growth(few.allocated_bytes, many.allocated_bytes);
     for (count, factor) in [("allocations a call", allocations), ("bytes allocated a call", bytes)] {
-        if factor > most {
-            return Err(GrowthTooLarge { count, factor, most });
+        if factor > max {
+            return Err(GrowthTooLarge { count, factor, max });
         }
     }
     Ok((allocations, bytes))
--- a/crates/badgerwind-scale/src/rows/cold_starts.rs
+++ b/crates/badgerwind-scale/src/rows/cold_starts.rs
@@ -192,20 +192,20 @@
         "seconds of keep-alive"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[30, 60, 300, 600]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         60
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let copies = |metric| Bound { metric, most: INSTANCES, source: "1.5 million instances" };
+        let copies = |metric| Bound { metric, max: INSTANCES, source: "1.5 million instances" };
         EXPONENTS.iter().flat_map(|(_, metrics)| [copies(metrics[3]), copies(metrics[4])]).collect()
     }
 
-    fn bytes_needed(&self, _size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, _size: u64) -> u64 {
         FUNCTIONS * 16
     }
 
@@ -317,11 +317,11 @@
         "seconds of keep-alive"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 60]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         60
     }
 
@@ -329,7 +329,7 @@
         Vec::new()
     }
 
-    fn bytes_needed(&self, _size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, _size: u64) -> u64 {
         FUNCTIONS * 64
     }
 
@@ -442,27 +442,27 @@
         "percent of load slots taken"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[5, 10, 20, 30, 40, 50, 60, 70, 80, 90]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         30
     }
 
     fn bounds(&self) -> Vec<Bound> {
         let aim = "99 in 100 cold starts within 1.5 s";
-        [EVEN_LATE, TAILED_LATE].map(|metric| Bound { metric, most: 10.0, source: aim }).into()
+        [EVEN_LATE, TAILED_LATE].map(|metric| Bound { metric, max: 10.0, source: aim }).into()
     }
 
-    fn bytes_needed(&self, _size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, _size: u64) -> u64 {
         (LOADS * 16) as u64
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         if size > MOST_PERCENT {
-            let (variable, least, most) = (self.variable(), 1, MOST_PERCENT);
-            return Err(ScaleError::SizeOutOfRange { size, variable, least, most });
+            let (variable, min, max) = (self.variable(), 1, MOST_PERCENT);
+            return Err(ScaleError::SizeOutOfRange { size, variable, min, max });
         }
         let times = |load| cold_start_times(load, size as f64 / 100.0, LOADS, seed);
         let (even, tailed) = (times(LoadTime::Even), times(LoadTime::Tailed));
--- a/crates/badgerwind-scale/src/rows/config.rs
+++ b/crates/badgerwind-scale/src/rows/config.rs
@@ -213,7 +213,7 @@
     let mut driver: Driver<Router, (), u64, ()> = Driver::new(router, driver_limits(settings));
     let list = badgerwind_driver::Input::List { kind: ListKind::Whole, entries: workers(listed) };
     driver.on_batch(1, [list], &mut Vec::new());
-    let figures = (meter.microseconds(), heap.bytes());
+    let figures = (meter.microseconds(), heap.net_bytes());
     drop(driver);
     figures
 }
@@ -226,7 +226,7 @@
         for kind in Kind::ALL {
             cost.insert(kind, average(size, kind, seed, &mut follower)?);
         }
-        let settings_heap = heap.bytes();
+        let settings_heap = heap.net_bytes();
         let settings = follower.settings.clone().ok_or("no settings were applied")?;
         let replay = replay_microseconds(&settings, size, USUAL_WORKERS)?;
         let (router_time, router_heap) = router(&settings, USUAL_WORKERS);
@@ -283,17 +283,17 @@
         "functions in the settings"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 100, 300, 1_000, 3_000, 11_000, 30_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         400_000
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let bytes = |metric| Bound { metric, most: MOST_BYTES_A_SECOND, source: "6 KB a second for control" };
-        let time = |metric| Bound { metric, most: MOST_MICROSECONDS, source: "1% of a core for control" };
+        let bytes = |metric| Bound { metric, max: MOST_BYTES_A_SECOND, source: "6 KB a second for control" };
+        let time = |metric| Bound { metric, max: MOST_MICROSECONDS, source: "1% of a core for control" };
         vec![
             bytes(CLASSES_BYTES_A_SECOND),
             bytes(ROUTES_BYTES_A_SECOND),
@@ -302,11 +302,11 @@
             time(ROUTES_TIME_A_SECOND),
             time(LIMITS_TIME_A_SECOND),
             time(REPLAY_TIME_A_SECOND),
-            Bound { metric: HEAP, most: MOST_HEAP, source: "128 MB for control" },
+            Bound { metric: HEAP, max: MOST_HEAP, source: "128 MB for control" },
         ]
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         32_000_000 + size * 10_000
     }
 
@@ -351,20 +351,20 @@
         "listed workers"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 100, 300, 1_000, 3_000, 11_000, 16_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         16_000
     }
 
     fn bounds(&self) -> Vec<Bound> {
         let source = "1% of a core for control";
-        vec![Bound { metric: REPLAY_A_SECOND, most: MOST_MICROSECONDS, source }]
+        vec![Bound { metric: REPLAY_A_SECOND, max: MOST_MICROSECONDS, source }]
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         64_000_000 + size * 16_000
     }
 
--- a/crates/badgerwind-scale/src/rows/config_in_force.rs
+++ b/crates/badgerwind-scale/src/rows/config_in_force.rs
@@ -229,17 +229,17 @@
         "front ends"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 100, 300, 1_000, 3_000, 11_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         11_000
     }
 
     fn bounds(&self) -> Vec<Bound> {
         let source = "in force everywhere within 3 s";
-        let bound = |metric| Bound { metric, most: 3.0, source };
+        let bound = |metric| Bound { metric, max: 3.0, source };
         vec![
             bound(WAVES.one_all),
             bound(WAVES.burst_last),
@@ -249,7 +249,7 @@
         ]
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         16_000_000 + size * 120_000
     }
 
--- a/crates/badgerwind-scale/src/rows/control.rs
+++ b/crates/badgerwind-scale/src/rows/control.rs
@@ -126,7 +126,7 @@
     for number in 0..size {
         waves.record_report(0, &format!("front-{number:05}"), &reports, Health::default());
     }
-    let bytes = heap.bytes();
+    let bytes = heap.net_bytes();
     drop(waves);
     bytes
 }
@@ -154,19 +154,19 @@
         "connected front ends"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 100, 314, 1_000, 3_000, 11_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         FRONT_ENDS_A_MACHINE
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        vec![Bound { metric: DAY_TIME, most: CORE, source: "one core of a control machine (assumed)" }]
+        vec![Bound { metric: DAY_TIME, max: CORE, source: "one core of a control machine (assumed)" }]
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         16_000_000 + size * 120_000
     }
 
@@ -236,11 +236,11 @@
         "front ends of the lost machine"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 100, 314, 1_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         FRONT_ENDS_A_MACHINE
     }
 
@@ -248,7 +248,7 @@
         Vec::new()
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         16_000_000 + MACHINES * size * 120_000
     }
 
@@ -344,11 +344,11 @@
         "front ends that restart at once"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 52, 100, 314]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         52
     }
 
@@ -356,7 +356,7 @@
         Vec::new()
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         16_000_000 + size * 1_500_000
     }
 
@@ -483,11 +483,11 @@
         "front ends cut off"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 100, 314]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         FRONT_ENDS_A_MACHINE
     }
 
@@ -495,7 +495,7 @@
         Vec::new()
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         64_000_000 + size * 120_000
     }
 
--- a/crates/badgerwind-scale/src/rows/front_end.rs
+++ b/crates/badgerwind-scale/src/rows/front_end.rs
@@ -1,6 +1,6 @@
 //! A hollow front end: the real call path over scripted workers in simulated time, with meters around it.
 
-use super::workers::{Others, Reply, ScriptedWorkers, WorkerModel};
+use super::workers::{CallReply, ForeignCalls, ScriptedWorkers, WorkerModel};
 use crate::cost::ProcessorMeter;
 use badgerwind::interface::*;
 use badgerwind::Router;
@@ -66,7 +66,7 @@
     /// Mean number of other front ends' calls that an answer mentions.
     pub crowd: f64,
     /// Calls of other front ends that keep copies loaded; none by default.
-    pub others: Option<Others>,
+    pub others: Option<ForeignCalls>,
 }
 
 impl Surroundings {
@@ -199,7 +199,7 @@
     Answer {
         call: u64,
         attempt: usize,
-        reply: Reply,
+        reply: CallReply,
     },
     Loaded {
         worker: WorkerId,
@@ -293,8 +293,8 @@
             when_absent: surroundings.when_absent,
             keep_alive: surroundings.keep_alive,
             lanes: LANES,
-            crowd: surroundings.crowd,
-            others: surroundings.others,
+            mean_foreign_crowd: surroundings.crowd,
+            foreign_calls: surroundings.others,
         };
         let mut front_end = HollowFrontEnd {
             path,
@@ -473,7 +473,7 @@
         })
     }
 
-    fn answer(&mut self, number: u64, place: usize, reply: Reply) -> Option<Event> {
+    fn answer(&mut self, number: u64, place: usize, reply: CallReply) -> Option<Event> {
         let call = self.calls.get_mut(&number)?;
         let attempt = call.attempts.get_mut(place).filter(|attempt| attempt.out)?;
         attempt.out = false;
@@ -533,11 +533,16 @@
         if let Some(first) = self.first_workers.get_mut(number as usize) {
             first.get_or_insert(worker);
         }
-        self.schedule(reply.at, Pending::Answer { call: number, attempt, reply });
+        self.schedule(reply.received_at, Pending::Answer { call: number, attempt, reply });
     }
 
     fn cancel(&mut self, number: u64, attempt: usize) {
-        let reply = Reply { at: self.now, outcome: Outcome::Cancelled, mark: CopyMark::Untold, crowd: 0 };
+        let reply = CallReply {
+            received_at: self.now,
+            outcome: Outcome::Cancelled,
+            mark: CopyMark::Untold,
+            crowd: 0,
+        };
         self.schedule(self.now, Pending::Answer { call: number, attempt, reply });
     }
 
@@ -545,7 +550,7 @@
         let sent = self.now;
         self.costs.orders += 1;
         let reply = self.workers.load(sent, worker, function, copies);
-        self.schedule(reply.at, Pending::Loaded { worker, function, sent, copies: reply.copies });
+        self.schedule(reply.received_at, Pending::Loaded { worker, function, sent, copies: reply.copies });
     }
 
     /// The call path gave its final answer: the call could not be served.
--- a/crates/badgerwind-scale/src/rows/hard_cases.rs
+++ b/crates/badgerwind-scale/src/rows/hard_cases.rs
@@ -4,7 +4,7 @@
 use super::cold_starts::{self, Demand};
 use super::front_end::{Costs, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, CELL_WORKERS, SECOND};
 use super::router::{CORE_SHARE_BOUND, MEMORY_BOUND};
-use super::workers::Others;
+use super::workers::ForeignCalls;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use badgerwind::interface::{Availability, ListKind, Span, WorkerEntry};
@@ -64,21 +64,21 @@
         "listed workers"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[120, 1_000, 4_000, 16_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         16_000
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let core = |metric| Bound { metric, most: CORE_SHARE_BOUND, source: "1% of a core" };
-        let memory = Bound { metric: ONCE_HEAP_SETTLED, most: MEMORY_BOUND, source: "128 MB a front end" };
+        let core = |metric| Bound { metric, max: CORE_SHARE_BOUND, source: "1% of a core" };
+        let memory = Bound { metric: ONCE_HEAP_SETTLED, max: MEMORY_BOUND, source: "128 MB a front end" };
         vec![core(ONCE_TIME), core(GROWN_FIRST), core(CELL_TIME), core(RESTART_TIME), memory]
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         let calls = (2 * (WARM_UP + MEASURED) / SECOND) * CALLS_PER_SECOND as u64;
         size.saturating_mul(2_000 + 4 * calls).saturating_add(16 * MANY_FUNCTIONS)
     }
@@ -155,7 +155,7 @@
 /// Nothing is known but the list, and the copies that the rest of the fleet uses stand.
 fn restarted(workers: u32, seed: u64) -> Vec<Measurement> {
     let most_called = Demand::new(MANY_FUNCTIONS, 1.0, cold_starts::CALLS_PER_SECOND).most_called();
-    let others = Some(Others { most_called, exponent: 1.0 });
+    let others = Some(ForeignCalls { top_function_rate: most_called, exponent: 1.0 });
     let surroundings = Surroundings { others, ..Surroundings::new(workers, MANY_FUNCTIONS) };
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
     front_end.run(MEASURED);
--- a/crates/badgerwind-scale/src/rows/lists.rs
+++ b/crates/badgerwind-scale/src/rows/lists.rs
@@ -78,26 +78,26 @@
         "listed workers"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[120, 1_000, 4_000, 16_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         16_000
     }
 
     fn bounds(&self) -> Vec<Bound> {
         let core = "1% of a core";
         vec![
-            Bound { metric: ZONE_SECONDS, most: CORE_SHARE_BOUND, source: core },
-            Bound { metric: RESTART_SECONDS, most: CORE_SHARE_BOUND, source: core },
-            Bound { metric: AFTER_WHOLE, most: CORE_SHARE_BOUND, source: core },
-            Bound { metric: WHOLE_BYTES, most: 6_144.0, source: "6 KB a second, were it sent each second" },
-            Bound { metric: HEAP, most: MEMORY_BOUND, source: "128 MB a front end" },
+            Bound { metric: ZONE_SECONDS, max: CORE_SHARE_BOUND, source: core },
+            Bound { metric: RESTART_SECONDS, max: CORE_SHARE_BOUND, source: core },
+            Bound { metric: AFTER_WHOLE, max: CORE_SHARE_BOUND, source: core },
+            Bound { metric: WHOLE_BYTES, max: 6_144.0, source: "6 KB a second, were it sent each second" },
+            Bound { metric: HEAP, max: MEMORY_BOUND, source: "128 MB a front end" },
         ]
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size.saturating_mul(2_000 + 4 * FUNCTIONS)
     }
 
@@ -245,11 +245,11 @@
         "listed workers"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[120, 1_000, 4_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         16_000
     }
 
@@ -257,7 +257,7 @@
         Vec::new()
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size.saturating_mul(2 * (2_000 + 4 * FUNCTIONS))
     }
 
@@ -358,11 +358,11 @@
         "listed workers"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[120, 1_000, 4_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         16_000
     }
 
@@ -370,7 +370,7 @@
         Vec::new()
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size.saturating_mul(2 * (2_000 + 4 * FUNCTIONS))
     }
 
--- a/crates/badgerwind-scale/src/rows/load.rs
+++ b/crates/badgerwind-scale/src/rows/load.rs
@@ -3,66 +3,66 @@
 
 use crate::cost::ProcessorMeter;
 use crate::row::{Bound, Measurement, Metric};
-use crate::rows::network::{Area, Conditions, Count, Micros, Network, MILLISECOND, REGIONS, SECOND};
+use crate::rows::network::{Area, Conditions, Micros, Network, TrafficCount, MILLISECOND, REGIONS, SECOND};
 use stats_alloc::{Region, StatsAlloc};
 use std::alloc::System;
 
 /// Ways of one group whose members are all in one region: a quarter of a millisecond to 4 ms, nothing lost.
-pub fn one_region() -> Conditions {
-    Conditions { each_region: MILLISECOND, loss: 0.0, ..Conditions::ordinary() }
+pub fn single_region() -> Conditions {
+    Conditions { region_hop_delay: MILLISECOND, loss: 0.0, ..Conditions::wide_area() }
 }
 
 /// Ways of a group over all regions, nothing lost.
 pub fn all_regions() -> Conditions {
-    Conditions { loss: 0.0, ..Conditions::ordinary() }
+    Conditions { loss: 0.0, ..Conditions::wide_area() }
 }
 
 /// Cuts one region off from all others; within it messages pass.
-pub fn cut_off(network: &mut Network, region: usize) {
+pub fn isolate_region(network: &mut Network, region: usize) {
     for other in (0..REGIONS).filter(|other| *other != region) {
-        network.cut(Area::Region(region), Area::Region(other));
-        network.cut(Area::Region(other), Area::Region(region));
+        network.block(Area::Region(region), Area::Region(other));
+        network.block(Area::Region(other), Area::Region(region));
     }
 }
 
 /// Length of the pieces of time in which traffic is looked at.
-pub const SLICE: Micros = 100 * MILLISECOND;
+pub const SAMPLE_INTERVAL: Micros = 100 * MILLISECOND;
 /// Slices in a second.
-const SLICES: usize = (SECOND / SLICE) as usize;
+const SAMPLES_PER_SECOND: usize = (SECOND / SAMPLE_INTERVAL) as usize;
 
 /// The most messages, and the most bytes, of each member in any second, slice by slice.
 #[derive(Debug)]
-pub struct Peaks {
+pub struct PeakTraffic {
     /// Totals of each member at the ends of the last slices.
-    totals: Vec<Vec<Count>>,
-    most: Vec<Count>,
+    totals: Vec<Vec<TrafficCount>>,
+    most: Vec<TrafficCount>,
 }
 
-impl Peaks {
+impl PeakTraffic {
     /// From these totals on.
     pub fn new(network: &Network) -> Self {
-        let members = network.members();
+        let members = network.member_count();
         let totals = (0..members).map(|member| vec![network.traffic(member)]).collect();
-        Peaks { totals, most: vec![Count::default(); members] }
+        PeakTraffic { totals, most: vec![TrafficCount::default(); members] }
     }
 
     /// A slice has passed.
-    pub fn slice(&mut self, network: &Network) {
+    pub fn sample(&mut self, network: &Network) {
         for (member, (totals, most)) in self.totals.iter_mut().zip(&mut self.most).enumerate() {
             let now = network.traffic(member);
-            let then = totals[totals.len().saturating_sub(SLICES)];
+            let then = totals[totals.len().saturating_sub(SAMPLES_PER_SECOND)];
             most.messages = most.messages.max(now.messages - then.messages);
             most.bytes = most.bytes.max(now.bytes - then.bytes);
             totals.push(now);
-            if totals.len() > SLICES {
+            if totals.len() > SAMPLES_PER_SECOND {
                 totals.remove(0);
             }
         }
     }
 
     /// The most in any second among these members: messages and bytes each for itself.
-    pub fn busiest(&self, members: &[usize]) -> Count {
-        members.iter().fold(Count::default(), |most, member| Count {
+    pub fn max_among(&self, members: &[usize]) -> TrafficCount {
+        members.iter().fold(TrafficCount::default(), |most, member| TrafficCount {
             messages: most.messages.max(self.most[*member].messages),
             bytes: most.bytes.max(self.most[*member].bytes),
         })
@@ -71,7 +71,7 @@
 
 /// Processor time of members that are watched; reading the clock itself is subtracted.
 #[derive(Debug)]
-pub struct Processor {
+pub struct ProcessorTimes {
     watched: Vec<bool>,
     used: Vec<f64>,
     reading: f64,
@@ -79,14 +79,14 @@
 
 const CALIBRATION: u32 = 2_000;
 
-impl Processor {
+impl ProcessorTimes {
     /// Nobody is watched yet.
     pub fn new(members: usize) -> Self {
-        Processor { watched: vec![false; members], used: vec![0.0; members], reading: 0.0 }
+        ProcessorTimes { watched: vec![false; members], used: vec![0.0; members], reading: 0.0 }
     }
 
     /// Watches these from now on, and nobody else.
-    pub fn watch(&mut self, members: &[usize]) {
+    pub fn track(&mut self, members: &[usize]) {
         self.watched.fill(false);
         self.used.fill(0.0);
         members.iter().for_each(|member| self.watched[*member] = true);
@@ -107,13 +107,13 @@
     }
 
     /// Microseconds of a member since it is watched.
-    pub fn used(&self, member: usize) -> f64 {
+    pub fn microseconds(&self, member: usize) -> f64 {
         self.used[member]
     }
 }
 
 /// Bytes of heap that a value holds, by dropping it.
-pub fn heap_of<T>(value: T) -> f64 {
+pub fn heap_bytes<T>(value: T) -> f64 {
     let allocator: &'static StatsAlloc<System> = &stats_alloc::INSTRUMENTED_SYSTEM;
     let region = Region::new(allocator);
     drop(value);
@@ -122,7 +122,7 @@
 
 /// What one member of a role costs in a second, in a steady group.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Load {
+pub struct MemberCost {
     /// Messages in and out.
     pub messages: f64,
     /// Bytes in and out, as encoded.
@@ -135,13 +135,13 @@
 
 /// Names of the figures of one role.
 #[derive(Debug, Clone, Copy)]
-pub struct LoadMetrics {
+pub struct CostMetrics {
     /// Messages in and out.
     pub messages: Metric,
     /// Bytes in and out, as encoded.
     pub bytes: Metric,
     /// The same with what the link adds to each message.
-    pub framed: Metric,
+    pub framed_bytes: Metric,
     /// Processor time.
     pub processor: Metric,
     /// Heap.
@@ -149,27 +149,30 @@
 }
 
 /// The metrics of a role, by its name.
-macro_rules! load_metrics {
+macro_rules! cost_metrics {
     ($role:literal) => {
-        LoadMetrics {
+        CostMetrics {
             messages: Metric { name: concat!($role, " messages in and out"), unit: "messages/s" },
             bytes: Metric { name: concat!($role, " bytes in and out"), unit: "B/s" },
-            framed: Metric { name: concat!($role, " bytes in and out with the link's frame"), unit: "B/s" },
+            framed_bytes: Metric {
+                name: concat!($role, " bytes in and out with the link's frame"),
+                unit: "B/s",
+            },
             processor: Metric { name: concat!($role, " processor time"), unit: "us/s" },
             heap: Metric { name: concat!($role, " heap"), unit: "B" },
         }
     };
 }
-pub(crate) use load_metrics;
+pub(crate) use cost_metrics;
 
-impl LoadMetrics {
+impl CostMetrics {
     /// The figures of a load; `frame` is what the link adds to each message.
-    pub fn measurements(&self, load: &Load, frame: f64) -> Vec<Measurement> {
+    pub fn measurements(&self, load: &MemberCost, frame: f64) -> Vec<Measurement> {
         let figure = |metric, value| Measurement { metric, value };
         vec![
             figure(self.messages, load.messages),
             figure(self.bytes, load.bytes),
-            figure(self.framed, load.bytes + frame * load.messages),
+            figure(self.framed_bytes, load.bytes + frame * load.messages),
             figure(self.processor, load.processor),
             figure(self.heap, load.heap),
         ]
@@ -178,27 +181,31 @@
     /// The bounds of a front end's control.
     pub fn front_end_bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: self.bytes, most: 6_144.0, source: "6 KB a second for control, in and out" },
-            Bound { metric: self.framed, most: 6_144.0, source: "6 KB a second for control, in and out" },
-            Bound { metric: self.processor, most: 10_000.0, source: "1% of a core for control" },
-            Bound { metric: self.heap, most: 134_217_728.0, source: "128 MB for control" },
+            Bound { metric: self.bytes, max: 6_144.0, source: "6 KB a second for control, in and out" },
+            Bound {
+                metric: self.framed_bytes,
+                max: 6_144.0,
+                source: "6 KB a second for control, in and out",
+            },
+            Bound { metric: self.processor, max: 10_000.0, source: "1% of a core for control" },
+            Bound { metric: self.heap, max: 134_217_728.0, source: "128 MB for control" },
         ]
     }
 
     /// The bounds of a control machine: one core for it, and a link of 1 Gbit/s.
     pub fn control_machine_bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: self.framed, most: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
-            Bound { metric: self.processor, most: 1_000_000.0, source: "one core of a control machine" },
+            Bound { metric: self.framed_bytes, max: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
+            Bound { metric: self.processor, max: 1_000_000.0, source: "one core of a control machine" },
         ]
     }
 }
 
 /// The mean of loads.
-pub fn mean(loads: &[Load]) -> Load {
+pub fn mean_cost(loads: &[MemberCost]) -> MemberCost {
     let over = loads.len().max(1) as f64;
-    let of = |part: fn(&Load) -> f64| loads.iter().map(part).sum::<f64>() / over;
-    Load {
+    let of = |part: fn(&MemberCost) -> f64| loads.iter().map(part).sum::<f64>() / over;
+    MemberCost {
         messages: of(|l| l.messages),
         bytes: of(|l| l.bytes),
         processor: of(|l| l.processor),
--- a/crates/badgerwind-scale/src/rows/members.rs
+++ b/crates/badgerwind-scale/src/rows/members.rs
@@ -17,7 +17,7 @@
 /// The runtime gives a member the time four times in a period.
 const TICK: Micros = PERIOD / 4;
 /// Bytes that the peers' datagrams add to each message: number, counter and tag (`badgerwind-gateway`, `peers`).
-pub const ENVELOPE: u64 = 28;
+pub const ENVELOPE_BYTES: u64 = 28;
 /// Up to so many members every one is real; beyond, a sample of them among scripted others.
 const ALL_REAL: usize = 1_000;
 /// Real members of a sample: one a zone.
@@ -33,7 +33,7 @@
 /// Machines of a rack in the planned fleet.
 const RACK: usize = 40;
 /// Front ends of the planned fleet.
-pub const FRONT_ENDS: u64 = 11_000;
+pub const PLANNED_FRONT_ENDS: u64 = 11_000;
 
 /// Relayed pings that scripted members remember; the oldest goes first.
 const MOST_RELAYED: usize = 65_536;
@@ -80,7 +80,7 @@
 impl Fleet {
     /// A fleet of this size of which `real` members are real, calm where `acquainted`: all know all for long.
     pub fn new(size: usize, real: usize, acquainted: bool, seed: u64) -> Fleet {
-        Fleet::under(Conditions::ordinary(), (size, real), acquainted, seed)
+        Fleet::under(Conditions::wide_area(), (size, real), acquainted, seed)
     }
 
     /// The same over another network.
@@ -119,21 +119,21 @@
 
     fn newcomer(&self, index: usize) -> Members {
         let me = (index as Member, self.incarnations[index]);
-        Members::new(self.network.clock(index), me, 0..self.size as Member, self.terms.clone())
+        Members::new(self.network.local_time(index), me, 0..self.size as Member, self.terms.clone())
     }
 
     fn begin_timers(&mut self, index: usize) {
-        let first = self.network.clock(index) + self.rng.random_range(0..TICK);
-        self.network.wake_at(index, TIMER_TICK, first);
+        let first = self.network.local_time(index) + self.rng.random_range(0..TICK);
+        self.network.set_timer(index, TIMER_TICK, first);
         if self.real < self.size {
-            let first = self.network.clock(index) + self.rng.random_range(0..PERIOD);
-            self.network.wake_at(index, TIMER_SCRIPTED_PING, first);
+            let first = self.network.local_time(index) + self.rng.random_range(0..PERIOD);
+            self.network.set_timer(index, TIMER_SCRIPTED_PING, first);
         }
     }
 
     /// Members that are real and run.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Members)> {
-        self.members.iter().enumerate().filter(|(index, _)| self.network.runs(*index))
+        self.members.iter().enumerate().filter(|(index, _)| self.network.is_running(*index))
     }
 
     /// A member's process ends without a word.
@@ -152,14 +152,14 @@
     /// Plays for this long.
     pub fn run(&mut self, span: Micros) {
         let until = self.network.now() + span;
-        while let Some(event) = self.network.next_before(until) {
+        while let Some(event) = self.network.next_event(until) {
             self.on(event);
         }
     }
 
     fn on(&mut self, event: Event) {
         match event {
-            Event::Timer { member, name: TIMER_SCRIPTED_PING } => self.scripted_ping(member),
+            Event::Timer { member, id: TIMER_SCRIPTED_PING } => self.scripted_ping(member),
             Event::Timer { member, .. } => self.tick(member),
             Event::Datagram { from, to, bytes } if to < self.real => self.hear(from, to, &bytes),
             Event::Datagram { from, to, bytes } => self.scripted_answer(from, to, &bytes),
@@ -167,18 +167,18 @@
     }
 
     fn tick(&mut self, index: usize) {
-        let now = self.network.clock(index);
+        let now = self.network.local_time(index);
         let meter = (index == 0).then(ProcessorMeter::start);
         let rng = &mut self.rng;
         let mut draw = |n: usize| rng.random_range(0..n.max(1));
         let out = encoded(self.members[index].tick(now, &mut draw));
         self.processor += meter.map_or(0.0, |m| m.microseconds());
         self.send(index, out);
-        self.network.wake_at(index, TIMER_TICK, now + TICK);
+        self.network.set_timer(index, TIMER_TICK, now + TICK);
     }
 
     fn hear(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        let now = self.network.clock(to);
+        let now = self.network.local_time(to);
         let meter = (to == 0).then(ProcessorMeter::start);
         let Some(message) = Message::decode(bytes) else { return };
         let out = encoded(self.members[to].receive(now, from as Member, &message));
@@ -214,8 +214,8 @@
 
     /// Another member chooses this one for its ping, once a period on average, as each chooses all others in turn.
     fn scripted_ping(&mut self, to: usize) {
-        let again = self.network.clock(to) + self.rng.random_range(0..2 * PERIOD);
-        self.network.wake_at(to, TIMER_SCRIPTED_PING, again);
+        let again = self.network.local_time(to) + self.rng.random_range(0..2 * PERIOD);
+        self.network.set_timer(to, TIMER_SCRIPTED_PING, again);
         self.scripted_sends(to, Kind::Ping, to as Member);
     }
 
@@ -318,7 +318,7 @@
     pub fn wrongly_doubted(&self) -> u64 {
         let doubts = |one: &Members| {
             let doubted = |s: State| matches!(s, State::Suspect | State::Dead);
-            one.view().filter(|(of, s)| doubted(s.state) && self.network.runs(usize::from(*of))).count()
+            one.view().filter(|(of, s)| doubted(s.state) && self.network.is_running(usize::from(*of))).count()
         };
         self.running().map(|(_, one)| doubts(one) as u64).sum()
     }
@@ -334,7 +334,7 @@
         }
         let each = members.max(1) as f64 * seconds(span).max(f64::MIN_POSITIVE);
         let (messages, bytes) = (messages as f64 / each, bytes as f64 / each);
-        Traffic { messages, bytes, on_wire: bytes + messages * ENVELOPE as f64 }
+        Traffic { messages, bytes, on_wire: bytes + messages * ENVELOPE_BYTES as f64 }
     }
 }
 
@@ -368,9 +368,9 @@
 /// Bounds on all control of a front end; a part over 1 alone is over.
 pub fn control_bounds(bytes: Metric, processor: Metric, heap: Metric) -> Vec<Bound> {
     vec![
-        Bound { metric: bytes, most: 6_144.0, source: "6 KB a second for all control, in and out" },
-        Bound { metric: processor, most: 10_000.0, source: "1% of a core for all control" },
-        Bound { metric: heap, most: 134_217_728.0, source: "128 MB for all control" },
+        Bound { metric: bytes, max: 6_144.0, source: "6 KB a second for all control, in and out" },
+        Bound { metric: processor, max: 10_000.0, source: "1% of a core for all control" },
+        Bound { metric: heap, max: 134_217_728.0, source: "128 MB for all control" },
     ]
 }
 
@@ -413,27 +413,27 @@
     fn variable(&self) -> &'static str {
         "front ends"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         // With fewer, messages are not full: 13 members fit into one.
         &[30, 100, 300, 1_000, 3_000, 11_000]
     }
-    fn planned(&self) -> u64 {
-        FRONT_ENDS
+    fn planned_size(&self) -> u64 {
+        PLANNED_FRONT_ENDS
     }
     fn bounds(&self) -> Vec<Bound> {
         control_bounds(ON_WIRE, PROCESSOR, HEAP)
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         real_members(size) * size * ENTRY
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let counts = (size as usize, real_members(size) as usize);
-        let mut fleet = Fleet::under(Conditions::ordinary(), counts, true, seed);
+        let mut fleet = Fleet::under(Conditions::wide_area(), counts, true, seed);
         let mut figures = steady(&mut fleet);
         drop(fleet);
         let mut near = Fleet::under(Conditions::loopback(), counts, true, seed);
         near.run(2 * SECOND);
-        near.network.begin_counts();
+        near.network.reset_counts();
         near.run(STEADY);
         let near = near.traffic(STEADY);
         figures.push(figure("no answer later than the ack timeout: messages", "messages/s", near.messages));
@@ -449,13 +449,13 @@
 /// Figures of a fleet that goes on as it is.
 pub fn steady(fleet: &mut Fleet) -> Vec<Measurement> {
     fleet.run(2 * SECOND);
-    fleet.network.begin_counts();
+    fleet.network.reset_counts();
     fleet.processor = 0.0;
     fleet.run(STEADY);
     let Traffic { messages, bytes, on_wire } = fleet.traffic(STEADY);
     let meter = HeapMeter::start();
     let copy = fleet.members.first().cloned();
-    let heap = meter.bytes();
+    let heap = meter.net_bytes();
     drop(copy);
     let figure = |metric, value| Measurement { metric, value };
     vec![
@@ -485,18 +485,18 @@
     fn variable(&self) -> &'static str {
         "front ends"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         // With fewer than 14, messages are not full.
         &[30, 100, 300, 1_000]
     }
-    fn planned(&self) -> u64 {
-        FRONT_ENDS
+    fn planned_size(&self) -> u64 {
+        PLANNED_FRONT_ENDS
     }
     fn bounds(&self) -> Vec<Bound> {
         let rate = Metric { name: "start of all: bytes with envelope", unit: "B/s" };
-        vec![Bound { metric: rate, most: 6_144.0, source: "6 KB a second for all control, in and out" }]
+        vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * size * ENTRY
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
@@ -508,7 +508,7 @@
         let started = started.ok_or_else(|| stuck("not all knew all after a common start"))?;
         let start = fleet.traffic(started);
         fleet.run(2 * SECOND);
-        fleet.network.begin_counts();
+        fleet.network.reset_counts();
         let tenth: Vec<usize> =
             (0..fleet.size.div_ceil(10)).map(|n| n * 10).filter(|n| *n < fleet.size).collect();
         tenth.iter().for_each(|one| fleet.restart(*one));
@@ -550,7 +550,7 @@
 /// Kills these members of a calm fleet; `None` where it is not known in time.
 pub fn death(fleet: &mut Fleet, dead: &[usize]) -> Option<News> {
     fleet.run(2 * SECOND);
-    fleet.network.begin_counts();
+    fleet.network.reset_counts();
     dead.iter().for_each(|one| fleet.kill(*one));
     let begun = fleet.network.now();
     let mut doubted = 0;
@@ -568,8 +568,8 @@
 
 /// The first members of the second zone: a rack's part of a fleet of this size, two at least.
 pub fn rack(fleet: &Fleet) -> Vec<usize> {
-    let machines = (RACK * fleet.size).div_ceil(FRONT_ENDS as usize).max(2);
-    let mut zone = fleet.network.within(Area::Zone(1));
+    let machines = (RACK * fleet.size).div_ceil(PLANNED_FRONT_ENDS as usize).max(2);
+    let mut zone = fleet.network.members_in(Area::Zone(1));
     zone.truncate(machines);
     zone
 }
@@ -588,17 +588,17 @@
     fn variable(&self) -> &'static str {
         "front ends"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[30, 100, 300, 1_000]
     }
-    fn planned(&self) -> u64 {
-        FRONT_ENDS
+    fn planned_size(&self) -> u64 {
+        PLANNED_FRONT_ENDS
     }
     fn bounds(&self) -> Vec<Bound> {
         let rate = Metric { name: "a zone dies: bytes with envelope", unit: "B/s" };
-        vec![Bound { metric: rate, most: 6_144.0, source: "6 KB a second for all control, in and out" }]
+        vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * size * ENTRY
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
@@ -612,7 +612,7 @@
         let of_rack =
             death(&mut fleet, &group).ok_or_else(|| stuck("a rack's death was not known to all"))?;
         let mut fleet = calm();
-        let zone = fleet.network.within(Area::Zone(1));
+        let zone = fleet.network.members_in(Area::Zone(1));
         let of_zone = death(&mut fleet, &zone).ok_or_else(|| stuck("a zone's death was not known to all"))?;
         Ok(vec![
             figure("one dies: until 99% know", "s", seconds(one.known)),
@@ -646,17 +646,17 @@
     fn variable(&self) -> &'static str {
         "front ends"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[30, 60, 100, 200, 300]
     }
-    fn planned(&self) -> u64 {
-        FRONT_ENDS
+    fn planned_size(&self) -> u64 {
+        PLANNED_FRONT_ENDS
     }
     fn bounds(&self) -> Vec<Bound> {
         let rate = Metric { name: "together again: bytes with envelope", unit: "B/s" };
-        vec![Bound { metric: rate, most: 6_144.0, source: "6 KB a second for all control, in and out" }]
+        vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * size * ENTRY
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
@@ -665,16 +665,16 @@
         let mut fleet = Fleet::new(size as usize, size as usize, true, seed);
         let all: Vec<usize> = (0..fleet.size).collect();
         fleet.run(2 * SECOND);
-        fleet.network.begin_counts();
-        fleet.network.cut_regions_apart();
+        fleet.network.reset_counts();
+        fleet.network.isolate_regions();
         let apart = fleet.until(|f| f.known_dead_elsewhere() >= 0.99);
         let apart = apart.ok_or_else(|| stuck("regions apart did not take each other for dead"))?;
         let parting = fleet.traffic(apart).on_wire;
-        fleet.network.begin_counts();
+        fleet.network.reset_counts();
         fleet.run(APART);
         let alone = fleet.traffic(APART).on_wire;
         fleet.network.heal();
-        fleet.network.begin_counts();
+        fleet.network.reset_counts();
         let together = fleet.until(|f| f.known_alive(&all) >= 0.99);
         let together = together.ok_or_else(|| stuck("regions did not find each other again"))?;
         let meeting = fleet.traffic(together).on_wire;
@@ -694,9 +694,9 @@
     pub fn known_dead_elsewhere(&self) -> f64 {
         let (mut pairs, mut known) = (0_u64, 0_u64);
         for (index, one) in self.running() {
-            let region = self.network.place(index).region;
+            let region = self.network.location(index).region;
             for (of, seen) in
-                one.view().filter(|(of, _)| self.network.place(usize::from(*of)).region != region)
+                one.view().filter(|(of, _)| self.network.location(usize::from(*of)).region != region)
             {
                 debug_assert!(usize::from(of) < self.size);
                 pairs += 1;
--- a/crates/badgerwind-scale/src/rows/mod.rs
+++ b/crates/badgerwind-scale/src/rows/mod.rs
@@ -1,4 +1,4 @@
-//! All rows, one module a part of the product.
+//! All rows, in modules by part of the product.
 
 pub mod budgets;
 pub mod call_counts;
@@ -22,7 +22,7 @@
 use crate::error::ScaleError;
 use crate::row::Row;
 
-/// Every row, in the page's order.
+/// All rows, in the order of the capacity page.
 pub fn all() -> Vec<Box<dyn Row>> {
     let mut all = Vec::new();
     all.extend(router::rows());
@@ -40,7 +40,7 @@
     all
 }
 
-/// The row of this name.
+/// Finds a row by its name.
 pub fn find(name: &str) -> Result<Box<dyn Row>, ScaleError> {
     let found = all().into_iter().find(|row| row.name() == name);
     found.ok_or_else(|| ScaleError::UnknownRow { name: name.to_owned() })
--- a/crates/badgerwind-scale/src/rows/network.rs
+++ b/crates/badgerwind-scale/src/rows/network.rs
@@ -1,46 +1,47 @@
-//! A simulated network for hollow members: places in zones and regions, delays, losses, cuts, members that stop, and
-//! clocks that drift. Time is simulated, in microseconds; the same seed gives the same order of events. Datagrams are
-//! counted by message kind, in messages and encoded bytes, at the sender and at the receiver.
+//! A discrete-event simulation of a network for hollow members: locations in zones and regions, delays,
+//! losses, partitions, members that stop, and clocks that drift. Simulated time is in microseconds; the same
+//! seed gives the same order of events. Datagrams are counted by message kind, in messages and encoded bytes,
+//! at the sender and at the receiver.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Simulated time or a length of it, in microseconds.
+/// A point in simulated time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A millisecond.
+/// One millisecond.
 pub const MILLISECOND: Micros = 1_000;
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Regions of the planned fleet.
+/// Number of regions of the planned fleet.
 pub const REGIONS: usize = 7;
-/// Zones of the planned fleet.
+/// Number of zones of the planned fleet.
 pub const ZONES: usize = 21;
 
-/// Events that may wait at once; datagrams beyond are lost, so that memory is bounded.
-const MOST_PENDING: usize = 8_000_000;
+/// Maximum number of pending events. Further datagrams are dropped, which bounds the memory.
+const MAX_PENDING_EVENTS: usize = 8_000_000;
 
-/// Where a member stands.
+/// The zone and region of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
-    /// Its region.
+pub struct Location {
+    /// Index of the region.
     pub region: usize,
-    /// Its zone, counted over all regions.
+    /// Index of the zone over all regions.
     pub zone: usize,
 }
 
-impl Place {
-    /// The place of a member: members are dealt out to zones in turn, and zones to regions.
-    pub fn of(member: usize) -> Place {
+impl Location {
+    /// The location of a member. Members are assigned to zones round-robin, and zones to regions.
+    pub fn of(member: usize) -> Location {
         let zone = member % ZONES;
-        Place { region: zone % REGIONS, zone }
+        Location { region: zone % REGIONS, zone }
     }
 }
 
-/// A part of the network that can be cut off.
+/// A set of members that can be cut off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Area {
     /// All members.
@@ -54,134 +55,135 @@
 }
 
 impl Area {
-    fn contains(self, member: usize, place: Place) -> bool {
+    fn contains(self, member: usize, location: Location) -> bool {
         match self {
             Area::Everywhere => true,
-            Area::Region(region) => place.region == region,
-            Area::Zone(zone) => place.zone == zone,
+            Area::Region(region) => location.region == region,
+            Area::Zone(zone) => location.zone == zone,
             Area::Member(one) => member == one,
         }
     }
 }
 
-/// What a datagram meets on its way.
+/// Delays, loss and clock drift of the network.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Conditions {
-    /// One-way delay within a zone.
-    pub within_zone: Micros,
-    /// One-way delay between zones of a region.
-    pub within_region: Micros,
-    /// One-way delay between neighbouring regions; regions stand in a ring, and it grows with the distance in it.
-    pub each_region: Micros,
-    /// Each delay is drawn between itself and itself and this part more.
+    /// Minimum one-way delay within a zone.
+    pub intra_zone_delay: Micros,
+    /// Minimum one-way delay between zones of a region.
+    pub intra_region_delay: Micros,
+    /// Minimum one-way delay between adjacent regions. Regions form a ring; the delay is proportional to the
+    /// distance in it.
+    pub region_hop_delay: Micros,
+    /// Random addition to each delay, uniform from 0 to this share of the minimum delay.
     pub jitter: f64,
-    /// Share of datagrams that are lost.
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    /// Clocks run fast or slow by up to so many millionths.
-    pub drift: u64,
+    /// Maximum deviation of a clock's rate in either direction, in parts per million.
+    pub max_drift_ppm: u64,
 }
 
 impl Conditions {
-    /// All members on one machine: 0.1 ms, nothing lost, one clock.
+    /// All members on one machine: delays of at least 0.1 ms, no loss, no clock drift.
     pub fn loopback() -> Conditions {
         let delay = MILLISECOND / 10;
         Conditions {
-            within_zone: delay,
-            within_region: delay,
-            each_region: delay,
+            intra_zone_delay: delay,
+            intra_region_delay: delay,
+            region_hop_delay: delay,
             jitter: 0.5,
             loss: 0.0,
-            drift: 0,
+            max_drift_ppm: 0,
         }
     }
 
-    /// Delays within and between regions as on leased lines: 0.25 ms, 1 ms, and 15 to 45 ms one way; one datagram in
-    /// 10,000 lost; clocks within 100 millionths.
-    pub fn ordinary() -> Conditions {
+    /// A fleet over several regions with leased lines: one-way delays of at least 0.25 ms in a zone, 1 ms in
+    /// a region and 15 to 45 ms between regions; one datagram in 10,000 lost; clocks within 100 ppm.
+    pub fn wide_area() -> Conditions {
         Conditions {
-            within_zone: MILLISECOND / 4,
-            within_region: MILLISECOND,
-            each_region: 15 * MILLISECOND,
+            intra_zone_delay: MILLISECOND / 4,
+            intra_region_delay: MILLISECOND,
+            region_hop_delay: 15 * MILLISECOND,
             jitter: 0.2,
             loss: 0.000_1,
-            drift: 100,
+            max_drift_ppm: 100,
         }
     }
 }
 
-/// Messages and their encoded bytes.
+/// Number of messages and of their encoded bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Count {
-    /// Messages.
+pub struct TrafficCount {
+    /// Number of messages.
     pub messages: u64,
-    /// Encoded bytes, without any envelope.
+    /// Number of encoded bytes, without envelopes.
     pub bytes: u64,
 }
 
-impl Count {
+impl TrafficCount {
     fn add(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes as u64;
     }
 }
 
-/// Counts by message kind.
+/// Traffic counts by message kind.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Counts(Vec<(&'static str, Count)>);
+pub struct TrafficByKind(Vec<(&'static str, TrafficCount)>);
 
-impl Counts {
+impl TrafficByKind {
     fn add(&mut self, kind: &'static str, bytes: usize) {
         match self.0.iter_mut().find(|(known, _)| *known == kind) {
             Some((_, count)) => count.add(bytes),
-            None => self.0.push((kind, Count { messages: 1, bytes: bytes as u64 })),
+            None => self.0.push((kind, TrafficCount { messages: 1, bytes: bytes as u64 })),
         }
     }
 
-    /// Of one kind.
-    pub fn of(&self, kind: &str) -> Count {
+    /// Count of one kind; zero if it never occurred.
+    pub fn for_kind(&self, kind: &str) -> TrafficCount {
         self.0.iter().find(|(known, _)| *known == kind).map(|(_, count)| *count).unwrap_or_default()
     }
 
-    /// By kind, in the order in which kinds were first seen.
-    pub fn by_kind(&self) -> &[(&'static str, Count)] {
+    /// All counts, in the order in which the kinds first occurred.
+    pub fn by_kind(&self) -> &[(&'static str, TrafficCount)] {
         &self.0
     }
 
-    /// Of all kinds.
-    pub fn total(&self) -> Count {
-        let sum = |a: Count, b: &(&'static str, Count)| Count {
+    /// Sum over all kinds.
+    pub fn total(&self) -> TrafficCount {
+        let sum = |a: TrafficCount, b: &(&'static str, TrafficCount)| TrafficCount {
             messages: a.messages + b.1.messages,
             bytes: a.bytes + b.1.bytes,
         };
-        self.0.iter().fold(Count::default(), sum)
+        self.0.iter().fold(TrafficCount::default(), sum)
     }
 }
 
-/// What happens next.
+/// An event that the simulation delivers to a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A datagram arrives.
     Datagram {
-        /// Its sender.
+        /// Index of the sender.
         from: usize,
-        /// Its receiver.
+        /// Index of the receiver.
         to: usize,
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// A timer that a member set goes off.
+    /// A timer expires.
     Timer {
-        /// Whose.
+        /// Index of the member that set it.
         member: usize,
-        /// What the member named it.
-        name: u32,
+        /// Identifier that the member gave it.
+        id: u32,
     },
 }
 
 #[derive(Debug)]
 enum Pending {
     Datagram { from: usize, to: usize, kind: &'static str, bytes: Vec<u8> },
-    Timer { member: usize, name: u32, start: u32 },
+    Timer { member: usize, id: u32, incarnation: u32 },
 }
 
 #[derive(Debug)]
@@ -206,7 +208,7 @@
 }
 
 impl Ord for Entry {
-    /// The earliest is the greatest, as `BinaryHeap` gives the greatest first.
+    /// Reversed, because `BinaryHeap` is a max-heap and the earliest event must come first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
@@ -214,42 +216,42 @@
 
 #[derive(Debug, Clone)]
 struct Endpoint {
-    place: Place,
-    /// Millionths by which its clock runs fast.
-    drift: i64,
+    location: Location,
+    /// Deviation of the clock's rate in parts per million; positive if it runs fast.
+    drift_ppm: i64,
     running: bool,
-    /// Counted up at each start; timers of earlier starts do not go off.
-    start: u32,
-    sent: Counts,
-    received: Counts,
+    /// Incremented at each start; timers of earlier incarnations are discarded.
+    incarnation: u32,
+    sent: TrafficByKind,
+    received: TrafficByKind,
 }
 
-/// The network and its members' clocks.
+/// The simulated network with the clocks and timers of its members.
 #[derive(Debug)]
 pub struct Network {
     now: Micros,
     conditions: Conditions,
     rng: StdRng,
     endpoints: Vec<Endpoint>,
-    /// One-way cuts.
-    cuts: Vec<(Area, Area)>,
+    /// Pairs of areas; datagrams from the first to the second are lost.
+    blocked: Vec<(Area, Area)>,
     queue: BinaryHeap<Entry>,
     sequence: u64,
     lost: u64,
 }
 
 impl Network {
-    /// So many running members, dealt out to zones in turn.
+    /// A network in which all members are running, distributed over the zones round-robin.
     pub fn new(conditions: Conditions, members: usize, seed: u64) -> Network {
         let mut rng = StdRng::seed_from_u64(seed);
-        let limit = conditions.drift as i64;
+        let limit = conditions.max_drift_ppm as i64;
         let mut endpoint = |member| Endpoint {
-            place: Place::of(member),
-            drift: rng.random_range(-limit..=limit),
+            location: Location::of(member),
+            drift_ppm: rng.random_range(-limit..=limit),
             running: true,
-            start: 0,
-            sent: Counts::default(),
-            received: Counts::default(),
+            incarnation: 0,
+            sent: TrafficByKind::default(),
+            received: TrafficByKind::default(),
         };
         let endpoints = (0..members).map(&mut endpoint).collect();
         Network {
@@ -257,84 +259,84 @@
             conditions,
             rng,
             endpoints,
-            cuts: Vec::new(),
+            blocked: Vec::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
             lost: 0,
         }
     }
 
-    /// Simulated time.
+    /// Current simulated time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// What a member's own clock shows now.
-    pub fn clock(&self, member: usize) -> Micros {
-        own_time(self.now, self.endpoints[member].drift)
+    /// Current time by a member's drifting clock.
+    pub fn local_time(&self, member: usize) -> Micros {
+        to_local_time(self.now, self.endpoints[member].drift_ppm)
     }
 
-    /// How many members there are, running or not.
-    pub fn members(&self) -> usize {
+    /// Number of members, running or not.
+    pub fn member_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Where a member stands.
-    pub fn place(&self, member: usize) -> Place {
-        self.endpoints[member].place
+    /// Zone and region of a member.
+    pub fn location(&self, member: usize) -> Location {
+        self.endpoints[member].location
     }
 
-    /// The members of an area.
-    pub fn within(&self, area: Area) -> Vec<usize> {
-        (0..self.endpoints.len()).filter(|&m| area.contains(m, self.endpoints[m].place)).collect()
+    /// All members of an area.
+    pub fn members_in(&self, area: Area) -> Vec<usize> {
+        (0..self.endpoints.len()).filter(|&m| area.contains(m, self.endpoints[m].location)).collect()
     }
 
-    /// A member stops: what is on its way to it is lost, and its timers do not go off.
+    /// Stops a member: datagrams that reach it are lost, and its timers are discarded.
     pub fn stop(&mut self, member: usize) {
         self.endpoints[member].running = false;
     }
 
-    /// A member starts anew, without any timer.
+    /// Starts a member again, without its earlier timers.
     pub fn start(&mut self, member: usize) {
         self.endpoints[member].running = true;
-        self.endpoints[member].start += 1;
+        self.endpoints[member].incarnation += 1;
     }
 
-    /// Whether a member runs.
-    pub fn runs(&self, member: usize) -> bool {
+    /// Whether a member is running.
+    pub fn is_running(&self, member: usize) -> bool {
         self.endpoints[member].running
     }
 
-    /// Loses all datagrams from one area to another.
-    pub fn cut(&mut self, from: Area, to: Area) {
-        self.cuts.push((from, to));
+    /// Blocks all datagrams from one area to another, in this direction only.
+    pub fn block(&mut self, from: Area, to: Area) {
+        self.blocked.push((from, to));
     }
 
-    /// Cuts each region off from all others.
-    pub fn cut_regions_apart(&mut self) {
+    /// Partitions the network: blocks all datagrams between different regions.
+    pub fn isolate_regions(&mut self) {
         for one in 0..REGIONS {
             for other in (0..REGIONS).filter(|other| *other != one) {
-                self.cut(Area::Region(one), Area::Region(other));
+                self.block(Area::Region(one), Area::Region(other));
             }
         }
     }
 
-    /// Ends all cuts.
+    /// Removes all blocks.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked.clear();
     }
 
-    /// Share of datagrams that are lost from now on.
+    /// Sets the probability that a datagram is lost.
     pub fn set_loss(&mut self, loss: f64) {
         self.conditions.loss = loss.clamp(0.0, 1.0);
     }
 
-    /// Sends a datagram and counts it; it may be lost.
+    /// Sends a datagram and counts it at the sender, even if it is lost.
     pub fn send(&mut self, from: usize, to: usize, kind: &'static str, bytes: Vec<u8>) {
         self.endpoints[from].sent.add(kind, bytes.len());
-        let cut = self.is_cut(from, to);
-        let unlucky = self.conditions.loss > 0.0 && self.rng.random_bool(self.conditions.loss);
-        if cut || unlucky || self.queue.len() >= MOST_PENDING {
+        let blocked = self.is_blocked(from, to);
+        let dropped = self.conditions.loss > 0.0 && self.rng.random_bool(self.conditions.loss);
+        if blocked || dropped || self.queue.len() >= MAX_PENDING_EVENTS {
             self.lost += 1;
             return;
         }
@@ -342,30 +344,30 @@
         self.push(at, Pending::Datagram { from, to, kind, bytes });
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
-        let (sender, receiver) = (self.endpoints[from].place, self.endpoints[to].place);
-        self.cuts.iter().any(|(a, b)| a.contains(from, sender) && b.contains(to, receiver))
+    fn is_blocked(&self, from: usize, to: usize) -> bool {
+        let (sender, receiver) = (self.endpoints[from].location, self.endpoints[to].location);
+        self.blocked.iter().any(|(a, b)| a.contains(from, sender) && b.contains(to, receiver))
     }
 
     fn delay(&mut self, from: usize, to: usize) -> Micros {
-        let (a, b) = (self.endpoints[from].place, self.endpoints[to].place);
-        let least = if a.zone == b.zone {
-            self.conditions.within_zone
+        let (a, b) = (self.endpoints[from].location, self.endpoints[to].location);
+        let min = if a.zone == b.zone {
+            self.conditions.intra_zone_delay
         } else if a.region == b.region {
-            self.conditions.within_region
+            self.conditions.intra_region_delay
         } else {
-            let apart = a.region.abs_diff(b.region);
-            apart.min(REGIONS - apart) as Micros * self.conditions.each_region
+            let distance = a.region.abs_diff(b.region);
+            distance.min(REGIONS - distance) as Micros * self.conditions.region_hop_delay
         };
-        let more = (least as f64 * self.conditions.jitter) as Micros;
-        least + self.rng.random_range(0..=more)
+        let max_extra = (min as f64 * self.conditions.jitter) as Micros;
+        min + self.rng.random_range(0..=max_extra)
     }
 
-    /// Sets a timer for a member, at a time of its own clock; one that is past goes off at once.
-    pub fn wake_at(&mut self, member: usize, name: u32, own: Micros) {
-        let Endpoint { drift, start, .. } = self.endpoints[member];
-        let at = true_time(own, drift).max(self.now);
-        self.push(at, Pending::Timer { member, name, start });
+    /// Sets a timer that expires at a time of the member's clock, or immediately if that time has passed.
+    pub fn set_timer(&mut self, member: usize, id: u32, local_time: Micros) {
+        let Endpoint { drift_ppm, incarnation, .. } = self.endpoints[member];
+        let at = to_simulated_time(local_time, drift_ppm).max(self.now);
+        self.push(at, Pending::Timer { member, id, incarnation });
     }
 
     fn push(&mut self, at: Micros, pending: Pending) {
@@ -373,12 +375,13 @@
         self.queue.push(Entry { at, sequence: self.sequence, pending });
     }
 
-    /// The next event up to a time, and time goes on to it; `None` once that time is reached.
-    pub fn next_before(&mut self, until: Micros) -> Option<Event> {
+    /// Advances the time to the next event up to and including `until` and returns it. Without such an event,
+    /// advances the time to `until` and returns `None`.
+    pub fn next_event(&mut self, until: Micros) -> Option<Event> {
         while self.queue.peek().is_some_and(|entry| entry.at <= until) {
             let entry = self.queue.pop()?;
             self.now = self.now.max(entry.at);
-            if let Some(event) = self.happens(entry.pending) {
+            if let Some(event) = self.deliver(entry.pending) {
                 return Some(event);
             }
         }
@@ -386,7 +389,7 @@
         None
     }
 
-    fn happens(&mut self, pending: Pending) -> Option<Event> {
+    fn deliver(&mut self, pending: Pending) -> Option<Event> {
         match pending {
             Pending::Datagram { from, to, kind, bytes } => {
                 let receiver = &mut self.endpoints[to];
@@ -397,53 +400,53 @@
                 receiver.received.add(kind, bytes.len());
                 Some(Event::Datagram { from, to, bytes })
             }
-            Pending::Timer { member, name, start } => {
+            Pending::Timer { member, id, incarnation } => {
                 let endpoint = &self.endpoints[member];
-                let stands = endpoint.running && endpoint.start == start;
-                stands.then_some(Event::Timer { member, name })
+                let valid = endpoint.running && endpoint.incarnation == incarnation;
+                valid.then_some(Event::Timer { member, id })
             }
         }
     }
 
-    /// What a member sent since the counts began.
-    pub fn sent(&self, member: usize) -> &Counts {
+    /// Datagrams that a member has sent since the last reset of the counts, by kind.
+    pub fn sent(&self, member: usize) -> &TrafficByKind {
         &self.endpoints[member].sent
     }
 
-    /// What a member received since the counts began.
-    pub fn received(&self, member: usize) -> &Counts {
+    /// Datagrams that a member has received since the last reset of the counts, by kind.
+    pub fn received(&self, member: usize) -> &TrafficByKind {
         &self.endpoints[member].received
     }
 
-    /// What a member sent and received, all kinds.
-    pub fn traffic(&self, member: usize) -> Count {
+    /// Sum of the datagrams sent and received by a member, over all kinds.
+    pub fn traffic(&self, member: usize) -> TrafficCount {
         let (sent, received) = (self.sent(member).total(), self.received(member).total());
-        Count { messages: sent.messages + received.messages, bytes: sent.bytes + received.bytes }
+        TrafficCount { messages: sent.messages + received.messages, bytes: sent.bytes + received.bytes }
     }
 
-    /// Datagrams that did not arrive.
-    pub fn lost(&self) -> u64 {
+    /// Number of datagrams lost since the last reset of the counts.
+    pub fn lost_datagrams(&self) -> u64 {
         self.lost
     }
 
-    /// Begins all counts anew.
-    pub fn begin_counts(&mut self) {
+    /// Resets the traffic counts of all members and the count of lost datagrams.
+    pub fn reset_counts(&mut self) {
         self.lost = 0;
         for endpoint in &mut self.endpoints {
-            endpoint.sent = Counts::default();
-            endpoint.received = Counts::default();
+            endpoint.sent = TrafficByKind::default();
+            endpoint.received = TrafficByKind::default();
         }
     }
 }
 
-/// A clock's reading at a simulated time.
-fn own_time(now: Micros, drift: i64) -> Micros {
-    (now as i128 * (1_000_000 + i128::from(drift)) / 1_000_000) as Micros
+/// Reading of a drifting clock at a simulated time.
+fn to_local_time(now: Micros, drift_ppm: i64) -> Micros {
+    (now as i128 * (1_000_000 + i128::from(drift_ppm)) / 1_000_000) as Micros
 }
 
-/// The first simulated time at which a clock shows at least this.
-fn true_time(own: Micros, drift: i64) -> Micros {
-    let rate = 1_000_000 + u128::from(drift.unsigned_abs());
-    let rate = if drift < 0 { 2_000_000 - rate } else { rate };
-    (u128::from(own) * 1_000_000).div_ceil(rate) as Micros
+/// The first simulated time at which a drifting clock shows at least `local_time`.
+fn to_simulated_time(local_time: Micros, drift_ppm: i64) -> Micros {
+    let rate = 1_000_000 + u128::from(drift_ppm.unsigned_abs());
+    let rate = if drift_ppm < 0 { 2_000_000 - rate } else { rate };
+    (u128::from(local_time) * 1_000_000).div_ceil(rate) as Micros
 }
--- a/crates/badgerwind-scale/src/rows/outages.rs
+++ b/crates/badgerwind-scale/src/rows/outages.rs
@@ -62,23 +62,23 @@
         "executors in use"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[12, 120, 1_000, 16_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         16_000
     }
 
     fn bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: TIME, most: CORE_SHARE_BOUND, source: "1% of a core" },
-            Bound { metric: HEAP, most: MEMORY_BOUND, source: "128 MB a front end" },
-            Bound { metric: BYTES, most: BYTES_BOUND, source: "6 KB a second a front end" },
+            Bound { metric: TIME, max: CORE_SHARE_BOUND, source: "1% of a core" },
+            Bound { metric: HEAP, max: MEMORY_BOUND, source: "128 MB a front end" },
+            Bound { metric: BYTES, max: BYTES_BOUND, source: "6 KB a second a front end" },
         ]
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * 1_000 + (1 << 20)
     }
 
@@ -89,7 +89,7 @@
         outage.play();
         let seconds = MEASURED as f64 / SECOND as f64;
         let time = meter.microseconds() / seconds;
-        let kept = (heap.bytes() as f64 - outage.pending_bytes()).max(0.0);
+        let kept = (heap.net_bytes() as f64 - outage.pending_bytes()).max(0.0);
         let questions = outage.freshness.counters().questions as f64 / seconds;
         let of = |metric, value| Measurement { metric, value };
         Ok(vec![
--- a/crates/badgerwind-scale/src/rows/register.rs
+++ b/crates/badgerwind-scale/src/rows/register.rs
@@ -4,8 +4,10 @@
 
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use crate::rows::load::{all_regions, cut_off, heap_of, load_metrics, mean, one_region, Load, LoadMetrics};
-use crate::rows::network::{Conditions, Count, Micros, MILLISECOND, REGIONS, SECOND};
+use crate::rows::load::{
+    all_regions, cost_metrics, heap_bytes, isolate_region, mean_cost, single_region, CostMetrics, MemberCost,
+};
+use crate::rows::network::{Conditions, Micros, TrafficCount, MILLISECOND, REGIONS, SECOND};
 use group::{Group, Plan, Records};
 
 /// What the link of `badgerwind-fleet` adds to a message: 4 bytes of its length, and a sealed piece's length (2) and tag (16).
@@ -36,11 +38,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SteadyLoads {
     /// The mean follower.
-    pub follower: Load,
+    pub follower: MemberCost,
     /// The mean voter that does not lead.
-    pub voter: Load,
+    pub voter: MemberCost,
     /// The leader.
-    pub leader: Load,
+    pub leader: MemberCost,
 }
 
 /// Starts a group and runs it until all members hold a lease and the log is quiet.
@@ -78,44 +80,48 @@
     let sample: Vec<usize> = followers.iter().copied().take(WATCHED).collect();
     let watched = [&sample[..], &voters[..], &[leader][..]].concat();
     group.begin_counts();
-    group.processor.watch(&watched);
+    group.processor.track(&watched);
     group.run(window);
     if group.leader() != Some(leader) {
         return Err(not_settled("another leader was elected while it was measured"));
     }
     let seconds = window as f64 / SECOND as f64;
     let counts = counts(&mut group, &followers, seconds);
-    let follower = mean(&loads(&mut group, &sample, seconds));
+    let follower = mean_cost(&loads(&mut group, &sample, seconds));
     Ok(SteadyLoads {
-        follower: Load { messages: counts.messages, bytes: counts.bytes, ..follower },
-        voter: mean(&loads(&mut group, &voters, seconds)),
-        leader: mean(&loads(&mut group, &[leader], seconds)),
+        follower: MemberCost { messages: counts.messages, bytes: counts.bytes, ..follower },
+        voter: mean_cost(&loads(&mut group, &voters, seconds)),
+        leader: mean_cost(&loads(&mut group, &[leader], seconds)),
     })
 }
 
 /// Mean messages and bytes a second over all of these.
-fn counts(group: &mut Group, members: &[usize], seconds: f64) -> Load {
+fn counts(group: &mut Group, members: &[usize], seconds: f64) -> MemberCost {
     let load = |member: &usize| {
-        let Count { messages, bytes } = group.network().traffic(*member);
-        Load { messages: messages as f64 / seconds, bytes: bytes as f64 / seconds, ..Load::default() }
+        let TrafficCount { messages, bytes } = group.network().traffic(*member);
+        MemberCost {
+            messages: messages as f64 / seconds,
+            bytes: bytes as f64 / seconds,
+            ..MemberCost::default()
+        }
     };
-    mean(&members.iter().map(load).collect::<Vec<_>>())
+    mean_cost(&members.iter().map(load).collect::<Vec<_>>())
 }
 
 /// The loads of these; their nodes are taken out and weighed.
-fn loads(group: &mut Group, members: &[usize], seconds: f64) -> Vec<Load> {
+fn loads(group: &mut Group, members: &[usize], seconds: f64) -> Vec<MemberCost> {
     let load = |member: &usize| {
         let counted = counts(group, &[*member], seconds);
-        let processor = group.processor.used(*member) / seconds;
-        let heap = group.take(*member).map_or(0.0, heap_of);
-        Load { processor, heap, ..counted }
+        let processor = group.processor.microseconds(*member) / seconds;
+        let heap = group.take(*member).map_or(0.0, heap_bytes);
+        MemberCost { processor, heap, ..counted }
     };
     members.iter().map(load).collect()
 }
 
-const FOLLOWER: LoadMetrics = load_metrics!("follower");
-const VOTER: LoadMetrics = load_metrics!("voter");
-const LEADER: LoadMetrics = load_metrics!("leader");
+const FOLLOWER: CostMetrics = cost_metrics!("follower");
+const VOTER: CostMetrics = cost_metrics!("voter");
+const LEADER: CostMetrics = cost_metrics!("leader");
 
 /// A steady group, by what its members write.
 #[derive(Debug)]
@@ -178,10 +184,10 @@
     fn variable(&self) -> &'static str {
         "members of the group"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         self.sizes
     }
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         11_000
     }
     fn bounds(&self) -> Vec<Bound> {
@@ -189,11 +195,11 @@
             [VOTER, LEADER].into_iter().flat_map(|metrics| metrics.control_machine_bounds());
         FOLLOWER.front_end_bounds().into_iter().chain(control_machines).collect()
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         bytes_needed(size)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let plan = plan(size, seed, one_region(), self.records);
+        let plan = plan(size, seed, single_region(), self.records);
         let loads = steady(plan, WINDOW, self.name)?;
         let mut figures = FOLLOWER.measurements(&loads.follower, FRAME);
         figures.extend(VOTER.measurements(&loads.voter, FRAME));
@@ -240,9 +246,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HourSeen {
     /// The most at any voter in one second.
-    pub voter: Count,
+    pub voter: TrafficCount,
     /// The most at any other member in one second.
-    pub follower: Count,
+    pub follower: TrafficCount,
     /// Seconds from the last step of the fault until 99 of 100 of those that run hold a lease for good.
     pub until_leased: f64,
     /// Seconds from the fault until somebody leads.
@@ -285,15 +291,15 @@
             (watch(&mut group).0, lost.1)
         }
         Hour::RegionApart => {
-            cut_off(group.network(), REGIONS - 1);
+            isolate_region(group.network(), REGIONS - 1);
             group.run(AWAY);
             group.network().heal();
             watch(&mut group)
         }
     };
     Ok(HourSeen {
-        voter: group.peaks().busiest(&group.voters()),
-        follower: group.peaks().busiest(&group.followers()),
+        voter: group.peaks().max_among(&group.voters()),
+        follower: group.peaks().max_among(&group.followers()),
         until_leased,
         until_leader,
         lives_ended: (group.incarnations_ended() - ended_before) as u64,
@@ -348,7 +354,7 @@
     name: "register-start",
     about: "one group in a region, ten records a second, all members start at the same moment",
     sizes: HOUR_SIZES,
-    conditions: one_region,
+    conditions: single_region,
     hour: Hour::Start,
 };
 
@@ -357,7 +363,7 @@
     name: "register-restart-tenth",
     about: "one group in a region, ten records a second, a tenth of the members killed and started together 1 s later",
     sizes: HOUR_SIZES,
-    conditions: one_region,
+    conditions: single_region,
     hour: Hour::RestartTenth,
 };
 
@@ -366,7 +372,7 @@
     name: "register-leader-lost",
     about: "one group in a region, ten records a second, the leader of five voters lost for good",
     sizes: HOUR_SIZES,
-    conditions: one_region,
+    conditions: single_region,
     hour: Hour::LeaderLost,
 };
 
@@ -375,7 +381,7 @@
     name: "register-zone-lost",
     about: "one group in a region, ten records a second, one of three zones (two of five voters in it) lost for 10 s",
     sizes: HOUR_SIZES,
-    conditions: one_region,
+    conditions: single_region,
     hour: Hour::ZoneLost,
 };
 
@@ -401,19 +407,19 @@
     fn variable(&self) -> &'static str {
         "members of the group"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         self.sizes
     }
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         11_000
     }
     fn bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: VOTER_BYTES, most: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
-            Bound { metric: FOLLOWER_BYTES, most: 6_144.0, source: "6 KB a second for control, in and out" },
+            Bound { metric: VOTER_BYTES, max: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
+            Bound { metric: FOLLOWER_BYTES, max: 6_144.0, source: "6 KB a second for control, in and out" },
         ]
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         bytes_needed(size)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
--- a/crates/badgerwind-scale/src/rows/register/group.rs
+++ b/crates/badgerwind-scale/src/rows/register/group.rs
@@ -1,6 +1,6 @@
 //! A hollow group of the register: real nodes and the real codec, disks that take time, simulated ways between sites.
 
-use crate::rows::load::{Peaks, Processor, SLICE};
+use crate::rows::load::{PeakTraffic, ProcessorTimes, SAMPLE_INTERVAL};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND};
 use badgerwind_register::{
     Event as LogEvent, Incarnation, Index, Input, Member, MemoryDisk, Message, Node, Output, Settings, Setup,
@@ -95,9 +95,9 @@
     next_writer: usize,
     next_record: Micros,
     incarnations_ended: BTreeSet<Incarnation>,
-    peaks: Peaks,
+    peaks: PeakTraffic,
     /// Processor time of members that are watched.
-    pub processor: Processor,
+    pub processor: ProcessorTimes,
 }
 
 /// Voters are the first members: the network deals members out to different zones and regions in turn.
@@ -112,19 +112,19 @@
     pub fn new(plan: Plan) -> Group {
         let terms =
             Settings { retained_entries: plan.entries_kept, ..Settings::for_voters(voters(plan.members)) };
-        let conditions = Conditions { drift: u64::from(terms.drift_ppm), ..plan.conditions };
+        let conditions = Conditions { max_drift_ppm: u64::from(terms.drift_ppm), ..plan.conditions };
         let network = Network::new(conditions, plan.members, plan.seed);
         let host = |_| Host { node: None, disk: MemoryDisk::default(), writing: None };
         Group {
             terms,
             rng: StdRng::seed_from_u64(plan.seed ^ 0x5ca1e),
-            peaks: Peaks::new(&network),
+            peaks: PeakTraffic::new(&network),
             network,
             hosts: (0..plan.members).map(host).collect(),
             next_writer: 0,
             next_record: 0,
             incarnations_ended: BTreeSet::new(),
-            processor: Processor::new(plan.members),
+            processor: ProcessorTimes::new(plan.members),
             plan,
         }
     }
@@ -157,8 +157,8 @@
 
     fn start_one(&mut self, member: usize) {
         let number = member as Member;
-        let now = self.network.clock(member);
-        let zone = self.network.place(member).zone as u8;
+        let now = self.network.local_time(member);
+        let zone = self.network.location(member).zone as u8;
         let setup = Setup { me: number, zone, seed: self.rng.random(), settings: self.terms.clone() };
         let host = &mut self.hosts[member];
         let node = if self.terms.voters.contains(&number) {
@@ -172,10 +172,10 @@
         host.writing = None;
         self.network.start(member);
         let first_tick = self.rng.random_range(0..self.tick());
-        self.network.wake_at(member, TICK, now + first_tick);
+        self.network.set_timer(member, TICK, now + first_tick);
         if let Some(every) = self.each_member_writes() {
             let first_record = self.rng.random_range(0..every);
-            self.network.wake_at(member, RECORD, now + first_record);
+            self.network.set_timer(member, RECORD, now + first_record);
         }
     }
 
@@ -203,12 +203,12 @@
 
     /// Begins to count traffic and its busiest second anew.
     pub fn begin_counts(&mut self) {
-        self.network.begin_counts();
-        self.peaks = Peaks::new(&self.network);
+        self.network.reset_counts();
+        self.peaks = PeakTraffic::new(&self.network);
     }
 
     /// The busiest second of each member since the counts began.
-    pub fn peaks(&self) -> &Peaks {
+    pub fn peaks(&self) -> &PeakTraffic {
         &self.peaks
     }
 
@@ -216,10 +216,10 @@
     pub fn run(&mut self, span: Micros) {
         let until = self.network.now() + span;
         while self.network.now() < until {
-            let slice = (self.network.now() / SLICE + 1) * SLICE;
+            let slice = (self.network.now() / SAMPLE_INTERVAL + 1) * SAMPLE_INTERVAL;
             self.run_until(slice.min(until));
             if self.network.now() == slice {
-                self.peaks.slice(&self.network);
+                self.peaks.sample(&self.network);
             }
         }
     }
@@ -238,10 +238,10 @@
     }
 
     fn take_events(&mut self, until: Micros) {
-        while let Some(event) = self.network.next_before(until) {
+        while let Some(event) = self.network.next_event(until) {
             match event {
                 Event::Datagram { from, to, bytes } => self.arrive(from, to, &bytes),
-                Event::Timer { member, name } => self.timer(member, name),
+                Event::Timer { member, id } => self.timer(member, id),
             }
         }
     }
@@ -255,7 +255,7 @@
     /// How many hold a lease at this moment.
     pub fn leased(&self) -> usize {
         let holds = |member: &usize| {
-            let now = self.network.clock(*member);
+            let now = self.network.local_time(*member);
             self.hosts[*member].node.as_ref().is_some_and(|node| node.live_incarnation(now).is_some())
         };
         (0..self.plan.members).filter(holds).count()
@@ -278,15 +278,15 @@
     }
 
     fn timer(&mut self, member: usize, name: u32) {
-        let now = self.network.clock(member);
+        let now = self.network.local_time(member);
         match name {
             TICK => {
-                self.network.wake_at(member, TICK, now + self.tick());
+                self.network.set_timer(member, TICK, now + self.tick());
                 self.act(member, |node, now, out| node.handle(now, Input::Tick, out));
             }
             RECORD => {
                 if let Some(every) = self.each_member_writes() {
-                    self.network.wake_at(member, RECORD, now + every);
+                    self.network.set_timer(member, RECORD, now + every);
                 }
                 self.write_record(member);
             }
@@ -317,7 +317,7 @@
 
     /// Lets a member act, with the codec inside what is metered.
     fn act(&mut self, member: usize, act: impl FnOnce(&mut Node<Counting>, Micros, &mut Vec<Output>)) {
-        let now = self.network.clock(member);
+        let now = self.network.local_time(member);
         let Some(node) = &mut self.hosts[member].node else { return };
         let (mut out, mut sends, mut ended, mut writes) = (Vec::new(), Vec::new(), Vec::new(), None);
         let meter = self.processor.start(member);
@@ -335,7 +335,7 @@
         if let Some(write) = writes {
             let took = self.rng.random_range(0..=DISK);
             self.hosts[member].writing = Some(write);
-            self.network.wake_at(member, WRITTEN, now + took);
+            self.network.set_timer(member, WRITTEN, now + took);
         }
         sends.into_iter().for_each(|(to, kind, bytes)| self.send(member, to, kind, bytes));
     }
--- a/crates/badgerwind-scale/src/rows/router.rs
+++ b/crates/badgerwind-scale/src/rows/router.rs
@@ -2,7 +2,7 @@
 
 use super::cold_starts::{self, Demand};
 use super::front_end::{Costs, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND};
-use super::workers::Others;
+use super::workers::ForeignCalls;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use badgerwind::interface::{Span, WhenAbsent};
@@ -94,8 +94,8 @@
 fn call_path_bounds() -> Vec<Bound> {
     let core = "1% of a core at 127 calls a second, as reference";
     vec![
-        Bound { metric: TIME_OF_SECOND, most: CORE_SHARE_BOUND, source: core },
-        Bound { metric: HEAP, most: MEMORY_BOUND, source: "128 MB a front end" },
+        Bound { metric: TIME_OF_SECOND, max: CORE_SHARE_BOUND, source: core },
+        Bound { metric: HEAP, max: MEMORY_BOUND, source: "128 MB a front end" },
     ]
 }
 
@@ -128,21 +128,21 @@
         "listed workers"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[120, 1_000, 4_000, 16_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         16_000
     }
 
     fn bounds(&self) -> Vec<Bound> {
         let mut bounds = call_path_bounds();
-        bounds.push(Bound { metric: GROWTH, most: GROWTH_BOUND, source: "issue 43, part 3" });
+        bounds.push(Bound { metric: GROWTH, max: GROWTH_BOUND, source: "issue 43, part 3" });
         bounds
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         // A worker's record, and its place in the order of each function in use.
         size.saturating_mul(2_000 + 4 * FEW_FUNCTIONS)
     }
@@ -209,22 +209,22 @@
         "functions"
     }
 
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[1_000, 10_000, 100_000, 400_000]
     }
 
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         400_000
     }
 
     fn bounds(&self) -> Vec<Bound> {
         let mut bounds = call_path_bounds();
-        let memory = |metric| Bound { metric, most: MEMORY_BOUND, source: "128 MB a front end" };
+        let memory = |metric| Bound { metric, max: MEMORY_BOUND, source: "128 MB a front end" };
         bounds.extend([memory(HEAP_LATER), memory(HEAP_SETTLED)]);
         bounds
     }
 
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         let simulated = self.later.unwrap_or(HEAP_AFTER) / SECOND;
         let in_use = size.min((CALLS_PER_SECOND * simulated as f64) as u64);
         u64::from(self.workers) * (2_000 + 4 * in_use) + 2_000 * in_use + 16 * size.min(MOST_FUNCTIONS)
@@ -232,12 +232,12 @@
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         if size > MOST_FUNCTIONS {
-            let (variable, least, most) = (self.variable(), 1, MOST_FUNCTIONS);
-            return Err(ScaleError::SizeOutOfRange { size, variable, least, most });
+            let (variable, min, max) = (self.variable(), 1, MOST_FUNCTIONS);
+            return Err(ScaleError::SizeOutOfRange { size, variable, min, max });
         }
         let others = self.fleet.then(|| {
             let most_called = Demand::new(size, 1.0, cold_starts::CALLS_PER_SECOND).most_called();
-            Others { most_called, exponent: 1.0 }
+            ForeignCalls { top_function_rate: most_called, exponent: 1.0 }
         });
         let surroundings = Surroundings { others, ..Surroundings::new(self.workers, size) };
         let list = HollowFrontEnd::new(surroundings, seed).into_heap_bytes() as f64;
@@ -269,7 +269,7 @@
 /// More functions are not measured: their shares alone would take memory.
 const MOST_FUNCTIONS: u64 = 100_000_000;
 
-/// Sizes past what worker ids can name are cut; `bytes_needed` refuses them long before.
+/// Sizes past what worker ids can name are cut; `estimated_heap_bytes` refuses them long before.
 fn workers(size: u64) -> u32 {
     u32::try_from(size).unwrap_or(u32::MAX)
 }
--- a/crates/badgerwind-scale/src/rows/workers.rs
+++ b/crates/badgerwind-scale/src/rows/workers.rs
@@ -10,7 +10,7 @@
 use std::hash::Hasher;
 
 /// Time between a front end and a worker, one way.
-pub const NETWORK: Span = 400;
+pub const NETWORK_DELAY: Span = 400;
 /// Median service time; with [`SERVICE_SIGMA`] nine in ten calls take 60 to 140 ms.
 const SERVICE_MEDIAN: f64 = 92_000.0;
 const SERVICE_SIGMA: f64 = 0.25;
@@ -32,33 +32,33 @@
     /// Calls that one copy runs at a time.
     pub lanes: u32,
     /// Mean number of other front ends' calls in hand that an answer mentions; 0: there are none.
-    pub crowd: f64,
+    pub mean_foreign_crowd: f64,
     /// Calls of other front ends, which keep copies loaded where this one's calls go as well.
-    pub others: Option<Others>,
+    pub foreign_calls: Option<ForeignCalls>,
 }
 
 /// Calls of other front ends, by Zipf's law over the same functions.
 #[derive(Debug, Clone, Copy)]
-pub struct Others {
+pub struct ForeignCalls {
     /// Calls a second to the most called function.
-    pub most_called: f64,
+    pub top_function_rate: f64,
     /// Exponent of the law.
     pub exponent: f64,
 }
 
-impl Others {
+impl ForeignCalls {
     /// Probability that a copy stands because another front end called the function within a keep-alive.
     fn loaded(&self, function: u64, keep_alive: Span) -> f64 {
-        let rate = self.most_called * (function as f64).powf(-self.exponent);
+        let rate = self.top_function_rate * (function as f64).powf(-self.exponent);
         1.0 - (-rate * keep_alive as f64 / 1e6).exp()
     }
 }
 
 /// How a call ends at a worker.
 #[derive(Debug, Clone, Copy)]
-pub struct Reply {
+pub struct CallReply {
     /// When the front end has the answer.
-    pub at: Time,
+    pub received_at: Time,
     /// How the attempt ended.
     pub outcome: Outcome,
     /// What is said of the copy.
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LoadReply {
     /// When the front end has the answer.
-    pub at: Time,
+    pub received_at: Time,
     /// Copies that stand by then.
     pub copies: u32,
 }
@@ -110,19 +110,19 @@
     /// Workers on which nothing is loaded yet.
     pub fn new(model: WorkerModel, seed: u64) -> Self {
         let service = LogNormal::new(SERVICE_MEDIAN.ln(), SERVICE_SIGMA).expect("constants are valid");
-        let foreign = Poisson::new(model.crowd).ok();
+        let foreign = Poisson::new(model.mean_foreign_crowd).ok();
         ScriptedWorkers { model, seed, service, foreign, instances: HashMap::new() }
     }
 
     /// The call of this number arrives, sent at this time by the front end.
-    pub fn call(&mut self, sent: Time, worker: WorkerId, function: u64, number: u64) -> Reply {
-        let now = sent + NETWORK;
+    pub fn call(&mut self, sent: Time, worker: WorkerId, function: u64, number: u64) -> CallReply {
+        let now = sent + NETWORK_DELAY;
         let mut rng = self.rng(worker, function, number);
         let service = self.service.sample(&mut rng) as Span;
         let load = load_time(&mut rng);
         let foreign = self.foreign.map_or(0, |f| f.sample(&mut rng) as u32);
         let model = self.model;
-        let loaded = model.others.map_or(0.0, |others| others.loaded(function, model.keep_alive));
+        let loaded = model.foreign_calls.map_or(0.0, |calls| calls.loaded(function, model.keep_alive));
         let by_others = rng.random::<f64>() < loaded;
         let instance = self.standing(now, worker, function);
         if by_others && instance.lanes.is_empty() {
@@ -130,13 +130,18 @@
         }
         let absent = instance.lanes.is_empty();
         if absent && model.when_absent == WhenAbsent::Miss {
-            return Reply { at: now + NETWORK, outcome: Outcome::Miss, mark: CopyMark::Untold, crowd: 0 };
+            return CallReply {
+                received_at: now + NETWORK_DELAY,
+                outcome: Outcome::Miss,
+                mark: CopyMark::Untold,
+                crowd: 0,
+            };
         }
         if absent {
             instance.add_copies(1, model.lanes, now + load);
         }
         let crowd = instance.ends.len() as u32 + foreign;
-        let reply = |at, outcome, mark| Reply { at: at + NETWORK, outcome, mark, crowd };
+        let reply = |at, outcome, mark| CallReply { received_at: at + NETWORK_DELAY, outcome, mark, crowd };
         match instance.serve(now, service) {
             Some((end, _)) if absent => reply(end, Outcome::Ok, CopyMark::BeganLoad),
             Some((end, loaded)) if loaded > now => reply(end, Outcome::Ok, CopyMark::WaitedForLoad),
@@ -147,7 +152,7 @@
 
     /// A load order arrives, sent at this time: at least so many copies are to stand.
     pub fn load(&mut self, sent: Time, worker: WorkerId, function: u64, copies: u32) -> LoadReply {
-        let now = sent + NETWORK;
+        let now = sent + NETWORK_DELAY;
         let load = load_time(&mut self.rng(worker, function, sent));
         let lanes = self.model.lanes;
         let instance = self.standing(now, worker, function);
@@ -155,10 +160,10 @@
         let missing = copies.min(MOST_COPIES).saturating_sub(standing);
         instance.used = instance.used.max(now);
         if missing == 0 {
-            return LoadReply { at: now + NETWORK, copies: standing };
+            return LoadReply { received_at: now + NETWORK_DELAY, copies: standing };
         }
         instance.add_copies(missing, lanes, now + load);
-        LoadReply { at: now + load + NETWORK, copies: standing + missing }
+        LoadReply { received_at: now + load + NETWORK_DELAY, copies: standing + missing }
     }
 
     /// The copies of a function at a worker are unloaded.
--- a/crates/badgerwind-scale/src/rows/zones.rs
+++ b/crates/badgerwind-scale/src/rows/zones.rs
@@ -4,7 +4,7 @@
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use crate::rows::members::{control_bounds, ENVELOPE, FRONT_ENDS};
+use crate::rows::members::{control_bounds, ENVELOPE_BYTES, PLANNED_FRONT_ENDS};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND, SECOND};
 use badgerwind_zones::{
     Aggregator, Evidence, Executor, Member, Message, Node, Observation, Settings, Stage, ZoneDigest,
@@ -120,7 +120,7 @@
     let processor = meter.microseconds() / measured.max(1) as f64;
     let meter = HeapMeter::start();
     let copy = aggregator.clone();
-    let heap = meter.bytes();
+    let heap = meter.net_bytes();
     drop(copy);
     let each = measured.max(1) as u64;
     VoterCost { bytes: bytes / each, messages: messages / each, processor, heap }
@@ -161,16 +161,16 @@
     fn variable(&self) -> &'static str {
         "front ends"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 100, 300, 1_000, 3_000, 11_000]
     }
-    fn planned(&self) -> u64 {
-        FRONT_ENDS
+    fn planned_size(&self) -> u64 {
+        PLANNED_FRONT_ENDS
     }
     fn bounds(&self) -> Vec<Bound> {
         control_bounds(ON_WIRE, PROCESSOR, HEAP)
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * 1_024 + RUNNERS * 128
     }
     fn measure(&self, size: u64, _seed: u64) -> Result<Vec<Measurement>, ScaleError> {
@@ -181,7 +181,7 @@
         Ok(vec![
             metric(MESSAGES, messages),
             metric(BYTES, bytes),
-            metric(ON_WIRE, bytes + messages * ENVELOPE as f64),
+            metric(ON_WIRE, bytes + messages * ENVELOPE_BYTES as f64),
             figure("processor time of a report", "us", cost.processor),
             metric(PROCESSOR, cost.processor * reports),
             metric(HEAP, cost.heap as f64),
@@ -233,14 +233,14 @@
     }
     let meter = HeapMeter::start();
     let copy = node.clone();
-    let heap = meter.bytes();
+    let heap = meter.net_bytes();
     drop(copy);
     let (span, metric) = (seconds(STEADY), |metric, value| Measurement { metric, value });
     let (bytes, messages) = (bytes as f64 / span, messages as f64 / span);
     vec![
         metric(MESSAGES, messages),
         metric(BYTES, bytes),
-        metric(ON_WIRE, bytes + messages * ENVELOPE as f64),
+        metric(ON_WIRE, bytes + messages * ENVELOPE_BYTES as f64),
         metric(PROCESSOR, processor / span),
         metric(HEAP, heap as f64),
     ]
@@ -266,16 +266,16 @@
     fn variable(&self) -> &'static str {
         "listed runners"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[30, 100, 300, 1_000, 4_000, 16_000]
     }
-    fn planned(&self) -> u64 {
+    fn planned_size(&self) -> u64 {
         RUNNERS
     }
     fn bounds(&self) -> Vec<Bound> {
         control_bounds(ON_WIRE, PROCESSOR, HEAP)
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * 512
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
@@ -318,7 +318,7 @@
 impl Fleet {
     /// So many front ends; the first three are voters.
     pub fn new(front_ends: usize, seed: u64) -> Fleet {
-        Fleet::under(Conditions::ordinary(), front_ends, seed)
+        Fleet::under(Conditions::wide_area(), front_ends, seed)
     }
 
     /// The same over another network.
@@ -331,7 +331,7 @@
             let mut node = Node::new(0, member as Member, zones, terms(front_ends), rng.random());
             node.evidence.set_executors(runners(zones * each as usize));
             nodes.push(node);
-            network.wake_at(member, TIMER_TICK, rng.random_range(0..TICK));
+            network.set_timer(member, TIMER_TICK, rng.random_range(0..TICK));
         }
         let avoided = BTreeMap::new();
         Fleet { network, nodes, rng, lost_zone: None, mutant: None, avoided, probes: 0, calls_lost: 0 }
@@ -351,17 +351,17 @@
     /// Plays for this long.
     pub fn run(&mut self, span: Micros) {
         let until = self.network.now() + span;
-        while let Some(event) = self.network.next_before(until) {
+        while let Some(event) = self.network.next_event(until) {
             match event {
-                Event::Timer { member, name: TIMER_TICK } => self.tick(member),
-                Event::Timer { member, name } => self.ended(member, name - TIMER_ENDED),
+                Event::Timer { member, id: TIMER_TICK } => self.tick(member),
+                Event::Timer { member, id } => self.ended(member, id - TIMER_ENDED),
                 Event::Datagram { from, to, bytes } => self.hear(from, to, &bytes),
             }
         }
     }
 
     fn tick(&mut self, member: usize) {
-        let now = self.network.clock(member);
+        let now = self.network.local_time(member);
         let beats = self.nodes[member].heartbeats();
         let out = self.nodes[member].tick(now);
         let probes = if self.nodes[member].heartbeats() == beats {
@@ -373,7 +373,7 @@
         self.probes += probes.len() as u64;
         probes.into_iter().for_each(|runner| self.ask(member, runner));
         self.calls(member, now);
-        self.network.wake_at(member, TIMER_TICK, now + TICK);
+        self.network.set_timer(member, TIMER_TICK, now + TICK);
     }
 
     fn report(&mut self, from: usize, out: Vec<(Member, Message)>) {
@@ -382,7 +382,7 @@
             self.network.send(from, usize::from(to), "report", message.encode());
         }
         if self.mutant == Some(Mutant::ReportsToAll) {
-            for other in (VOTERS..self.network.members()).filter(|other| *other != from) {
+            for other in (VOTERS..self.network.member_count()).filter(|other| *other != from) {
                 self.network.send(from, other, "report", first.1.encode());
             }
         }
@@ -414,13 +414,13 @@
     fn ask(&mut self, member: usize, runner: Executor) {
         let lost = self.is_lost(runner);
         let after = if lost { TIME_OUT } else { ANSWER };
-        let at = self.network.clock(member) + after;
-        self.network.wake_at(member, ended_name(runner, lost), at);
+        let at = self.network.local_time(member) + after;
+        self.network.set_timer(member, ended_name(runner, lost), at);
     }
 
     fn ended(&mut self, member: usize, name: u32) {
         let (runner, lost) = (name / 2, name % 2 == 1);
-        let now = self.network.clock(member);
+        let now = self.network.local_time(member);
         if lost {
             self.nodes[member].record_unanswered(now, runner, now.saturating_sub(TIME_OUT));
             let avoided = self.avoided.entry((member, runner)).or_insert((0, AVOID.0));
@@ -432,7 +432,7 @@
     }
 
     fn hear(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        let now = self.network.clock(to);
+        let now = self.network.local_time(to);
         let Some(message) = Message::decode(bytes) else { return };
         if let Some(answer) = self.nodes[to].receive(now, from as Member, &message) {
             self.network.send(to, from, "digest", answer.encode());
@@ -468,13 +468,13 @@
 
     /// Messages and bytes with envelope a second, in and out, of a front end that is no voter, on average.
     pub fn traffic(&self, span: Micros) -> (f64, f64) {
-        let reporters = VOTERS..self.network.members();
+        let reporters = VOTERS..self.network.member_count();
         let count = reporters.len().max(1) as f64 * seconds(span).max(f64::MIN_POSITIVE);
         let (mut messages, mut bytes) = (0, 0);
         for member in reporters {
             let traffic = self.network.traffic(member);
             messages += traffic.messages;
-            bytes += traffic.bytes + traffic.messages * ENVELOPE;
+            bytes += traffic.bytes + traffic.messages * ENVELOPE_BYTES;
         }
         (messages as f64 / count, bytes as f64 / count)
     }
@@ -498,27 +498,27 @@
     fn variable(&self) -> &'static str {
         "front ends"
     }
-    fn sizes(&self) -> &'static [u64] {
+    fn default_sizes(&self) -> &'static [u64] {
         &[10, 30, 100, 300]
     }
-    fn planned(&self) -> u64 {
-        FRONT_ENDS
+    fn planned_size(&self) -> u64 {
+        PLANNED_FRONT_ENDS
     }
     fn bounds(&self) -> Vec<Bound> {
         let rate = Metric { name: "lost: bytes with envelope", unit: "B/s" };
-        vec![Bound { metric: rate, most: 6_144.0, source: "6 KB a second for all control, in and out" }]
+        vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
     }
-    fn bytes_needed(&self, size: u64) -> u64 {
+    fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * 64 * 1_024
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let stuck = |what: &str| ScaleError::NotSettled { row: "zones-lost", size, reason: what.to_owned() };
         let mut fleet = Fleet::new(size as usize, seed);
         fleet.run(4 * SECOND);
-        fleet.network.begin_counts();
+        fleet.network.reset_counts();
         fleet.run(4 * SECOND);
         let (_, calm) = fleet.traffic(4 * SECOND);
-        fleet.network.begin_counts();
+        fleet.network.reset_counts();
         fleet.lose(Some(LOST_ZONE));
         let lost = fleet.until(|f| f.share(LOST_ZONE) <= 0.05);
         let lost = lost.ok_or_else(|| stuck("the lost zone was not left"))?;
--- a/crates/badgerwind-scale/src/run.rs
+++ b/crates/badgerwind-scale/src/run.rs
@@ -1,101 +1,109 @@
-//! Measures a row at several sizes, within bounds on memory and time, and sums the figures up.
+//! Measures a row at several sizes within limits on memory and time, and summarizes the measurements.
 
 use crate::error::ScaleError;
-use crate::fit::{fit, Fit};
+use crate::fit::{best_fit, Fit};
 use crate::row::{Bound, Metric, Role, Row};
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
 const MIB: u64 = 1 << 20;
 
-/// What the person who runs it allows and asks for.
+/// Options of a measurement.
 #[derive(Debug, Clone)]
-pub struct Request {
-    /// Sizes; the row's own where none are named.
+pub struct RunOptions {
+    /// Sizes to measure; `None` for the default sizes of the row.
     pub sizes: Option<Vec<u64>>,
-    /// Seed of everything drawn.
+    /// Seed of the random number generators in the first repetition.
     pub seed: u64,
-    /// Plays at each size, with seeds that follow each other.
-    pub plays: u32,
-    /// Most memory, in MiB.
-    pub memory_mib: u64,
-    /// No size is begun after so much real time.
-    pub time: Duration,
+    /// Repetitions at each size, with consecutive seeds.
+    pub repetitions: u32,
+    /// Memory limit in MiB.
+    pub max_memory_mib: u64,
+    /// Wall time after which no further repetition is started.
+    pub time_limit: Duration,
 }
 
-/// One metric at one size, over all plays.
+/// One metric at one size, over all repetitions.
 #[derive(Debug, Clone, Serialize)]
 pub struct Point {
-    /// The size.
+    /// The measured size.
     pub size: u64,
-    /// Mean over the plays.
+    /// Mean over the repetitions.
     pub mean: f64,
-    /// Least of the plays.
-    pub least: f64,
-    /// Greatest of the plays.
-    pub most: f64,
+    /// Smallest value of the repetitions.
+    #[serde(rename = "least")]
+    pub min: f64,
+    /// Largest value of the repetitions.
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
-/// One metric over all sizes.
+/// One metric over all sizes, with its fitted growth.
 #[derive(Debug, Clone, Serialize)]
-pub struct Slope {
-    /// What was measured.
+pub struct MetricResult {
+    /// The measured metric.
     pub metric: Metric,
-    /// Figures by size.
+    /// Values by size.
     pub points: Vec<Point>,
-    /// The line through them.
+    /// Growth fitted to the means.
     pub fit: Fit,
-    /// Value of that line at the planned size.
-    pub at_planned: f64,
-    /// Whether the planned size is beyond the largest measured one.
+    /// Value at the planned size: the measured mean if that size was measured, otherwise the value of the
+    /// fit.
+    #[serde(rename = "at_planned")]
+    pub planned_value: f64,
+    /// Whether the planned size is larger than the largest measured size.
     pub extrapolated: bool,
-    /// The bound, where there is one.
+    /// Bound at the planned size, if the row has one for this metric.
     pub bound: Option<Bound>,
-    /// Need over bound at the planned size.
-    pub ratio: Option<f64>,
+    /// Value at the planned size divided by the bound.
+    #[serde(rename = "ratio")]
+    pub bound_ratio: Option<f64>,
 }
 
 /// A measured row.
 #[derive(Debug, Clone, Serialize)]
-pub struct Outcome {
-    /// Its name.
+pub struct RowResult {
+    /// Name of the row.
     pub row: &'static str,
-    /// Whose cost it is.
+    /// The role that bears the cost.
     pub role: Role,
-    /// What was measured, and how.
+    /// What was measured and how.
     pub about: &'static str,
     /// What the size counts.
     pub variable: &'static str,
     /// The planned size.
-    pub planned: u64,
-    /// Seed of the first play.
+    #[serde(rename = "planned")]
+    pub planned_size: u64,
+    /// Seed of the first repetition.
     pub seed: u64,
-    /// Plays at each size.
-    pub plays: u32,
-    /// One slope a metric.
-    pub slopes: Vec<Slope>,
+    /// Repetitions at each size.
+    #[serde(rename = "plays")]
+    pub repetitions: u32,
+    /// Results by metric, in the order of the first measurement of each.
+    #[serde(rename = "slopes")]
+    pub metrics: Vec<MetricResult>,
 }
 
-/// Measures a row.
-pub fn run(row: &dyn Row, request: &Request) -> Result<Outcome, ScaleError> {
-    let sizes = checked_sizes(row, request)?;
-    let begun = Instant::now();
-    let mut figures: Vec<(Metric, u64, f64)> = Vec::new();
+/// Measures a row at all requested sizes.
+pub fn measure_row(row: &dyn Row, options: &RunOptions) -> Result<RowResult, ScaleError> {
+    let sizes = validated_sizes(row, options)?;
+    let started = Instant::now();
+    let mut samples: Vec<(Metric, u64, f64)> = Vec::new();
     for &size in &sizes {
-        for play in 0..u64::from(request.plays.max(1)) {
-            if begun.elapsed() > request.time {
-                let elapsed = begun.elapsed().as_secs();
+        for repetition in 0..u64::from(options.repetitions.max(1)) {
+            if started.elapsed() > options.time_limit {
+                let elapsed = started.elapsed().as_secs();
                 return Err(ScaleError::OutOfTime { row: row.name(), size, elapsed });
             }
-            let measured = row.measure(size, request.seed + play)?;
-            figures.extend(measured.into_iter().map(|m| (m.metric, size, m.value)));
+            let measured = row.measure(size, options.seed + repetition)?;
+            samples.extend(measured.into_iter().map(|m| (m.metric, size, m.value)));
         }
     }
-    Ok(sum_up(row, request, &sizes, &figures))
+    Ok(summarize(row, options, &sizes, &samples))
 }
 
-fn checked_sizes(row: &dyn Row, request: &Request) -> Result<Vec<u64>, ScaleError> {
-    let mut sizes = request.sizes.clone().unwrap_or_else(|| row.sizes().to_vec());
+fn validated_sizes(row: &dyn Row, options: &RunOptions) -> Result<Vec<u64>, ScaleError> {
+    let mut sizes = options.sizes.clone().unwrap_or_else(|| row.default_sizes().to_vec());
     sizes.sort_unstable();
     sizes.dedup();
     if sizes.is_empty() {
@@ -105,51 +113,61 @@
         if size == 0 {
             return Err(ScaleError::ZeroSize);
         }
-        let needed_mib = row.bytes_needed(size).div_ceil(MIB);
-        if needed_mib > request.memory_mib {
-            let (variable, allowed_mib) = (row.variable(), request.memory_mib);
+        let needed_mib = row.estimated_heap_bytes(size).div_ceil(MIB);
+        if needed_mib > options.max_memory_mib {
+            let (variable, allowed_mib) = (row.variable(), options.max_memory_mib);
             return Err(ScaleError::TooLarge { size, variable, needed_mib, allowed_mib });
         }
     }
     Ok(sizes)
 }
 
-fn sum_up(row: &dyn Row, request: &Request, sizes: &[u64], figures: &[(Metric, u64, f64)]) -> Outcome {
+fn summarize(
+    row: &dyn Row,
+    options: &RunOptions,
+    sizes: &[u64],
+    samples: &[(Metric, u64, f64)],
+) -> RowResult {
     let mut metrics: Vec<Metric> = Vec::new();
-    for &(metric, _, _) in figures {
+    for &(metric, _, _) in samples {
         if !metrics.contains(&metric) {
             metrics.push(metric);
         }
     }
-    let slopes = metrics.into_iter().map(|metric| slope(row, metric, sizes, figures)).collect();
-    Outcome {
+    let metrics = metrics.into_iter().map(|metric| metric_result(row, metric, sizes, samples)).collect();
+    RowResult {
         row: row.name(),
         role: row.role(),
         about: row.about(),
         variable: row.variable(),
-        planned: row.planned(),
-        seed: request.seed,
-        plays: request.plays.max(1),
-        slopes,
+        planned_size: row.planned_size(),
+        seed: options.seed,
+        repetitions: options.repetitions.max(1),
+        metrics,
     }
 }
 
-fn slope(row: &dyn Row, metric: Metric, sizes: &[u64], figures: &[(Metric, u64, f64)]) -> Slope {
-    let points: Vec<Point> = sizes.iter().filter_map(|&size| point(metric, size, figures)).collect();
+fn metric_result(
+    row: &dyn Row,
+    metric: Metric,
+    sizes: &[u64],
+    samples: &[(Metric, u64, f64)],
+) -> MetricResult {
+    let points: Vec<Point> = sizes.iter().filter_map(|&size| point(metric, size, samples)).collect();
     let means: Vec<(u64, f64)> = points.iter().map(|p| (p.size, p.mean)).collect();
-    let fit = fit(&means);
-    let measured = points.iter().find(|p| p.size == row.planned()).map(|p| p.mean);
-    let at_planned = measured.unwrap_or_else(|| fit.at(row.planned()));
+    let fit = best_fit(&means);
+    let measured = points.iter().find(|p| p.size == row.planned_size()).map(|p| p.mean);
+    let planned_value = measured.unwrap_or_else(|| fit.predict(row.planned_size()));
     let bound = row.bounds().into_iter().find(|b| b.metric == metric);
-    let extrapolated = points.last().is_none_or(|p| p.size < row.planned());
-    let ratio = bound.map(|b| at_planned / b.most);
-    Slope { metric, points, fit, at_planned, extrapolated, bound, ratio }
+    let extrapolated = points.last().is_none_or(|p| p.size < row.planned_size());
+    let bound_ratio = bound.map(|b| planned_value / b.max);
+    MetricResult { metric, points, fit, planned_value, extrapolated, bound, bound_ratio }
 }
 
-fn point(metric: Metric, size: u64, figures: &[(Metric, u64, f64)]) -> Option<Point> {
-    let values: Vec<f64> = figures.iter().filter(|f| f.0 == metric && f.1 == size).map(|f| f.2).collect();
+fn point(metric: Metric, size: u64, samples: &[(Metric, u64, f64)]) -> Option<Point> {
+    let values: Vec<f64> = samples.iter().filter(|f| f.0 == metric && f.1 == size).map(|f| f.2).collect();
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
-    let least = values.iter().copied().reduce(f64::min)?;
-    let most = values.iter().copied().reduce(f64::max)?;
-    Some(Point { size, mean, least, most })
+    let min = values.iter().copied().reduce(f64::min)?;
+    let max = values.iter().copied().reduce(f64::max)?;
+    Some(Point { size, mean, min, max })
 }
--- a/crates/badgerwind-scale/tests/budgets.rs
+++ b/crates/badgerwind-scale/tests/budgets.rs
@@ -3,7 +3,7 @@
 
 use badgerwind_scale::rows::budgets::group::{Mutant, Plan};
 use badgerwind_scale::rows::budgets::{plan, play, steady, Hour, SteadyLoads};
-use badgerwind_scale::rows::load::Load;
+use badgerwind_scale::rows::load::MemberCost;
 use badgerwind_scale::rows::network::{Micros, SECOND};
 
 const SMALL: u64 = 30;
@@ -26,7 +26,7 @@
 }
 
 fn member_stays_the_same(mutant: Option<Mutant>) -> Result<(), String> {
-    let of = |part: fn(&Load) -> f64| move |members| part(&loads(members, 1, mutant).member);
+    let of = |part: fn(&MemberCost) -> f64| move |members| part(&loads(members, 1, mutant).member);
     grows_at_most("messages of a member", 1.1, of(|load| load.messages))?;
     grows_at_most("bytes of a member", 1.2, of(|load| load.bytes))
 }
--- a/crates/badgerwind-scale/tests/fit.rs
+++ b/crates/badgerwind-scale/tests/fit.rs
@@ -1,6 +1,6 @@
 //! The fit finds the order of growth, residuals show a wrong one, and bad requests get errors that name the option.
 
-use badgerwind_scale::fit::{fit, fit_order, Order, ORDERS};
+use badgerwind_scale::fit::{best_fit, fit_order, Order, ORDERS};
 use std::process::{Command, Output};
 
 const SIZES: [u64; 7] = [10, 30, 100, 300, 1_000, 3_000, 11_000];
@@ -24,9 +24,9 @@
 #[test]
 fn each_order_of_growth_is_found() {
     for (order, points) in examples() {
-        let found = fit(&points);
+        let found = best_fit(&points);
         assert_eq!(found.order, order, "{points:?}");
-        assert!(found.spread() < 0.03, "{order:?}: {}", found.spread());
+        assert!(found.rms_residual() < 0.03, "{order:?}: {}", found.rms_residual());
     }
 }
 
@@ -34,7 +34,7 @@
 fn a_fit_foretells_a_size_that_was_not_measured() {
     for (order, points) in examples() {
         let (last, known) = points.split_last().unwrap();
-        let error = (fit(known).at(last.0) - last.1).abs() / last.1;
+        let error = (best_fit(known).predict(last.0) - last.1).abs() / last.1;
         assert!(error < 0.15, "{order:?}: off by {error}");
     }
 }
@@ -48,10 +48,10 @@
         for wrong in ORDERS.into_iter().filter(slower) {
             let (wrong, good) = (fit_order(wrong, &points), fit_order(right, &points));
             assert!(
-                wrong.spread() > 2.0 * good.spread(),
+                wrong.rms_residual() > 2.0 * good.rms_residual(),
                 "{:?} for {right:?}: {}",
                 wrong.order,
-                wrong.spread()
+                wrong.rms_residual()
             );
         }
     }
@@ -59,13 +59,13 @@
 
 #[test]
 fn two_points_are_too_few_to_tell_an_order() {
-    assert_eq!(fit(&[(10, 5.0), (100, 50.0)]).order, Order::Constant);
+    assert_eq!(best_fit(&[(10, 5.0), (100, 50.0)]).order, Order::Constant);
 }
 
 #[test]
 fn points_of_nothing_fit_without_a_panic() {
-    assert_eq!(fit(&[]).spread(), 0.0);
-    assert_eq!(fit(&[(10, 0.0), (30, 0.0), (100, 0.0)]).at(11_000), 0.0);
+    assert_eq!(best_fit(&[]).rms_residual(), 0.0);
+    assert_eq!(best_fit(&[(10, 0.0), (30, 0.0), (100, 0.0)]).predict(11_000), 0.0);
 }
 
 fn scale(arguments: &[&str]) -> Output {
--- a/crates/badgerwind-scale/tests/front_end.rs
+++ b/crates/badgerwind-scale/tests/front_end.rs
@@ -1,7 +1,7 @@
 //! The hollow front end itself: calls come at their rate, end, and find copies where the model has them.
 
 use badgerwind_scale::rows::front_end::{Costs, HollowFrontEnd, Surroundings, SECOND};
-use badgerwind_scale::rows::workers::Others;
+use badgerwind_scale::rows::workers::ForeignCalls;
 
 const WORKERS: u32 = 40;
 const FUNCTIONS: u64 = 50;
@@ -37,7 +37,7 @@
 fn a_copy_is_missed_unless_other_front_ends_keep_it_loaded() {
     let alone = costs(small(), SEED);
     assert!(alone.misses > 0 && alone.orders > 0 && alone.cold > 0, "{alone:?}");
-    let others = Some(Others { most_called: 1e6, exponent: 1.0 });
+    let others = Some(ForeignCalls { top_function_rate: 1e6, exponent: 1.0 });
     let among_others = costs(Surroundings { others, ..small() }, SEED);
     assert_eq!(among_others.misses, 0);
     // Only a call that takes a lane of a further copy, ordered while all lanes were taken, waits for a load.
--- a/crates/badgerwind-scale/tests/heap_meter.rs
+++ b/crates/badgerwind-scale/tests/heap_meter.rs
@@ -14,10 +14,10 @@
     for number in 0..10_000 {
         grown.push(number);
     }
-    assert_eq!(meter.bytes(), (grown.capacity() * size_of::<u64>()) as u64);
+    assert_eq!(meter.net_bytes(), (grown.capacity() * size_of::<u64>()) as u64);
     grown.truncate(10);
     grown.shrink_to_fit();
-    assert_eq!(meter.bytes(), (grown.capacity() * size_of::<u64>()) as u64);
+    assert_eq!(meter.net_bytes(), (grown.capacity() * size_of::<u64>()) as u64);
     drop(grown);
-    assert_eq!(meter.bytes(), 0);
+    assert_eq!(meter.net_bytes(), 0);
 }
--- a/crates/badgerwind-scale/tests/members.rs
+++ b/crates/badgerwind-scale/tests/members.rs
@@ -15,7 +15,7 @@
 fn steady(size: usize, real: usize, mutant: Option<Mutant>, seed: u64) -> Traffic {
     let mut fleet = Fleet::new(size, real, true, seed).with(mutant);
     fleet.run(SECOND);
-    fleet.network.begin_counts();
+    fleet.network.reset_counts();
     fleet.run(10 * SECOND);
     fleet.traffic(10 * SECOND)
 }
@@ -59,7 +59,7 @@
     let all: Vec<usize> = (0..SMALL).collect();
     assert!(fleet.until(|f| f.known_alive(&all) >= 1.0).is_some());
     fleet.run(30 * SECOND);
-    fleet.network.begin_counts();
+    fleet.network.reset_counts();
     fleet.run(10 * SECOND);
     let (long, calm) = (fleet.traffic(10 * SECOND), steady(SMALL, SMALL, None, 3));
     assert!((long.messages - calm.messages).abs() < 0.1 * long.messages, "{long:?} {calm:?}");
@@ -103,7 +103,7 @@
 fn regions_apart_take_each_other_for_dead_and_find_each_other_again() {
     let mut fleet = Fleet::new(SMALL, SMALL, true, 6);
     let all: Vec<usize> = (0..SMALL).collect();
-    fleet.network.cut_regions_apart();
+    fleet.network.isolate_regions();
     assert!(fleet.until(|f| f.known_dead_elsewhere() >= 1.0).is_some());
     fleet.network.heal();
     assert!(fleet.until(|f| f.known_alive(&all) >= 1.0).is_some());
--- a/crates/badgerwind-scale/tests/network.rs
+++ b/crates/badgerwind-scale/tests/network.rs
@@ -1,16 +1,16 @@
 //! The simulated network: delays by place, losses, cuts, stops, drifting clocks, counts, and the same run for the same seed.
 
 use badgerwind_scale::rows::network::{
-    Area, Conditions, Event, Network, Place, MILLISECOND, REGIONS, SECOND, ZONES,
+    Area, Conditions, Event, Location, Network, MILLISECOND, REGIONS, SECOND, ZONES,
 };
 
 fn quiet() -> Conditions {
-    Conditions { loss: 0.0, ..Conditions::ordinary() }
+    Conditions { loss: 0.0, ..Conditions::wide_area() }
 }
 
 fn arrivals(network: &mut Network, until: u64) -> Vec<(u64, usize, usize)> {
     let mut seen = Vec::new();
-    while let Some(event) = network.next_before(until) {
+    while let Some(event) = network.next_event(until) {
         if let Event::Datagram { from, to, .. } = event {
             seen.push((network.now(), from, to));
         }
@@ -22,13 +22,13 @@
 fn members_are_dealt_out_to_all_zones_and_regions() {
     let network = Network::new(quiet(), 2 * ZONES, 1);
     for zone in 0..ZONES {
-        assert_eq!(network.within(Area::Zone(zone)).len(), 2);
+        assert_eq!(network.members_in(Area::Zone(zone)).len(), 2);
     }
     for region in 0..REGIONS {
-        assert_eq!(network.within(Area::Region(region)).len(), 2 * ZONES / REGIONS);
+        assert_eq!(network.members_in(Area::Region(region)).len(), 2 * ZONES / REGIONS);
     }
-    assert_eq!(network.within(Area::Everywhere).len(), 2 * ZONES);
-    assert_ne!(Place::of(0).region, Place::of(1).region);
+    assert_eq!(network.members_in(Area::Everywhere).len(), 2 * ZONES);
+    assert_ne!(Location::of(0).region, Location::of(1).region);
 }
 
 #[test]
@@ -45,11 +45,11 @@
 #[test]
 fn what_is_cut_is_lost_one_way_or_both_until_it_heals() {
     let mut network = Network::new(quiet(), 2 * ZONES, 1);
-    network.cut(Area::Member(0), Area::Region(1));
+    network.block(Area::Member(0), Area::Region(1));
     network.send(0, 1, "test", vec![0]);
     network.send(1, 0, "test", vec![0]);
     assert_eq!(arrivals(&mut network, SECOND).len(), 1, "one way only");
-    network.cut_regions_apart();
+    network.isolate_regions();
     network.send(2, 3, "test", vec![0]);
     network.send(3, 2, "test", vec![0]);
     network.send(2, 2 + REGIONS, "test", vec![0]);
@@ -57,31 +57,31 @@
     network.heal();
     network.send(0, 1, "test", vec![0]);
     assert_eq!(arrivals(&mut network, 3 * SECOND).len(), 1);
-    assert_eq!(network.lost(), 3);
+    assert_eq!(network.lost_datagrams(), 3);
 }
 
 #[test]
 fn a_stopped_member_hears_nothing_and_timers_of_before_a_restart_do_not_go_off() {
     let mut network = Network::new(quiet(), 2, 1);
-    network.wake_at(1, 7, 10 * MILLISECOND);
+    network.set_timer(1, 7, 10 * MILLISECOND);
     network.send(0, 1, "test", vec![0]);
     network.stop(1);
-    assert_eq!(network.next_before(SECOND), None);
+    assert_eq!(network.next_event(SECOND), None);
     network.start(1);
-    network.wake_at(1, 8, 0);
-    assert_eq!(network.next_before(2 * SECOND), Some(Event::Timer { member: 1, name: 8 }));
-    assert_eq!(network.next_before(2 * SECOND), None);
+    network.set_timer(1, 8, 0);
+    assert_eq!(network.next_event(2 * SECOND), Some(Event::Timer { member: 1, id: 8 }));
+    assert_eq!(network.next_event(2 * SECOND), None);
 }
 
 #[test]
 fn clocks_drift_within_their_bound_and_timers_follow_them() {
-    let conditions = Conditions { drift: 1_000, ..quiet() };
+    let conditions = Conditions { max_drift_ppm: 1_000, ..quiet() };
     let mut network = Network::new(conditions, 50, 3);
-    (0..50).for_each(|member| network.wake_at(member, 0, 1_000 * SECOND));
+    (0..50).for_each(|member| network.set_timer(member, 0, 1_000 * SECOND));
     let mut at = Vec::new();
-    while let Some(Event::Timer { member, .. }) = network.next_before(2_000 * SECOND) {
-        assert!(network.clock(member) >= 1_000 * SECOND, "never early by its own clock");
-        assert!(network.clock(member) <= 1_000 * SECOND + 2);
+    while let Some(Event::Timer { member, .. }) = network.next_event(2_000 * SECOND) {
+        assert!(network.local_time(member) >= 1_000 * SECOND, "never early by its own clock");
+        assert!(network.local_time(member) <= 1_000 * SECOND + 2);
         at.push(network.now());
     }
     let (first, last) = (at[0], at[49]);
@@ -96,10 +96,10 @@
     network.send(0, 1, "ping", vec![0; 30]);
     network.send(1, 0, "ack", vec![0; 5]);
     arrivals(&mut network, SECOND);
-    assert_eq!((network.sent(0).of("ping").messages, network.sent(0).of("ping").bytes), (2, 51));
-    assert_eq!(network.received(1).of("ping"), network.sent(0).of("ping"));
+    assert_eq!((network.sent(0).for_kind("ping").messages, network.sent(0).for_kind("ping").bytes), (2, 51));
+    assert_eq!(network.received(1).for_kind("ping"), network.sent(0).for_kind("ping"));
     assert_eq!((network.traffic(0).messages, network.traffic(0).bytes), (3, 56));
-    network.begin_counts();
+    network.reset_counts();
     assert_eq!(network.traffic(0).messages, 0);
 }
 
--- a/crates/badgerwind-scale/tests/register.rs
+++ b/crates/badgerwind-scale/tests/register.rs
@@ -1,7 +1,7 @@
 //! Counts of the register's hollow groups, held to their bounds at small and middle sizes; each check is shown to fail when
 //! the cost of one part is made to grow with the members on purpose.
 
-use badgerwind_scale::rows::load::{all_regions, one_region, Load};
+use badgerwind_scale::rows::load::{all_regions, single_region, MemberCost};
 use badgerwind_scale::rows::network::{Micros, MILLISECOND, SECOND};
 use badgerwind_scale::rows::register::group::{Mutant, Plan, Records};
 use badgerwind_scale::rows::register::{plan, play, steady, Hour, SteadyLoads};
@@ -15,7 +15,7 @@
 const ONE_EACH: Records = Records::EachMember(SECOND);
 
 fn loads(members: u64, records: Records, mutant: Option<Mutant>) -> SteadyLoads {
-    let plan = Plan { mutant, ..plan(members, SEED, one_region(), records) };
+    let plan = Plan { mutant, ..plan(members, SEED, single_region(), records) };
     steady(plan, WINDOW, "test").unwrap()
 }
 
@@ -29,7 +29,7 @@
 }
 
 fn follower_stays_the_same(records: Records, mutant: Option<Mutant>) -> Result<(), String> {
-    let of = |part: fn(&Load) -> f64| move |members| part(&loads(members, records, mutant).follower);
+    let of = |part: fn(&MemberCost) -> f64| move |members| part(&loads(members, records, mutant).follower);
     grows_at_most("messages of a follower", 1.1, of(|load| load.messages))?;
     grows_at_most("bytes of a follower", 1.1, of(|load| load.bytes))
 }
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_tenth_that_restarts_loses_its_lives_once_and_is_back_within_two_leases() {
-    let seen = play(Hour::RestartTenth, plan(MIDDLE, SEED, one_region(), TEN), "test").unwrap();
+    let seen = play(Hour::RestartTenth, plan(MIDDLE, SEED, single_region(), TEN), "test").unwrap();
     let tenth = (MIDDLE - 5).div_ceil(10);
     assert_eq!(seen.lives_ended, tenth, "{seen:?}");
     assert!(seen.until_leased <= 4.0, "{seen:?}");
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_leader_that_is_lost_costs_nobody_its_life() {
-    let seen = play(Hour::LeaderLost, plan(MIDDLE, SEED, one_region(), TEN), "test").unwrap();
+    let seen = play(Hour::LeaderLost, plan(MIDDLE, SEED, single_region(), TEN), "test").unwrap();
     assert!(seen.until_leader <= 1.0, "{seen:?}");
     assert_eq!(seen.lives_ended, 1, "the leader's own life alone: {seen:?}");
 }
--- a/crates/badgerwind-scale/tests/zones.rs
+++ b/crates/badgerwind-scale/tests/zones.rs
@@ -16,7 +16,7 @@
     fleet.run(2 * SECOND);
     let mut measured = |lost| {
         fleet.lose(lost);
-        fleet.network.begin_counts();
+        fleet.network.reset_counts();
         fleet.run(3 * SECOND);
         fleet.traffic(3 * SECOND)
     };
