--- a/crates/badgerwind-scale/src/rows/register.rs
+++ b/crates/badgerwind-scale/src/rows/register.rs
@@ -1,4 +1,4 @@
-//! Rows of the register: what a follower, a voter and the leader cost in a steady group, and in its bad hours.
+//! Rows of the register: the cost of a follower, a voter and the leader in a steady group and after faults.
 
 pub mod group;
 
@@ -8,153 +8,157 @@
     all_regions, cost_metrics, heap_bytes, isolate_region, mean_cost, single_region, CostMetrics, MemberCost,
 };
 use crate::rows::network::{Conditions, Micros, TrafficCount, MILLISECOND, REGIONS, SECOND};
-use group::{Group, Plan, Records};
-
-/// What the link of `badgerwind-fleet` adds to a message: 4 bytes of its length, and a sealed piece's length (2) and tag (16).
-pub const FRAME: f64 = 22.0;
-
-/// Time over which the starts of a steady group's members are spread: several beats.
-const STARTS: Micros = 2 * SECOND;
-/// Longest time in which all members must hold a lease after the start.
-const SETTLE: Micros = 60 * SECOND;
-/// Time after that before anything is counted.
-const QUIET: Micros = 3 * SECOND;
-/// Time in which a steady group is measured.
-const WINDOW: Micros = 10 * SECOND;
-/// Followers whose processor time and heap are measured.
-const WATCHED: usize = 8;
-/// Entries that voters keep, as the register's terms have it.
-const ENTRIES_KEPT: u64 = 4_096;
-/// Bytes that a member's copy of one life takes, about.
-const LIFE_BYTES: u64 = 90;
-/// Bytes of a hollow member beside its copy of the lives, about.
+use group::{Group, Plan, RecordLoad};
+
+/// Bytes that a link of `badgerwind-fleet` adds to each message: its length (4), and the length (2) and the
+/// tag (16) of an encrypted frame.
+pub const FRAME_BYTES: f64 = 22.0;
+
+/// Time over which the starts of a steady group's followers are spread: several heartbeat intervals.
+const START_SPREAD: Micros = 2 * SECOND;
+/// Time limit for all members to hold a lease after the last start.
+const SETTLE_TIMEOUT: Micros = 60 * SECOND;
+/// Additional time before the counts of a settled group begin, for the log to become quiet.
+const QUIET_TIME: Micros = 3 * SECOND;
+/// Time over which a steady group is measured.
+const MEASUREMENT_TIME: Micros = 10 * SECOND;
+/// Number of followers whose processor time and heap are measured.
+const SAMPLED_FOLLOWERS: usize = 8;
+/// Log entries that voters retain, as in the register's default settings.
+const RETAINED_ENTRIES: u64 = 4_096;
+/// Estimated heap of one member's incarnation in another member's replica, in bytes.
+const INCARNATION_BYTES: u64 = 90;
+/// Estimated heap of a hollow member without the incarnations in its replica, in bytes.
 const MEMBER_BYTES: u64 = 24_000;
 
-fn bytes_needed(members: u64) -> u64 {
-    members * members * LIFE_BYTES + members * MEMBER_BYTES
+fn estimated_heap_bytes(members: u64) -> u64 {
+    members * members * INCARNATION_BYTES + members * MEMBER_BYTES
 }
 
-/// What the three roles cost in a steady group.
+/// Costs of the three roles in a steady group.
 #[derive(Debug, Clone, Copy)]
-pub struct SteadyLoads {
-    /// The mean follower.
+pub struct SteadyCosts {
+    /// Mean cost of a follower.
     pub follower: MemberCost,
-    /// The mean voter that does not lead.
+    /// Mean cost of a voter that is not the leader.
     pub voter: MemberCost,
-    /// The leader.
+    /// Cost of the leader.
     pub leader: MemberCost,
 }
 
 /// Starts a group and runs it until all members hold a lease and the log is quiet.
-pub fn settled(plan: Plan, row: &'static str) -> Result<Group, ScaleError> {
+pub fn start_settled(plan: Plan, row: &'static str) -> Result<Group, ScaleError> {
     let members = plan.members;
     let mut group = Group::new(plan);
     let voters = group.voters();
     group.start(&voters);
-    // One after another over several beats: members that start together would renew together for ever.
+    // The starts are spread, because members that start at the same moment also renew their leases at the
+    // same moments from then on.
     for follower in group.followers() {
         group.start(&[follower]);
-        group.run(STARTS / members as Micros);
+        group.run(START_SPREAD / members as Micros);
     }
-    let mut passed = 0;
-    while group.leased() < members {
-        if passed >= SETTLE {
-            let reason = format!("{} of {members} members hold a lease after {SETTLE} us", group.leased());
+    let mut elapsed = 0;
+    while group.lease_holder_count() < members {
+        if elapsed >= SETTLE_TIMEOUT {
+            let holders = group.lease_holder_count();
+            let reason = format!("{holders} of {members} members hold a lease after {SETTLE_TIMEOUT} us");
             return Err(ScaleError::NotSettled { row, size: members as u64, reason });
         }
         group.run(100 * MILLISECOND);
-        passed += 100 * MILLISECOND;
+        elapsed += 100 * MILLISECOND;
     }
-    group.run(QUIET);
+    group.run(QUIET_TIME);
     Ok(group)
 }
 
-/// Measures a steady group.
-pub fn steady(plan: Plan, window: Micros, row: &'static str) -> Result<SteadyLoads, ScaleError> {
+/// Measures a steady group over a duration.
+pub fn measure_steady(plan: Plan, duration: Micros, row: &'static str) -> Result<SteadyCosts, ScaleError> {
     let size = plan.members as u64;
-    let mut group = settled(plan, row)?;
+    let mut group = start_settled(plan, row)?;
     let not_settled = |reason: &str| ScaleError::NotSettled { row, size, reason: reason.into() };
-    let leader = group.leader().ok_or_else(|| not_settled("nobody leads"))?;
+    let leader = group.leader().ok_or_else(|| not_settled("there is no leader"))?;
     let followers = group.followers();
     let voters: Vec<usize> = group.voters().into_iter().filter(|voter| *voter != leader).collect();
-    let sample: Vec<usize> = followers.iter().copied().take(WATCHED).collect();
-    let watched = [&sample[..], &voters[..], &[leader][..]].concat();
-    group.begin_counts();
-    group.processor.track(&watched);
-    group.run(window);
+    let sample: Vec<usize> = followers.iter().copied().take(SAMPLED_FOLLOWERS).collect();
+    let tracked = [&sample[..], &voters[..], &[leader][..]].concat();
+    group.reset_counts();
+    group.processor_times.track(&tracked);
+    group.run(duration);
     if group.leader() != Some(leader) {
-        return Err(not_settled("another leader was elected while it was measured"));
+        return Err(not_settled("another leader was elected during the measurement"));
     }
-    let seconds = window as f64 / SECOND as f64;
-    let counts = counts(&mut group, &followers, seconds);
-    let follower = mean_cost(&loads(&mut group, &sample, seconds));
-    Ok(SteadyLoads {
-        follower: MemberCost { messages: counts.messages, bytes: counts.bytes, ..follower },
-        voter: mean_cost(&loads(&mut group, &voters, seconds)),
-        leader: mean_cost(&loads(&mut group, &[leader], seconds)),
+    let seconds = duration as f64 / SECOND as f64;
+    let traffic = mean_traffic(&mut group, &followers, seconds);
+    let follower = mean_cost(&take_costs(&mut group, &sample, seconds));
+    Ok(SteadyCosts {
+        follower: MemberCost { messages: traffic.messages, bytes: traffic.bytes, ..follower },
+        voter: mean_cost(&take_costs(&mut group, &voters, seconds)),
+        leader: mean_cost(&take_costs(&mut group, &[leader], seconds)),
     })
 }
 
-/// Mean messages and bytes a second over all of these.
-fn counts(group: &mut Group, members: &[usize], seconds: f64) -> MemberCost {
-    let load = |member: &usize| {
-        let TrafficCount { messages, bytes } = group.network().traffic(*member);
+/// Mean messages and bytes a second of these members; the processor time and the heap are 0.
+fn mean_traffic(group: &mut Group, members: &[usize], seconds: f64) -> MemberCost {
+    let traffic = |member: &usize| {
+        let TrafficCount { messages, bytes } = group.network_mut().traffic(*member);
         MemberCost {
             messages: messages as f64 / seconds,
             bytes: bytes as f64 / seconds,
             ..MemberCost::default()
         }
     };
-    mean_cost(&members.iter().map(load).collect::<Vec<_>>())
+    mean_cost(&members.iter().map(traffic).collect::<Vec<_>>())
 }
 
-/// The loads of these; their nodes are taken out and weighed.
-fn loads(group: &mut Group, members: &[usize], seconds: f64) -> Vec<MemberCost> {
-    let load = |member: &usize| {
-        let counted = counts(group, &[*member], seconds);
-        let processor = group.processor.microseconds(*member) / seconds;
-        let heap = group.take(*member).map_or(0.0, heap_bytes);
-        MemberCost { processor, heap, ..counted }
+/// The cost of each of these members. Removes their nodes from the group to measure the heap.
+fn take_costs(group: &mut Group, members: &[usize], seconds: f64) -> Vec<MemberCost> {
+    let cost = |member: &usize| {
+        let traffic = mean_traffic(group, &[*member], seconds);
+        let processor = group.processor_times.microseconds(*member) / seconds;
+        let heap = group.take_node(*member).map_or(0.0, heap_bytes);
+        MemberCost { processor, heap, ..traffic }
     };
-    members.iter().map(load).collect()
+    members.iter().map(cost).collect()
 }
 
-const FOLLOWER: CostMetrics = cost_metrics!("follower");
-const VOTER: CostMetrics = cost_metrics!("voter");
-const LEADER: CostMetrics = cost_metrics!("leader");
+const FOLLOWER_METRICS: CostMetrics = cost_metrics!("follower");
+const VOTER_METRICS: CostMetrics = cost_metrics!("voter");
+const LEADER_METRICS: CostMetrics = cost_metrics!("leader");
 
-/// A steady group, by what its members write.
+/// A row that measures a steady group under a load of records.
 #[derive(Debug)]
-pub struct Steady {
+pub struct SteadyRow {
     name: &'static str,
     about: &'static str,
     sizes: &'static [u64],
-    records: Records,
+    record_load: RecordLoad,
 }
 
-/// Members only renew their leases.
-pub const LEASES: Steady = Steady {
+/// A steady group whose members only renew their leases.
+pub const LEASES: SteadyRow = SteadyRow {
     name: "register-leases",
-    about: "one group in a region, no records: members renew their leases and ask for what follows the log",
+    about: "one group in one region, no records: members renew their leases and request the entries that \
+         follow their log",
     sizes: &[10, 30, 100, 314, 520, 1_000, 1_570, 3_000],
-    records: Records::None,
+    record_load: RecordLoad::None,
 };
 
-/// Every member writes.
-pub const RECORDS_EACH: Steady = Steady {
+/// A steady group in which each member announces one record a second.
+pub const RECORDS_EACH: SteadyRow = SteadyRow {
     name: "register-records-each",
-    about:
-        "one group in a region, one record of 32 bytes a second from each member, which every member follows",
+    about: "one group in one region, one record of 32 bytes a second from each member, delivered to every \
+         member",
     sizes: &[10, 30, 100, 314, 520, 1_000],
-    records: Records::EachMember(SECOND),
+    record_load: RecordLoad::PerMember(SECOND),
 };
 
-/// The group as a whole writes ten records a second.
-pub const RECORDS_TEN: Steady = Steady {
+/// A steady group that announces ten records a second in total.
+pub const RECORDS_TEN: SteadyRow = SteadyRow {
     name: "register-records-ten",
-    about: "one group in a region, ten records of 32 bytes a second over the whole group",
+    about: "one group in one region, ten records of 32 bytes a second in total",
     sizes: &[10, 30, 100, 314, 520, 1_000, 1_570, 3_000],
-    records: Records::WholeGroup(100 * MILLISECOND),
+    record_load: RecordLoad::PerGroup(100 * MILLISECOND),
 };
 
 /// All rows of the register.
@@ -167,11 +171,11 @@
         Box::new(RESTART_TENTH),
         Box::new(LEADER_LOST),
         Box::new(ZONE_LOST),
-        Box::new(REGION_APART),
+        Box::new(REGION_ISOLATED),
     ]
 }
 
-impl Row for Steady {
+impl Row for SteadyRow {
     fn name(&self) -> &'static str {
         self.name
     }
@@ -192,209 +196,214 @@
     }
     fn bounds(&self) -> Vec<Bound> {
         let control_machines =
-            [VOTER, LEADER].into_iter().flat_map(|metrics| metrics.control_machine_bounds());
-        FOLLOWER.front_end_bounds().into_iter().chain(control_machines).collect()
+            [VOTER_METRICS, LEADER_METRICS].into_iter().flat_map(|metrics| metrics.control_machine_bounds());
+        FOLLOWER_METRICS.front_end_bounds().into_iter().chain(control_machines).collect()
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        bytes_needed(size)
+        estimated_heap_bytes(size)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let plan = plan(size, seed, single_region(), self.records);
-        let loads = steady(plan, WINDOW, self.name)?;
-        let mut figures = FOLLOWER.measurements(&loads.follower, FRAME);
-        figures.extend(VOTER.measurements(&loads.voter, FRAME));
-        figures.extend(LEADER.measurements(&loads.leader, FRAME));
-        Ok(figures)
+        let plan = plan(size, seed, single_region(), self.record_load);
+        let costs = measure_steady(plan, MEASUREMENT_TIME, self.name)?;
+        let mut measurements = FOLLOWER_METRICS.measurements(&costs.follower, FRAME_BYTES);
+        measurements.extend(VOTER_METRICS.measurements(&costs.voter, FRAME_BYTES));
+        measurements.extend(LEADER_METRICS.measurements(&costs.leader, FRAME_BYTES));
+        Ok(measurements)
     }
 }
 
-/// A group without defects.
-pub fn plan(members: u64, seed: u64, conditions: Conditions, records: Records) -> Plan {
+/// Parameters of a group without an injected defect.
+pub fn plan(members: u64, seed: u64, conditions: Conditions, record_load: RecordLoad) -> Plan {
     let members = members as usize;
-    Plan { members, conditions, seed, records, entries_kept: ENTRIES_KEPT, mutant: None }
+    Plan { members, conditions, seed, record_load, retained_entries: RETAINED_ENTRIES, mutant: None }
 }
 
-/// What befalls a group.
+/// A fault of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hour {
+pub enum Fault {
     /// All members start at the same moment.
     Start,
-    /// A tenth of the members, none of them a voter, are killed and start again together a second later.
+    /// A tenth of the members, none of them a voter, are killed and restart together one second later.
     RestartTenth,
-    /// The leader is lost for good.
+    /// The leader is killed and does not restart.
     LeaderLost,
-    /// A third of the members, voters among them, are lost for ten seconds and start again together.
+    /// A third of the members, including voters, are killed and restart together after ten seconds.
     ZoneLost,
-    /// One of seven regions is cut off and comes back when voters no longer keep the entries that it lacks.
-    RegionApart,
+    /// One of seven regions is partitioned from the others until the voters no longer retain the entries that
+    /// it lacks.
+    RegionIsolated,
 }
 
-/// Zones among which the members of one region are dealt out.
-const ZONES_OF_A_REGION: usize = 3;
-/// Time for which a zone or a region is away.
-const AWAY: Micros = 10 * SECOND;
-/// Time that is watched after a fault, or after its end.
-const WATCH: Micros = 12 * SECOND;
-/// Between two looks at who holds a lease.
-const LOOK: Micros = 50 * MILLISECOND;
-/// Entries kept where an hour's absence is played in ten seconds: fewer than are written meanwhile.
-const ENTRIES_KEPT_APART: u64 = 32;
-/// Records a second of a group in its bad hours.
-const HOUR_RECORDS: Records = Records::WholeGroup(100 * MILLISECOND);
-
-/// What a bad hour came to.
+/// Number of zones over which the members of one region are distributed.
+const ZONES_PER_REGION: usize = 3;
+/// Duration of the loss of a zone or of the isolation of a region.
+const OUTAGE: Micros = 10 * SECOND;
+/// Time over which a group is observed after a fault or after its end.
+const OBSERVATION_TIME: Micros = 12 * SECOND;
+/// Interval at which the lease holders are counted.
+const POLL_INTERVAL: Micros = 50 * MILLISECOND;
+/// Log entries retained during the isolation of a region: fewer than are written in that time, so that its
+/// ten seconds have the effect of an hour.
+const ISOLATION_RETAINED_ENTRIES: u64 = 32;
+/// Records that a group announces during a fault: ten a second in total.
+const FAULT_RECORD_LOAD: RecordLoad = RecordLoad::PerGroup(100 * MILLISECOND);
+
+/// The observed effect of a fault.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct HourSeen {
-    /// The most at any voter in one second.
-    pub voter: TrafficCount,
-    /// The most at any other member in one second.
-    pub follower: TrafficCount,
-    /// Seconds from the last step of the fault until 99 of 100 of those that run hold a lease for good.
-    pub until_leased: f64,
-    /// Seconds from the fault until somebody leads.
-    pub until_leader: f64,
-    /// Lives that ended.
-    pub lives_ended: u64,
+pub struct FaultEffect {
+    /// Peak traffic of any voter in one second.
+    pub voter_peak: TrafficCount,
+    /// Peak traffic of any follower in one second.
+    pub follower_peak: TrafficCount,
+    /// Seconds from the last step of the fault to the last poll at which fewer than 99% of the running
+    /// members held a lease.
+    pub seconds_until_leased: f64,
+    /// Seconds from the fault until there is a leader.
+    pub seconds_until_leader: f64,
+    /// Number of incarnations that ended.
+    pub incarnations_ended: u64,
 }
 
-/// Plays a bad hour.
-pub fn play(hour: Hour, mut plan: Plan, row: &'static str) -> Result<HourSeen, ScaleError> {
-    if hour == Hour::RegionApart {
-        plan.entries_kept = ENTRIES_KEPT_APART;
+/// Simulates a fault and observes its effect.
+pub fn run_fault(fault: Fault, mut plan: Plan, row: &'static str) -> Result<FaultEffect, ScaleError> {
+    if fault == Fault::RegionIsolated {
+        plan.retained_entries = ISOLATION_RETAINED_ENTRIES;
     }
-    let mut group = if hour == Hour::Start { Group::new(plan) } else { settled(plan, row)? };
-    let ended_before = group.incarnations_ended();
-    group.begin_counts();
-    let (until_leased, until_leader) = match hour {
-        Hour::Start => {
-            group.start(&group.all());
-            watch(&mut group)
+    let mut group = if fault == Fault::Start { Group::new(plan) } else { start_settled(plan, row)? };
+    let ended_before = group.ended_incarnation_count();
+    group.reset_counts();
+    let (seconds_until_leased, seconds_until_leader) = match fault {
+        Fault::Start => {
+            group.start(&group.all_members());
+            observe(&mut group, OBSERVATION_TIME)
         }
-        Hour::RestartTenth => {
+        Fault::RestartTenth => {
             let followers = group.followers();
             let tenth: Vec<usize> = followers.iter().copied().take(followers.len().div_ceil(10)).collect();
             group.kill(&tenth);
             group.run(SECOND);
             group.start(&tenth);
-            watch(&mut group)
+            observe(&mut group, OBSERVATION_TIME)
         }
-        Hour::LeaderLost => {
+        Fault::LeaderLost => {
             group.kill(&group.leader().into_iter().collect::<Vec<_>>());
-            watch(&mut group)
+            observe(&mut group, OBSERVATION_TIME)
         }
-        Hour::ZoneLost => {
+        Fault::ZoneLost => {
             let zone: Vec<usize> =
-                group.all().into_iter().filter(|member| member % ZONES_OF_A_REGION == 0).collect();
+                group.all_members().into_iter().filter(|member| member % ZONES_PER_REGION == 0).collect();
             group.kill(&zone);
-            let lost = watch_for(&mut group, AWAY);
+            let during_outage = observe(&mut group, OUTAGE);
             group.start(&zone);
-            (watch(&mut group).0, lost.1)
+            (observe(&mut group, OBSERVATION_TIME).0, during_outage.1)
         }
-        Hour::RegionApart => {
-            isolate_region(group.network(), REGIONS - 1);
-            group.run(AWAY);
-            group.network().heal();
-            watch(&mut group)
+        Fault::RegionIsolated => {
+            isolate_region(group.network_mut(), REGIONS - 1);
+            group.run(OUTAGE);
+            group.network_mut().heal();
+            observe(&mut group, OBSERVATION_TIME)
         }
     };
-    Ok(HourSeen {
-        voter: group.peaks().max_among(&group.voters()),
-        follower: group.peaks().max_among(&group.followers()),
-        until_leased,
-        until_leader,
-        lives_ended: (group.incarnations_ended() - ended_before) as u64,
+    Ok(FaultEffect {
+        voter_peak: group.peaks().max_among(&group.voters()),
+        follower_peak: group.peaks().max_among(&group.followers()),
+        seconds_until_leased,
+        seconds_until_leader,
+        incarnations_ended: (group.ended_incarnation_count() - ended_before) as u64,
     })
 }
 
-fn watch(group: &mut Group) -> (f64, f64) {
-    watch_for(group, WATCH)
-}
-
-/// Seconds until the last look at which fewer than 99 of 100 held a lease, and until the first at which somebody led.
-fn watch_for(group: &mut Group, span: Micros) -> (f64, f64) {
-    let (mut leased, mut leader) = (0, None);
-    for look in 1..=span / LOOK {
-        group.run(LOOK);
-        if group.leased() * 100 < group.running() * 99 {
-            leased = look;
+/// Runs a group for a duration and polls it. Returns the seconds until the last poll at which fewer than 99%
+/// of the running members held a lease, and until the first poll at which there was a leader.
+fn observe(group: &mut Group, duration: Micros) -> (f64, f64) {
+    let (mut last_unleased_poll, mut first_leader_poll) = (0, None);
+    for poll in 1..=duration / POLL_INTERVAL {
+        group.run(POLL_INTERVAL);
+        if group.lease_holder_count() * 100 < group.running_count() * 99 {
+            last_unleased_poll = poll;
         }
-        if leader.is_none() && group.leader().is_some() {
-            leader = Some(look);
+        if first_leader_poll.is_none() && group.leader().is_some() {
+            first_leader_poll = Some(poll);
         }
     }
-    // No look tells less than the time to the first.
-    let seconds = |looks: u64| (looks.max(1) * LOOK) as f64 / SECOND as f64;
-    (seconds(leased), seconds(leader.unwrap_or(span / LOOK)))
+    // Times shorter than one poll interval cannot be observed.
+    let seconds = |polls: u64| (polls.max(1) * POLL_INTERVAL) as f64 / SECOND as f64;
+    (seconds(last_unleased_poll), seconds(first_leader_poll.unwrap_or(duration / POLL_INTERVAL)))
 }
 
-const VOTER_MESSAGES: Metric =
+const VOTER_PEAK_MESSAGES: Metric =
     Metric { name: "busiest voter, messages in its busiest second", unit: "messages/s" };
-const VOTER_BYTES: Metric = Metric { name: "busiest voter, bytes in its busiest second", unit: "B/s" };
-const FOLLOWER_MESSAGES: Metric =
+const VOTER_PEAK_BYTES: Metric = Metric { name: "busiest voter, bytes in its busiest second", unit: "B/s" };
+const FOLLOWER_PEAK_MESSAGES: Metric =
     Metric { name: "busiest follower, messages in its busiest second", unit: "messages/s" };
-const FOLLOWER_BYTES: Metric = Metric { name: "busiest follower, bytes in its busiest second", unit: "B/s" };
+const FOLLOWER_PEAK_BYTES: Metric =
+    Metric { name: "busiest follower, bytes in its busiest second", unit: "B/s" };
 const UNTIL_LEASED: Metric = Metric { name: "until 99 of 100 hold a lease", unit: "s" };
 const UNTIL_LEADER: Metric = Metric { name: "until a leader", unit: "s" };
-const LIVES_ENDED: Metric = Metric { name: "lives ended", unit: "lives" };
+const INCARNATIONS_ENDED: Metric = Metric { name: "lives ended", unit: "lives" };
 
-/// A bad hour of a group.
+/// A row that measures the effect of a fault on a group.
 #[derive(Debug)]
-pub struct BadHour {
+pub struct FaultRow {
     name: &'static str,
     about: &'static str,
     sizes: &'static [u64],
     conditions: fn() -> Conditions,
-    hour: Hour,
+    fault: Fault,
 }
 
-const HOUR_SIZES: &[u64] = &[10, 30, 100, 314, 520, 1_000, 1_570];
+const FAULT_SIZES: &[u64] = &[10, 30, 100, 314, 520, 1_000, 1_570];
 
-/// All members start at once.
-pub const START: BadHour = BadHour {
+/// All members of a group start at the same moment.
+pub const START: FaultRow = FaultRow {
     name: "register-start",
-    about: "one group in a region, ten records a second, all members start at the same moment",
-    sizes: HOUR_SIZES,
+    about: "one group in one region, ten records a second, all members start at the same moment",
+    sizes: FAULT_SIZES,
     conditions: single_region,
-    hour: Hour::Start,
+    fault: Fault::Start,
 };
 
-/// A tenth restarts at once.
-pub const RESTART_TENTH: BadHour = BadHour {
+/// A tenth of the members is killed and restarts.
+pub const RESTART_TENTH: FaultRow = FaultRow {
     name: "register-restart-tenth",
-    about: "one group in a region, ten records a second, a tenth of the members killed and started together 1 s later",
-    sizes: HOUR_SIZES,
+    about: "one group in one region, ten records a second, a tenth of the members killed and restarted \
+         together 1 s later",
+    sizes: FAULT_SIZES,
     conditions: single_region,
-    hour: Hour::RestartTenth,
+    fault: Fault::RestartTenth,
 };
 
-/// A control machine lost.
-pub const LEADER_LOST: BadHour = BadHour {
+/// The control machine of the leader is lost.
+pub const LEADER_LOST: FaultRow = FaultRow {
     name: "register-leader-lost",
-    about: "one group in a region, ten records a second, the leader of five voters lost for good",
-    sizes: HOUR_SIZES,
+    about: "one group in one region, ten records a second, the leader of five voters lost permanently",
+    sizes: FAULT_SIZES,
     conditions: single_region,
-    hour: Hour::LeaderLost,
+    fault: Fault::LeaderLost,
 };
 
-/// A zone lost and back.
-pub const ZONE_LOST: BadHour = BadHour {
+/// A zone is lost and restarts.
+pub const ZONE_LOST: FaultRow = FaultRow {
     name: "register-zone-lost",
-    about: "one group in a region, ten records a second, one of three zones (two of five voters in it) lost for 10 s",
-    sizes: HOUR_SIZES,
+    about:
+        "one group in one region, ten records a second, one of three zones (two of five voters in it) lost \
+         for 10 s",
+    sizes: FAULT_SIZES,
     conditions: single_region,
-    hour: Hour::ZoneLost,
+    fault: Fault::ZoneLost,
 };
 
-/// A region apart and together again.
-pub const REGION_APART: BadHour = BadHour {
+/// A region is partitioned from the others and reconnected.
+pub const REGION_ISOLATED: FaultRow = FaultRow {
     name: "register-region-apart",
-    about: "one group over seven regions, ten records a second, one region cut off until its entries are no longer kept",
+    about: "one group over seven regions, ten records a second, one region cut off until voters no longer \
+         retain the entries that it lacks",
     sizes: &[30, 100, 314, 520, 1_000, 1_570],
     conditions: all_regions,
-    hour: Hour::RegionApart,
+    fault: Fault::RegionIsolated,
 };
 
-impl Row for BadHour {
+impl Row for FaultRow {
     fn name(&self) -> &'static str {
         self.name
     }
@@ -415,24 +424,29 @@
     }
     fn bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: VOTER_BYTES, max: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
-            Bound { metric: FOLLOWER_BYTES, max: 6_144.0, source: "6 KB a second for control, in and out" },
+            Bound { metric: VOTER_PEAK_BYTES, max: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
+            Bound {
+                metric: FOLLOWER_PEAK_BYTES,
+                max: 6_144.0,
+                source: "6 KB a second for control, in and out",
+            },
         ]
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        bytes_needed(size)
+        estimated_heap_bytes(size)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let seen = play(self.hour, plan(size, seed, (self.conditions)(), HOUR_RECORDS), self.name)?;
-        let figure = |metric, value| Measurement { metric, value };
+        let plan = plan(size, seed, (self.conditions)(), FAULT_RECORD_LOAD);
+        let effect = run_fault(self.fault, plan, self.name)?;
+        let measurement = |metric, value| Measurement { metric, value };
         Ok(vec![
-            figure(VOTER_MESSAGES, seen.voter.messages as f64),
-            figure(VOTER_BYTES, seen.voter.bytes as f64),
-            figure(FOLLOWER_MESSAGES, seen.follower.messages as f64),
-            figure(FOLLOWER_BYTES, seen.follower.bytes as f64),
-            figure(UNTIL_LEASED, seen.until_leased),
-            figure(UNTIL_LEADER, seen.until_leader),
-            figure(LIVES_ENDED, seen.lives_ended as f64),
+            measurement(VOTER_PEAK_MESSAGES, effect.voter_peak.messages as f64),
+            measurement(VOTER_PEAK_BYTES, effect.voter_peak.bytes as f64),
+            measurement(FOLLOWER_PEAK_MESSAGES, effect.follower_peak.messages as f64),
+            measurement(FOLLOWER_PEAK_BYTES, effect.follower_peak.bytes as f64),
+            measurement(UNTIL_LEASED, effect.seconds_until_leased),
+            measurement(UNTIL_LEADER, effect.seconds_until_leader),
+            measurement(INCARNATIONS_ENDED, effect.incarnations_ended as f64),
         ])
     }
 }
--- a/crates/badgerwind-scale/src/rows/register/group.rs
+++ b/crates/badgerwind-scale/src/rows/register/group.rs
@@ -1,4 +1,5 @@
-//! A hollow group of the register: real nodes and the real codec, disks that take time, simulated ways between sites.
+//! A hollow group of register members: real nodes and the real codec over a simulated network, with voters'
+//! disks whose writes take time.
 
 use crate::rows::load::{PeakTraffic, ProcessorTimes, SAMPLE_INTERVAL};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND};
@@ -10,58 +11,59 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
 
-/// Longest time that a voter's disk takes for a write.
-const DISK: Micros = 4 * MILLISECOND;
-/// Bytes of a record's own content.
+/// Maximum duration of a disk write at a voter.
+const MAX_WRITE_TIME: Micros = 4 * MILLISECOND;
+/// Payload of a record, in bytes.
 const RECORD_BYTES: usize = 32;
-/// Most voters of a group.
-const VOTERS: usize = 5;
+/// Maximum number of voters in a group.
+const MAX_VOTERS: usize = 5;
 
-/// What members write.
+/// The records that members announce.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Records {
-    /// Nothing: members only renew their leases.
+pub enum RecordLoad {
+    /// None: members only renew their leases.
     None,
-    /// Each member one record in this time.
-    EachMember(Micros),
-    /// Members in turn, one record in this time over the whole group.
-    WholeGroup(Micros),
+    /// One record per interval from each member.
+    PerMember(Micros),
+    /// One record per interval from the whole group; the members take turns.
+    PerGroup(Micros),
 }
 
-/// A defect put in on purpose, to show that a check finds it.
+/// A defect injected by tests to show that a check detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
     /// Each renewal of a lease is a record in the log, which every member follows.
-    RenewalsAreRecords,
-    /// Each member says everything to every other member instead of the one that it is for.
-    EverythingToAll,
+    RenewalsInLog,
+    /// Each message is sent to all other members instead of its receiver alone.
+    BroadcastMessages,
 }
 
-/// Bytes that are no message: they are received and passed over.
-const UNREADABLE: u8 = 0xff;
+/// Fills the additional messages of [`Mutant::BroadcastMessages`]. A message of such bytes cannot be decoded;
+/// the receiver counts and discards it.
+const INVALID_BYTE: u8 = 0xff;
 
-/// What a group is like.
+/// Parameters of a group.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Members, voters among them.
+    /// Number of members, including the voters.
     pub members: usize,
-    /// What messages meet between them.
+    /// Delays and loss of the network.
     pub conditions: Conditions,
-    /// Seed of all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// What they write.
-    pub records: Records,
-    /// Entries that voters keep for members that are behind.
-    pub entries_kept: u64,
-    /// A defect.
+    /// The records that members announce.
+    pub record_load: RecordLoad,
+    /// Log entries that a voter retains for members that are behind.
+    pub retained_entries: u64,
+    /// The injected defect, if any.
     pub mutant: Option<Mutant>,
 }
 
-/// A part that only counts the records it is fed.
+/// A state machine that only counts the committed records.
 #[derive(Debug, Default)]
-struct Counting(u64);
+struct RecordCounter(u64);
 
-impl StateMachine for Counting {
+impl StateMachine for RecordCounter {
     fn announced(&mut self, _: Index, _: (Member, Incarnation), _: &[u8]) {
         self.0 += 1;
     }
@@ -70,280 +72,297 @@
         self.0.to_be_bytes().to_vec()
     }
     fn load(bytes: &[u8]) -> Option<Self> {
-        bytes.try_into().ok().map(|bytes| Counting(u64::from_be_bytes(bytes)))
+        bytes.try_into().ok().map(|bytes| RecordCounter(u64::from_be_bytes(bytes)))
     }
 }
 
-/// Names of a member's timers.
-const TICK: u32 = 0;
-const RECORD: u32 = 1;
-const WRITTEN: u32 = 2;
+/// Timer of the next tick.
+const TICK_TIMER: u32 = 0;
+/// Timer of the next record of a member under [`RecordLoad::PerMember`].
+const RECORD_TIMER: u32 = 1;
+/// Timer of the end of a disk write.
+const WRITE_TIMER: u32 = 2;
 
+/// A member with its simulated disk.
 struct Host {
-    node: Option<Node<Counting>>,
+    /// `None` while the member is not running.
+    node: Option<Node<RecordCounter>>,
     disk: MemoryDisk,
-    writing: Option<Write>,
+    /// The write in progress.
+    pending_write: Option<Write>,
 }
 
-/// A hollow group.
+/// A hollow group of register members.
 pub struct Group {
     plan: Plan,
-    terms: Settings,
+    settings: Settings,
     rng: StdRng,
     network: Network,
     hosts: Vec<Host>,
     next_writer: usize,
-    next_record: Micros,
-    incarnations_ended: BTreeSet<Incarnation>,
+    next_record_at: Micros,
+    ended_incarnations: BTreeSet<Incarnation>,
     peaks: PeakTraffic,
-    /// Processor time of members that are watched.
-    pub processor: ProcessorTimes,
+    /// Processor time of the tracked members.
+    pub processor_times: ProcessorTimes,
 }
 
-/// Voters are the first members: the network deals members out to different zones and regions in turn.
+/// The voters: an odd number of members, at most [`MAX_VOTERS`]. They are the first members, which the
+/// network assigns to different zones and regions.
 fn voters(members: usize) -> Vec<Member> {
-    let most = members.min(VOTERS);
-    let odd = most - (most + 1) % 2;
+    let max = members.min(MAX_VOTERS);
+    let odd = max - (max + 1) % 2;
     (0..odd).map(|n| n as Member).collect()
 }
 
 impl Group {
-    /// A group of which nobody runs yet.
+    /// Creates a group in which no member is running yet.
     pub fn new(plan: Plan) -> Group {
-        let terms =
-            Settings { retained_entries: plan.entries_kept, ..Settings::for_voters(voters(plan.members)) };
-        let conditions = Conditions { max_drift_ppm: u64::from(terms.drift_ppm), ..plan.conditions };
+        let settings = Settings {
+            retained_entries: plan.retained_entries,
+            ..Settings::for_voters(voters(plan.members))
+        };
+        let conditions = Conditions { max_drift_ppm: u64::from(settings.drift_ppm), ..plan.conditions };
         let network = Network::new(conditions, plan.members, plan.seed);
-        let host = |_| Host { node: None, disk: MemoryDisk::default(), writing: None };
+        let host = |_| Host { node: None, disk: MemoryDisk::default(), pending_write: None };
         Group {
-            terms,
+            settings,
             rng: StdRng::seed_from_u64(plan.seed ^ 0x5ca1e),
             peaks: PeakTraffic::new(&network),
             network,
             hosts: (0..plan.members).map(host).collect(),
             next_writer: 0,
-            next_record: 0,
-            incarnations_ended: BTreeSet::new(),
-            processor: ProcessorTimes::new(plan.members),
+            next_record_at: 0,
+            ended_incarnations: BTreeSet::new(),
+            processor_times: ProcessorTimes::new(plan.members),
             plan,
         }
     }
 
-    /// All members.
-    pub fn all(&self) -> Vec<usize> {
+    /// All members, running or not.
+    pub fn all_members(&self) -> Vec<usize> {
         (0..self.plan.members).collect()
     }
 
-    /// Those that vote.
+    /// The members that are voters.
     pub fn voters(&self) -> Vec<usize> {
-        self.terms.voters.iter().map(|voter| usize::from(*voter)).collect()
+        self.settings.voters.iter().map(|voter| usize::from(*voter)).collect()
     }
 
-    /// Those that do not.
+    /// The members that are not voters.
     pub fn followers(&self) -> Vec<usize> {
         let voters = self.voters();
         (0..self.plan.members).filter(|member| !voters.contains(member)).collect()
     }
 
-    /// The network between them.
-    pub fn network(&mut self) -> &mut Network {
+    /// The network of the group.
+    pub fn network_mut(&mut self) -> &mut Network {
         &mut self.network
     }
 
-    /// Starts members, voters with what is on their disks.
+    /// Starts members; voters read the state on their disks.
     pub fn start(&mut self, members: &[usize]) {
-        members.iter().for_each(|member| self.start_one(*member));
+        members.iter().for_each(|member| self.start_member(*member));
     }
 
-    fn start_one(&mut self, member: usize) {
+    fn start_member(&mut self, member: usize) {
         let number = member as Member;
         let now = self.network.local_time(member);
         let zone = self.network.location(member).zone as u8;
-        let setup = Setup { me: number, zone, seed: self.rng.random(), settings: self.terms.clone() };
+        let setup = Setup { me: number, zone, seed: self.rng.random(), settings: self.settings.clone() };
         let host = &mut self.hosts[member];
-        let node = if self.terms.voters.contains(&number) {
-            // What a simulated disk holds was written by a voter: it can be read.
-            let Ok(storage) = host.disk.read(&self.terms) else { return };
-            Node::voter(now, setup, storage, Counting::default())
+        let node = if self.settings.voters.contains(&number) {
+            // Reading does not fail, because a simulated disk holds only what a voter has written.
+            let Ok(storage) = host.disk.read(&self.settings) else { return };
+            Node::voter(now, setup, storage, RecordCounter::default())
         } else {
-            Node::follower(setup, Counting::default())
+            Node::follower(setup, RecordCounter::default())
         };
         host.node = node.ok();
-        host.writing = None;
+        host.pending_write = None;
         self.network.start(member);
-        let first_tick = self.rng.random_range(0..self.tick());
-        self.network.set_timer(member, TICK, now + first_tick);
-        if let Some(every) = self.each_member_writes() {
-            let first_record = self.rng.random_range(0..every);
-            self.network.set_timer(member, RECORD, now + first_record);
+        let first_tick = self.rng.random_range(0..self.tick_interval());
+        self.network.set_timer(member, TICK_TIMER, now + first_tick);
+        if let Some(interval) = self.record_interval_per_member() {
+            let first_record = self.rng.random_range(0..interval);
+            self.network.set_timer(member, RECORD_TIMER, now + first_record);
         }
     }
 
-    /// A process looks at its affairs twice in a tick of the terms, as `badgerwind-fleet` does.
-    fn tick(&self) -> Micros {
-        self.terms.tick / 2
+    /// Interval between inputs of time: half of the settings' tick, as in `badgerwind-fleet`.
+    fn tick_interval(&self) -> Micros {
+        self.settings.tick / 2
     }
 
-    fn each_member_writes(&self) -> Option<Micros> {
-        match (self.plan.mutant, self.plan.records) {
-            (Some(Mutant::RenewalsAreRecords), _) => Some(self.terms.heartbeat_interval),
-            (_, Records::EachMember(every)) => Some(every),
+    /// Interval between the records of each member; `None` if members have no timer for them.
+    fn record_interval_per_member(&self) -> Option<Micros> {
+        match (self.plan.mutant, self.plan.record_load) {
+            (Some(Mutant::RenewalsInLog), _) => Some(self.settings.heartbeat_interval),
+            (_, RecordLoad::PerMember(interval)) => Some(interval),
             _ => None,
         }
     }
 
-    /// Kills members; voters keep what is on their disks.
+    /// Stops members without notice. Voters keep their disks, without a write in progress.
     pub fn kill(&mut self, members: &[usize]) {
         for &member in members {
             self.hosts[member].node = None;
-            self.hosts[member].writing = None;
+            self.hosts[member].pending_write = None;
             self.network.stop(member);
         }
     }
 
-    /// Begins to count traffic and its busiest second anew.
-    pub fn begin_counts(&mut self) {
+    /// Resets the traffic counts and the peaks.
+    pub fn reset_counts(&mut self) {
         self.network.reset_counts();
         self.peaks = PeakTraffic::new(&self.network);
     }
 
-    /// The busiest second of each member since the counts began.
+    /// Peak traffic of each member since the last reset of the counts.
     pub fn peaks(&self) -> &PeakTraffic {
         &self.peaks
     }
 
-    /// Runs on for so long.
-    pub fn run(&mut self, span: Micros) {
-        let until = self.network.now() + span;
+    /// Advances the simulated time by a duration.
+    pub fn run(&mut self, duration: Micros) {
+        let until = self.network.now() + duration;
         while self.network.now() < until {
-            let slice = (self.network.now() / SAMPLE_INTERVAL + 1) * SAMPLE_INTERVAL;
-            self.run_until(slice.min(until));
-            if self.network.now() == slice {
+            let next_sample_at = (self.network.now() / SAMPLE_INTERVAL + 1) * SAMPLE_INTERVAL;
+            self.run_until(next_sample_at.min(until));
+            if self.network.now() == next_sample_at {
                 self.peaks.sample(&self.network);
             }
         }
     }
 
     fn run_until(&mut self, until: Micros) {
-        while let Records::WholeGroup(every) = self.plan.records {
-            if self.next_record > until {
+        while let RecordLoad::PerGroup(interval) = self.plan.record_load {
+            if self.next_record_at > until {
                 break;
             }
-            self.take_events(self.next_record);
-            self.next_record += every;
+            self.process_events(self.next_record_at);
+            self.next_record_at += interval;
             self.next_writer = (self.next_writer + 1) % self.plan.members;
-            self.write_record(self.next_writer);
+            self.announce_record(self.next_writer);
         }
-        self.take_events(until);
+        self.process_events(until);
     }
 
-    fn take_events(&mut self, until: Micros) {
+    fn process_events(&mut self, until: Micros) {
         while let Some(event) = self.network.next_event(until) {
             match event {
-                Event::Datagram { from, to, bytes } => self.arrive(from, to, &bytes),
-                Event::Timer { member, id } => self.timer(member, id),
+                Event::Datagram { from, to, bytes } => self.on_datagram(from, to, &bytes),
+                Event::Timer { member, id } => self.on_timer(member, id),
             }
         }
     }
 
-    /// Who leads, by its own view.
+    /// The first member that considers itself the leader.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |host: &Host| host.node.as_ref().is_some_and(|node| node.view().is_leader);
-        self.hosts.iter().position(leads)
+        let is_leader = |host: &Host| host.node.as_ref().is_some_and(|node| node.view().is_leader);
+        self.hosts.iter().position(is_leader)
     }
 
-    /// How many hold a lease at this moment.
-    pub fn leased(&self) -> usize {
-        let holds = |member: &usize| {
+    /// Number of members that currently hold a lease.
+    pub fn lease_holder_count(&self) -> usize {
+        let holds_lease = |member: &usize| {
             let now = self.network.local_time(*member);
             self.hosts[*member].node.as_ref().is_some_and(|node| node.live_incarnation(now).is_some())
         };
-        (0..self.plan.members).filter(holds).count()
+        (0..self.plan.members).filter(holds_lease).count()
     }
 
-    /// How many run.
-    pub fn running(&self) -> usize {
+    /// Number of running members.
+    pub fn running_count(&self) -> usize {
         self.hosts.iter().filter(|host| host.node.is_some()).count()
     }
 
-    /// Incarnations whose end any member has applied.
-    pub fn incarnations_ended(&self) -> usize {
-        self.incarnations_ended.len()
+    /// Number of incarnations whose end any member has applied.
+    pub fn ended_incarnation_count(&self) -> usize {
+        self.ended_incarnations.len()
     }
 
-    /// Takes a member's node out, to be weighed.
-    pub fn take(&mut self, member: usize) -> Option<impl Sized> {
+    /// Stops a member and returns its node, whose heap can then be measured.
+    pub fn take_node(&mut self, member: usize) -> Option<impl Sized> {
         self.network.stop(member);
         self.hosts[member].node.take()
     }
 
-    fn timer(&mut self, member: usize, name: u32) {
+    fn on_timer(&mut self, member: usize, id: u32) {
         let now = self.network.local_time(member);
-        match name {
-            TICK => {
-                self.network.set_timer(member, TICK, now + self.tick());
-                self.act(member, |node, now, out| node.handle(now, Input::Tick, out));
+        match id {
+            TICK_TIMER => {
+                self.network.set_timer(member, TICK_TIMER, now + self.tick_interval());
+                self.with_node(member, |node, now, out| node.handle(now, Input::Tick, out));
             }
-            RECORD => {
-                if let Some(every) = self.each_member_writes() {
-                    self.network.set_timer(member, RECORD, now + every);
+            RECORD_TIMER => {
+                if let Some(interval) = self.record_interval_per_member() {
+                    self.network.set_timer(member, RECORD_TIMER, now + interval);
                 }
-                self.write_record(member);
+                self.announce_record(member);
             }
             _ => {
                 let host = &mut self.hosts[member];
-                if let Some(write) = host.writing.take() {
+                if let Some(write) = host.pending_write.take() {
                     host.disk.write(&write);
                 }
-                self.act(member, |node, now, out| node.handle(now, Input::Written, out));
+                self.with_node(member, |node, now, out| node.handle(now, Input::Written, out));
             }
         }
     }
 
-    fn write_record(&mut self, member: usize) {
-        self.act(member, |node, now, out| {
-            // Refused without a lease: the next one has its chance.
+    fn announce_record(&mut self, member: usize) {
+        self.with_node(member, |node, now, out| {
+            // A member without a lease cannot announce; its record is skipped.
             let _ = node.announce(now, vec![7; RECORD_BYTES], out);
         });
     }
 
-    fn arrive(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        self.act(to, |node, now, out| {
+    fn on_datagram(&mut self, from: usize, to: usize, bytes: &[u8]) {
+        self.with_node(to, |node, now, out| {
             if let Some(message) = Message::decode(bytes) {
                 node.handle(now, Input::Received(from as Member, message), out);
             }
         });
     }
 
-    /// Lets a member act, with the codec inside what is metered.
-    fn act(&mut self, member: usize, act: impl FnOnce(&mut Node<Counting>, Micros, &mut Vec<Output>)) {
+    /// Calls a function with a member's node, if it is running, and performs the outputs. The processor time
+    /// includes the encoding and decoding of messages.
+    fn with_node(
+        &mut self,
+        member: usize,
+        call: impl FnOnce(&mut Node<RecordCounter>, Micros, &mut Vec<Output>),
+    ) {
         let now = self.network.local_time(member);
         let Some(node) = &mut self.hosts[member].node else { return };
-        let (mut out, mut sends, mut ended, mut writes) = (Vec::new(), Vec::new(), Vec::new(), None);
-        let meter = self.processor.start(member);
-        act(node, now, &mut out);
+        let (mut out, mut messages, mut ended, mut requested_write) =
+            (Vec::new(), Vec::new(), Vec::new(), None);
+        let meter = self.processor_times.start(member);
+        call(node, now, &mut out);
         for output in out {
             match output {
-                Output::Send(to, message) => sends.push((usize::from(to), kind(&message), message.encode())),
-                Output::Write(write) => writes = Some(write),
+                Output::Send(to, message) => {
+                    messages.push((usize::from(to), message_kind(&message), message.encode()));
+                }
+                Output::Write(write) => requested_write = Some(write),
                 Output::Event(_, LogEvent::Ended(_, incarnation)) => ended.push(incarnation),
                 Output::Event(..) | Output::IncarnationLost(_) | Output::UnknownRecordVersion(_) => {}
             }
         }
-        self.processor.stop(member, meter);
-        self.incarnations_ended.extend(ended);
-        if let Some(write) = writes {
-            let took = self.rng.random_range(0..=DISK);
-            self.hosts[member].writing = Some(write);
-            self.network.set_timer(member, WRITTEN, now + took);
+        self.processor_times.stop(member, meter);
+        self.ended_incarnations.extend(ended);
+        if let Some(write) = requested_write {
+            let write_time = self.rng.random_range(0..=MAX_WRITE_TIME);
+            self.hosts[member].pending_write = Some(write);
+            self.network.set_timer(member, WRITE_TIMER, now + write_time);
         }
-        sends.into_iter().for_each(|(to, kind, bytes)| self.send(member, to, kind, bytes));
+        messages.into_iter().for_each(|(to, kind, bytes)| self.send(member, to, kind, bytes));
     }
 
     fn send(&mut self, from: usize, to: usize, kind: &'static str, bytes: Vec<u8>) {
-        if self.plan.mutant == Some(Mutant::EverythingToAll) {
+        if self.plan.mutant == Some(Mutant::BroadcastMessages) {
             let others = (0..self.plan.members).filter(|other| *other != from && *other != to);
-            others.for_each(|other| self.network.send(from, other, kind, vec![UNREADABLE; bytes.len()]));
+            others.for_each(|other| self.network.send(from, other, kind, vec![INVALID_BYTE; bytes.len()]));
         }
         if to < self.hosts.len() {
             self.network.send(from, to, kind, bytes);
@@ -351,8 +370,8 @@
     }
 }
 
-/// A message's kind, for counts.
-fn kind(message: &Message) -> &'static str {
+/// Kind under which a message's traffic is counted.
+fn message_kind(message: &Message) -> &'static str {
     match message {
         Message::Raft(_) => "raft",
         Message::Renew { .. } => "renew",
