--- a/crates/badgerwind-scale/src/rows/budgets.rs
+++ b/crates/badgerwind-scale/src/rows/budgets.rs
@@ -1,4 +1,5 @@
-//! Rows of the budgets: what a member, a voter and the lease coordinator cost in a steady group, and in its bad hours.
+//! Rows of the budgets: the cost of a member, a voter and the lease coordinator in a steady group and after
+//! faults.
 
 pub mod group;
 
@@ -10,135 +11,139 @@
 use crate::rows::network::{Area, Micros, TrafficCount, MILLISECOND, REGIONS, SECOND};
 use group::{Group, Plan};
 
-/// What a datagram between front ends adds to a message: number (4), counter (8) and tag (16).
-pub const FRAME: f64 = 28.0;
-
-/// Longest time in which all members must own units after the start.
-const SETTLE: Micros = 60 * SECOND;
-/// Time after that before anything is counted.
-const QUIET: Micros = 3 * SECOND;
-/// Time in which a steady group is measured.
-const WINDOW: Micros = 6 * SECOND;
-/// Members whose processor time and heap are measured.
-const WATCHED: usize = 8;
-/// Bytes of a hollow member, about, and of a unit at the coordinator.
+/// Bytes that a datagram between front ends adds to each message: the sender's number (4), the counter (8)
+/// and the tag (16).
+pub const FRAME_BYTES: f64 = 28.0;
+
+/// Time limit for the members to own units after the start.
+const SETTLE_TIMEOUT: Micros = 60 * SECOND;
+/// Additional time before the counts of a settled group begin.
+const QUIET_TIME: Micros = 3 * SECOND;
+/// Time over which a steady group is measured.
+const MEASUREMENT_TIME: Micros = 6 * SECOND;
+/// Number of members whose processor time and heap are measured.
+const SAMPLED_MEMBERS: usize = 8;
+/// Estimated heap per budget of a hollow member and of its units at the coordinator, in bytes.
 const MEMBER_BYTES: u64 = 8_000;
-/// Share of running members, in hundredths, that must own units.
-const SHARE: usize = 99;
+/// Percentage of the running members that must own units.
+const OWNER_PERCENT: usize = 99;
 
-fn bytes_needed(members: u64, budgets: u64) -> u64 {
+fn estimated_heap_bytes(members: u64, budgets: u64) -> u64 {
     members * MEMBER_BYTES * budgets
 }
 
-/// What the three roles cost in a steady group.
+/// Costs of the three roles in a steady group.
 #[derive(Debug, Clone, Copy)]
-pub struct SteadyLoads {
-    /// The mean member that neither votes nor coordinates.
+pub struct SteadyCosts {
+    /// Mean cost of a member that is neither a voter nor the coordinator.
     pub member: MemberCost,
-    /// The mean voter that is not coordinator.
+    /// Mean cost of a voter that is not the coordinator.
     pub voter: MemberCost,
-    /// The lease coordinator.
+    /// Cost of the lease coordinator.
     pub coordinator: MemberCost,
 }
 
 /// Starts a group and runs it until nearly all members own units.
-pub fn settled(plan: Plan, row: &'static str) -> Result<Group, ScaleError> {
+pub fn start_settled(plan: Plan, row: &'static str) -> Result<Group, ScaleError> {
     let members = plan.members;
     let mut group = Group::new(plan);
-    group.start(&group.all());
-    let mut passed = 0;
-    while group.owning() * 100 < members * SHARE {
-        if passed >= SETTLE {
-            let reason = format!("{} of {members} members own units after {SETTLE} us", group.owning());
+    group.start(&group.all_members());
+    let mut elapsed = 0;
+    while group.owner_count() * 100 < members * OWNER_PERCENT {
+        if elapsed >= SETTLE_TIMEOUT {
+            let owners = group.owner_count();
+            let reason = format!("{owners} of {members} members own units after {SETTLE_TIMEOUT} us");
             return Err(ScaleError::NotSettled { row, size: members as u64, reason });
         }
         group.run(100 * MILLISECOND);
-        passed += 100 * MILLISECOND;
+        elapsed += 100 * MILLISECOND;
     }
-    group.run(QUIET);
+    group.run(QUIET_TIME);
     Ok(group)
 }
 
-/// Measures a steady group.
-pub fn steady(plan: Plan, window: Micros, row: &'static str) -> Result<SteadyLoads, ScaleError> {
+/// Measures a steady group over a duration.
+pub fn measure_steady(plan: Plan, duration: Micros, row: &'static str) -> Result<SteadyCosts, ScaleError> {
     let size = plan.members as u64;
-    let mut group = settled(plan, row)?;
+    let mut group = start_settled(plan, row)?;
     let not_settled = |reason: &str| ScaleError::NotSettled { row, size, reason: reason.into() };
-    let coordinator = group.coordinator().ok_or_else(|| not_settled("nobody is coordinator"))?;
-    let members: Vec<usize> = group.others().into_iter().filter(|member| *member != coordinator).collect();
+    let coordinator = group.coordinator().ok_or_else(|| not_settled("there is no coordinator"))?;
+    let members: Vec<usize> =
+        group.non_voters().into_iter().filter(|member| *member != coordinator).collect();
     let voters: Vec<usize> = group.voters().into_iter().filter(|voter| *voter != coordinator).collect();
-    let sample: Vec<usize> = members.iter().copied().take(WATCHED).collect();
-    let watched = [&sample[..], &voters[..], &[coordinator][..]].concat();
-    group.begin_counts();
-    group.processor.track(&watched);
-    group.run(window);
+    let sample: Vec<usize> = members.iter().copied().take(SAMPLED_MEMBERS).collect();
+    let tracked = [&sample[..], &voters[..], &[coordinator][..]].concat();
+    group.reset_counts();
+    group.processor_times.track(&tracked);
+    group.run(duration);
     if group.coordinator() != Some(coordinator) {
-        return Err(not_settled("another coordinator was elected while it was measured"));
+        return Err(not_settled("another coordinator was elected during the measurement"));
     }
-    let seconds = window as f64 / SECOND as f64;
-    let counts = counts(&mut group, &members, seconds);
-    let member = mean_cost(&loads(&mut group, &sample, seconds));
-    Ok(SteadyLoads {
-        member: MemberCost { messages: counts.messages, bytes: counts.bytes, ..member },
-        voter: mean_cost(&loads(&mut group, &voters, seconds)),
-        coordinator: mean_cost(&loads(&mut group, &[coordinator], seconds)),
+    let seconds = duration as f64 / SECOND as f64;
+    let traffic = mean_traffic(&mut group, &members, seconds);
+    let member = mean_cost(&take_costs(&mut group, &sample, seconds));
+    Ok(SteadyCosts {
+        member: MemberCost { messages: traffic.messages, bytes: traffic.bytes, ..member },
+        voter: mean_cost(&take_costs(&mut group, &voters, seconds)),
+        coordinator: mean_cost(&take_costs(&mut group, &[coordinator], seconds)),
     })
 }
 
-/// Mean messages and bytes a second over all of these.
-fn counts(group: &mut Group, members: &[usize], seconds: f64) -> MemberCost {
-    let load = |member: &usize| {
-        let TrafficCount { messages, bytes } = group.network().traffic(*member);
+/// Mean messages and bytes a second of these members; the processor time and the heap are 0.
+fn mean_traffic(group: &mut Group, members: &[usize], seconds: f64) -> MemberCost {
+    let traffic = |member: &usize| {
+        let TrafficCount { messages, bytes } = group.network_mut().traffic(*member);
         MemberCost {
             messages: messages as f64 / seconds,
             bytes: bytes as f64 / seconds,
             ..MemberCost::default()
         }
     };
-    mean_cost(&members.iter().map(load).collect::<Vec<_>>())
+    mean_cost(&members.iter().map(traffic).collect::<Vec<_>>())
 }
 
-/// The loads of these; their nodes are taken out and weighed.
-fn loads(group: &mut Group, members: &[usize], seconds: f64) -> Vec<MemberCost> {
-    let load = |member: &usize| {
-        let counted = counts(group, &[*member], seconds);
-        let processor = group.processor.microseconds(*member) / seconds;
-        let heap = group.take(*member).map_or(0.0, heap_bytes);
-        MemberCost { processor, heap, ..counted }
+/// The cost of each of these members. Removes their nodes from the group to measure the heap.
+fn take_costs(group: &mut Group, members: &[usize], seconds: f64) -> Vec<MemberCost> {
+    let cost = |member: &usize| {
+        let traffic = mean_traffic(group, &[*member], seconds);
+        let processor = group.processor_times.microseconds(*member) / seconds;
+        let heap = group.take_node(*member).map_or(0.0, heap_bytes);
+        MemberCost { processor, heap, ..traffic }
     };
-    members.iter().map(load).collect()
+    members.iter().map(cost).collect()
 }
 
-const MEMBER: CostMetrics = cost_metrics!("member");
-const VOTER: CostMetrics = cost_metrics!("voter");
-const COORDINATOR: CostMetrics = cost_metrics!("coordinator");
+const MEMBER_METRICS: CostMetrics = cost_metrics!("member");
+const VOTER_METRICS: CostMetrics = cost_metrics!("voter");
+const COORDINATOR_METRICS: CostMetrics = cost_metrics!("coordinator");
 
-/// Figures and bounds of all three roles.
-fn steady_measurements(loads: &SteadyLoads) -> Vec<Measurement> {
-    let mut figures = MEMBER.measurements(&loads.member, FRAME);
-    figures.extend(VOTER.measurements(&loads.voter, FRAME));
-    figures.extend(COORDINATOR.measurements(&loads.coordinator, FRAME));
-    figures
+/// Measurements of all three roles.
+fn steady_measurements(costs: &SteadyCosts) -> Vec<Measurement> {
+    let mut measurements = MEMBER_METRICS.measurements(&costs.member, FRAME_BYTES);
+    measurements.extend(VOTER_METRICS.measurements(&costs.voter, FRAME_BYTES));
+    measurements.extend(COORDINATOR_METRICS.measurements(&costs.coordinator, FRAME_BYTES));
+    measurements
 }
 
-/// Coordinators and voters are front ends or control machines: the looser bound is the latter's.
+/// Bounds of all three roles. Voters and coordinators are front ends or control machines, so that the looser
+/// bounds of a control machine apply to them.
 fn steady_bounds() -> Vec<Bound> {
     let control_machines =
-        [VOTER, COORDINATOR].into_iter().flat_map(|metrics| metrics.control_machine_bounds());
-    MEMBER.front_end_bounds().into_iter().chain(control_machines).collect()
+        [VOTER_METRICS, COORDINATOR_METRICS].into_iter().flat_map(|metrics| metrics.control_machine_bounds());
+    MEMBER_METRICS.front_end_bounds().into_iter().chain(control_machines).collect()
 }
 
-/// A group without defects.
+/// Parameters of a group over all regions without an injected defect.
 pub fn plan(members: u64, budgets: usize, seed: u64) -> Plan {
     Plan { members: members as usize, budgets, conditions: all_regions(), seed, mutant: None }
 }
 
-/// A steady group, by its members.
+/// A row that measures a steady group by its number of members.
 #[derive(Debug)]
-pub struct Steady;
+pub struct SteadyRow;
 
-/// One budget.
-pub const STEADY: Steady = Steady;
+/// A steady group with one budget.
+pub const STEADY: SteadyRow = SteadyRow;
 
 /// All rows of budgets.
 pub fn rows() -> Vec<Box<dyn Row>> {
@@ -148,12 +153,12 @@
         Box::new(RESTART_TENTH),
         Box::new(RACK_LOST),
         Box::new(ZONE_LOST),
-        Box::new(REGION_APART),
+        Box::new(REGION_ISOLATED),
         Box::new(COORDINATOR_LOST),
     ]
 }
 
-impl Row for Steady {
+impl Row for SteadyRow {
     fn name(&self) -> &'static str {
         "budgets-steady"
     }
@@ -161,7 +166,8 @@
         Role::LeaseCoordinator
     }
     fn about(&self) -> &'static str {
-        "one budget, one coordinator for all members over seven regions, each member asks every 300 ms"
+        "one budget, one coordinator for all members over seven regions, each member sends a lease request \
+         every 300 ms"
     }
     fn variable(&self) -> &'static str {
         "members of the group"
@@ -176,25 +182,25 @@
         steady_bounds()
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        bytes_needed(size, 1)
+        estimated_heap_bytes(size, 1)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let loads = steady(plan(size, 1, seed), WINDOW, self.name())?;
-        Ok(steady_measurements(&loads))
+        let costs = measure_steady(plan(size, 1, seed), MEASUREMENT_TIME, self.name())?;
+        Ok(steady_measurements(&costs))
     }
 }
 
-/// A steady group of one control machine's share, by the number of budgets that run at once.
+/// A row that measures a steady group of one control machine's front ends by its number of budgets.
 #[derive(Debug)]
-pub struct ByBudgets;
+pub struct ByBudgetsRow;
 
-/// 314 members.
-pub const BY_BUDGETS: ByBudgets = ByBudgets;
+/// A steady group of 314 members with several budgets.
+pub const BY_BUDGETS: ByBudgetsRow = ByBudgetsRow;
 
-/// Front ends of one of 35 control machines.
-const SHARE_OF_A_CONTROL_MACHINE: u64 = 314;
+/// Front ends per control machine, of which the planned fleet has 35.
+const FRONT_ENDS_PER_CONTROL_MACHINE: u64 = 314;
 
-impl Row for ByBudgets {
+impl Row for ByBudgetsRow {
     fn name(&self) -> &'static str {
         "budgets-by-budgets"
     }
@@ -202,7 +208,8 @@
         Role::LeaseCoordinator
     }
     fn about(&self) -> &'static str {
-        "314 members over seven regions, by budgets that run at once; 16 is an assumption, the settings allow 256"
+        "314 members over seven regions, by the number of simultaneous budgets; 16 is an assumption, the \
+         settings allow 256"
     }
     fn variable(&self) -> &'static str {
         "budgets"
@@ -217,171 +224,176 @@
         steady_bounds()
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        bytes_needed(SHARE_OF_A_CONTROL_MACHINE, size)
+        estimated_heap_bytes(FRONT_ENDS_PER_CONTROL_MACHINE, size)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let plan = plan(SHARE_OF_A_CONTROL_MACHINE, size as usize, seed);
-        let loads = steady(plan, WINDOW, self.name())?;
-        Ok(steady_measurements(&loads))
+        let plan = plan(FRONT_ENDS_PER_CONTROL_MACHINE, size as usize, seed);
+        let costs = measure_steady(plan, MEASUREMENT_TIME, self.name())?;
+        Ok(steady_measurements(&costs))
     }
 }
 
-/// What befalls a group.
+/// A fault of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hour {
-    /// A tenth of the members, none of them a voter, are killed and start again together a second later.
+pub enum Fault {
+    /// A tenth of the members, none of them a voter, are killed and restart together one second later.
     RestartTenth,
-    /// Twenty members, or a tenth of a small group, are lost for good.
+    /// Twenty members, or a tenth of a small group, are killed and do not restart.
     RackLost,
-    /// One of 21 zones, with a voter in it, is lost for ten seconds; then its members start together.
+    /// The members of one of 21 zones, including a voter, are killed and restart together after ten seconds.
     ZoneLost,
-    /// One of seven regions is cut off for longer than all its leases, and together again.
-    RegionApart,
-    /// The coordinator is lost for good.
+    /// One of seven regions is partitioned from the others for longer than all its leases and reconnected.
+    RegionIsolated,
+    /// The coordinator is killed and does not restart.
     CoordinatorLost,
 }
 
 /// Members of a rack.
-const RACK: usize = 20;
-/// Time for which a zone or a region is away.
-const AWAY: Micros = 10 * SECOND;
-/// Time that is watched after a fault, or after its end.
-const WATCH: Micros = 15 * SECOND;
-/// Between two looks at who owns units.
-const LOOK: Micros = 100 * MILLISECOND;
-
-/// What a bad hour came to.
+const RACK_MEMBERS: usize = 20;
+/// Duration of the loss of a zone or of the isolation of a region.
+const OUTAGE: Micros = 10 * SECOND;
+/// Time over which a group is observed after a fault or after its end.
+const OBSERVATION_TIME: Micros = 15 * SECOND;
+/// Interval at which the owners of units are counted.
+const POLL_INTERVAL: Micros = 100 * MILLISECOND;
+
+/// The observed effect of a fault.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct HourSeen {
-    /// The most at the coordinator, or at any voter, in one second.
-    pub coordinator: TrafficCount,
-    /// The most at any other member in one second.
-    pub member: TrafficCount,
-    /// Seconds from the last step of the fault until 99 of 100 of those that run own units for good.
-    pub until_owning: f64,
+pub struct FaultEffect {
+    /// Peak traffic of the coordinator or of any voter in one second.
+    pub coordinator_peak: TrafficCount,
+    /// Peak traffic of any other member in one second.
+    pub member_peak: TrafficCount,
+    /// Seconds from the last step of the fault to the last poll at which fewer than 99% of the running
+    /// members owned units.
+    pub seconds_until_owning: f64,
     /// Seconds from the fault until there is a coordinator.
-    pub until_coordinator: f64,
+    pub seconds_until_coordinator: f64,
 }
 
-/// Plays a bad hour.
-pub fn play(hour: Hour, plan: Plan, row: &'static str) -> Result<HourSeen, ScaleError> {
-    let mut group = settled(plan, row)?;
-    group.begin_counts();
-    let others = group.others();
-    let tenth = others.len().div_ceil(10);
-    let (until_owning, until_coordinator) = match hour {
-        Hour::RestartTenth => {
-            let some = &others[..tenth];
-            group.kill(some);
+/// Simulates a fault and observes its effect.
+pub fn run_fault(fault: Fault, plan: Plan, row: &'static str) -> Result<FaultEffect, ScaleError> {
+    let mut group = start_settled(plan, row)?;
+    group.reset_counts();
+    let non_voters = group.non_voters();
+    let tenth = non_voters.len().div_ceil(10);
+    let (seconds_until_owning, seconds_until_coordinator) = match fault {
+        Fault::RestartTenth => {
+            let members = &non_voters[..tenth];
+            group.kill(members);
             group.run(SECOND);
-            group.start(some);
-            watch(&mut group, WATCH)
+            group.start(members);
+            observe(&mut group, OBSERVATION_TIME)
         }
-        Hour::RackLost => {
-            group.kill(&others[..RACK.min(tenth)]);
-            watch(&mut group, WATCH)
+        Fault::RackLost => {
+            group.kill(&non_voters[..RACK_MEMBERS.min(tenth)]);
+            observe(&mut group, OBSERVATION_TIME)
         }
-        Hour::ZoneLost => {
-            let zone = group.network().members_in(Area::Zone(0));
+        Fault::ZoneLost => {
+            let zone = group.network_mut().members_in(Area::Zone(0));
             group.kill(&zone);
-            let lost = watch(&mut group, AWAY);
+            let during_outage = observe(&mut group, OUTAGE);
             group.start(&zone);
-            (watch(&mut group, WATCH).0, lost.1)
+            (observe(&mut group, OBSERVATION_TIME).0, during_outage.1)
         }
-        Hour::RegionApart => {
-            isolate_region(group.network(), REGIONS - 1);
-            group.run(AWAY);
-            group.network().heal();
-            watch(&mut group, WATCH)
+        Fault::RegionIsolated => {
+            isolate_region(group.network_mut(), REGIONS - 1);
+            group.run(OUTAGE);
+            group.network_mut().heal();
+            observe(&mut group, OBSERVATION_TIME)
         }
-        Hour::CoordinatorLost => {
-            let lost: Vec<usize> = group.coordinator().into_iter().collect();
-            group.kill(&lost);
-            watch(&mut group, WATCH)
+        Fault::CoordinatorLost => {
+            let coordinator: Vec<usize> = group.coordinator().into_iter().collect();
+            group.kill(&coordinator);
+            observe(&mut group, OBSERVATION_TIME)
         }
     };
     let coordinators: Vec<usize> = group.voters().into_iter().chain(group.coordinator()).collect();
-    let members: Vec<usize> = others.into_iter().filter(|member| !coordinators.contains(member)).collect();
-    Ok(HourSeen {
-        coordinator: group.peaks().max_among(&coordinators),
-        member: group.peaks().max_among(&members),
-        until_owning,
-        until_coordinator,
+    let members: Vec<usize> =
+        non_voters.into_iter().filter(|member| !coordinators.contains(member)).collect();
+    Ok(FaultEffect {
+        coordinator_peak: group.peaks().max_among(&coordinators),
+        member_peak: group.peaks().max_among(&members),
+        seconds_until_owning,
+        seconds_until_coordinator,
     })
 }
 
-/// Seconds until the last look at which fewer than 99 of 100 owned units, and until the first with a coordinator.
-fn watch(group: &mut Group, span: Micros) -> (f64, f64) {
-    let (mut owning, mut coordinator) = (0, None);
-    for look in 1..=span / LOOK {
-        group.run(LOOK);
-        if group.owning() * 100 < group.running() * SHARE {
-            owning = look;
+/// Runs a group for a duration and polls it. Returns the seconds until the last poll at which fewer than 99%
+/// of the running members owned units, and until the first poll at which there was a coordinator.
+fn observe(group: &mut Group, duration: Micros) -> (f64, f64) {
+    let (mut last_unowned_poll, mut first_coordinator_poll) = (0, None);
+    for poll in 1..=duration / POLL_INTERVAL {
+        group.run(POLL_INTERVAL);
+        if group.owner_count() * 100 < group.running_count() * OWNER_PERCENT {
+            last_unowned_poll = poll;
         }
-        if coordinator.is_none() && group.coordinator().is_some() {
-            coordinator = Some(look);
+        if first_coordinator_poll.is_none() && group.coordinator().is_some() {
+            first_coordinator_poll = Some(poll);
         }
     }
-    // No look tells less than the time to the first.
-    let seconds = |looks: u64| (looks.max(1) * LOOK) as f64 / SECOND as f64;
-    (seconds(owning), seconds(coordinator.unwrap_or(span / LOOK)))
+    // Times shorter than one poll interval cannot be observed.
+    let seconds = |polls: u64| (polls.max(1) * POLL_INTERVAL) as f64 / SECOND as f64;
+    (seconds(last_unowned_poll), seconds(first_coordinator_poll.unwrap_or(duration / POLL_INTERVAL)))
 }
 
-const COORDINATOR_MESSAGES: Metric =
+const COORDINATOR_PEAK_MESSAGES: Metric =
     Metric { name: "coordinator, messages in its busiest second", unit: "messages/s" };
-const COORDINATOR_BYTES: Metric = Metric { name: "coordinator, bytes in its busiest second", unit: "B/s" };
-const MEMBER_MESSAGES: Metric =
+const COORDINATOR_PEAK_BYTES: Metric =
+    Metric { name: "coordinator, bytes in its busiest second", unit: "B/s" };
+const MEMBER_PEAK_MESSAGES: Metric =
     Metric { name: "busiest member, messages in its busiest second", unit: "messages/s" };
-const MEMBER_BYTES_BUSIEST: Metric =
-    Metric { name: "busiest member, bytes in its busiest second", unit: "B/s" };
+const MEMBER_PEAK_BYTES: Metric = Metric { name: "busiest member, bytes in its busiest second", unit: "B/s" };
 const UNTIL_OWNING: Metric = Metric { name: "until 99 of 100 own units", unit: "s" };
 const UNTIL_COORDINATOR: Metric = Metric { name: "until a coordinator", unit: "s" };
 
-/// A bad hour of a group.
+/// A row that measures the effect of a fault on a group.
 #[derive(Debug)]
-pub struct BadHour {
+pub struct FaultRow {
     name: &'static str,
     about: &'static str,
-    hour: Hour,
+    fault: Fault,
 }
 
-/// A tenth restarts at once.
-pub const RESTART_TENTH: BadHour = BadHour {
+/// A tenth of the members is killed and restarts.
+pub const RESTART_TENTH: FaultRow = FaultRow {
     name: "budgets-restart-tenth",
-    about: "one budget over seven regions, a tenth of the members killed and started together 1 s later",
-    hour: Hour::RestartTenth,
+    about: "one budget over seven regions, a tenth of the members killed and restarted together 1 s later",
+    fault: Fault::RestartTenth,
 };
 
-/// A rack lost.
-pub const RACK_LOST: BadHour = BadHour {
+/// A rack is lost permanently.
+pub const RACK_LOST: FaultRow = FaultRow {
     name: "budgets-rack-lost",
-    about: "one budget over seven regions, 20 members (a tenth below 200) lost for good",
-    hour: Hour::RackLost,
+    about: "one budget over seven regions, 20 members (a tenth of a group below 200) lost permanently",
+    fault: Fault::RackLost,
 };
 
-/// A zone lost and back.
-pub const ZONE_LOST: BadHour = BadHour {
+/// A zone is lost and restarts.
+pub const ZONE_LOST: FaultRow = FaultRow {
     name: "budgets-zone-lost",
-    about: "one budget over seven regions, one of 21 zones with a voter lost for 10 s, its members start together",
-    hour: Hour::ZoneLost,
+    about:
+        "one budget over seven regions, one of 21 zones with a voter lost for 10 s, its members restarted \
+         together",
+    fault: Fault::ZoneLost,
 };
 
-/// A region apart and together again.
-pub const REGION_APART: BadHour = BadHour {
+/// A region is partitioned from the others and reconnected.
+pub const REGION_ISOLATED: FaultRow = FaultRow {
     name: "budgets-region-apart",
-    about:
-        "one budget over seven regions, one region cut off for 10 s (three leases; an hour is no different)",
-    hour: Hour::RegionApart,
+    about: "one budget over seven regions, one region cut off for 10 s (three leases; an hour has the same \
+         effect)",
+    fault: Fault::RegionIsolated,
 };
 
-/// The coordinator lost.
-pub const COORDINATOR_LOST: BadHour = BadHour {
+/// The coordinator is lost permanently.
+pub const COORDINATOR_LOST: FaultRow = FaultRow {
     name: "budgets-coordinator-lost",
-    about: "one budget over seven regions, the coordinator lost for good",
-    hour: Hour::CoordinatorLost,
+    about: "one budget over seven regions, the coordinator lost permanently",
+    fault: Fault::CoordinatorLost,
 };
 
-impl Row for BadHour {
+impl Row for FaultRow {
     fn name(&self) -> &'static str {
         self.name
     }
@@ -402,27 +414,31 @@
     }
     fn bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: COORDINATOR_BYTES, max: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
             Bound {
-                metric: MEMBER_BYTES_BUSIEST,
+                metric: COORDINATOR_PEAK_BYTES,
+                max: 125_000_000.0,
+                source: "a link of 1 Gbit/s (assumed)",
+            },
+            Bound {
+                metric: MEMBER_PEAK_BYTES,
                 max: 6_144.0,
                 source: "6 KB a second for control, in and out",
             },
         ]
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        bytes_needed(size, 1)
+        estimated_heap_bytes(size, 1)
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let seen = play(self.hour, plan(size, 1, seed), self.name)?;
-        let figure = |metric, value| Measurement { metric, value };
+        let effect = run_fault(self.fault, plan(size, 1, seed), self.name)?;
+        let measurement = |metric, value| Measurement { metric, value };
         Ok(vec![
-            figure(COORDINATOR_MESSAGES, seen.coordinator.messages as f64),
-            figure(COORDINATOR_BYTES, seen.coordinator.bytes as f64),
-            figure(MEMBER_MESSAGES, seen.member.messages as f64),
-            figure(MEMBER_BYTES_BUSIEST, seen.member.bytes as f64),
-            figure(UNTIL_OWNING, seen.until_owning),
-            figure(UNTIL_COORDINATOR, seen.until_coordinator),
+            measurement(COORDINATOR_PEAK_MESSAGES, effect.coordinator_peak.messages as f64),
+            measurement(COORDINATOR_PEAK_BYTES, effect.coordinator_peak.bytes as f64),
+            measurement(MEMBER_PEAK_MESSAGES, effect.member_peak.messages as f64),
+            measurement(MEMBER_PEAK_BYTES, effect.member_peak.bytes as f64),
+            measurement(UNTIL_OWNING, effect.seconds_until_owning),
+            measurement(UNTIL_COORDINATOR, effect.seconds_until_coordinator),
         ])
     }
 }
--- a/crates/badgerwind-scale/src/rows/budgets/group.rs
+++ b/crates/badgerwind-scale/src/rows/budgets/group.rs
@@ -1,4 +1,4 @@
-//! A hollow group of the budgets: real nodes and the real codec over simulated ways between sites.
+//! A hollow group of members that share budgets: real nodes and the real codec over a simulated network.
 
 use crate::rows::load::{PeakTraffic, ProcessorTimes, SAMPLE_INTERVAL};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND, SECOND};
@@ -6,73 +6,78 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Voters of a group, where it has as many members.
-const VOTERS: usize = 5;
-/// Units of a budget for each member, and the most that the settings allow.
-const UNITS_EACH: usize = 4;
-const UNITS_MOST: usize = 60_000;
-/// The window of a budget's rate.
-const WINDOW: Micros = SECOND;
-/// How often a member's demand changes.
-const DEMAND_CHANGES: Micros = SECOND;
-/// A member's demand, drawn between these parts in 4 of its even part.
+/// Maximum number of voters in a group.
+const MAX_VOTERS: usize = 5;
+/// Units of a budget per member.
+const UNITS_PER_MEMBER: usize = 4;
+/// Maximum number of units of a budget that the settings allow.
+const MAX_UNITS: usize = 60_000;
+/// Window of a budget's rate limit, which is the cooldown of its units.
+const RATE_WINDOW: Micros = SECOND;
+/// Interval at which a member's demand changes.
+const DEMAND_INTERVAL: Micros = SECOND;
+/// Range from which a member's demand is drawn, in quarters of an even share of the units.
 const DEMAND_QUARTERS: (usize, usize) = (2, 8);
 
-/// A defect put in on purpose, to show that a check finds it.
+/// A defect injected by tests to show that a check detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// Each member says everything to every other member instead of the one that it is for.
-    EverythingToAll,
+    /// Each message is sent to all other members instead of its receiver alone.
+    BroadcastMessages,
 }
 
-/// Bytes that are no message: they are received and passed over.
-const UNREADABLE: u8 = 0xff;
+/// Fills the additional messages of [`Mutant::BroadcastMessages`]. A message of such bytes cannot be decoded;
+/// the receiver counts and discards it.
+const INVALID_BYTE: u8 = 0xff;
 
-/// What a group is like.
+/// Parameters of a group.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Members, voters among them.
+    /// Number of members, including the voters.
     pub members: usize,
-    /// Budgets that they divide.
+    /// Number of budgets that the members share.
     pub budgets: usize,
-    /// What messages meet between them.
+    /// Delays and loss of the network.
     pub conditions: Conditions,
-    /// Seed of all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// A defect.
+    /// The injected defect, if any.
     pub mutant: Option<Mutant>,
 }
 
-/// The one timer of a member.
-const TICK: u32 = 0;
+/// Timer of the next tick, the only timer of a member.
+const TICK_TIMER: u32 = 0;
 
+/// A member with its state in the simulation.
 struct Host {
+    /// `None` while the member is not running.
     node: Option<Node>,
-    /// Its incarnation, counted up at each start.
+    /// Incremented at each start.
     incarnation: u64,
-    demand_changes: Micros,
+    /// When the demand changes next, by the member's clock.
+    next_demand_at: Micros,
 }
 
-/// A hollow group.
+/// A hollow group of members that share budgets.
 pub struct Group {
     plan: Plan,
-    terms: LeaseSettings,
-    book: LimitSet,
+    settings: LeaseSettings,
+    limit_set: LimitSet,
     rng: StdRng,
     network: Network,
     hosts: Vec<Host>,
     peaks: PeakTraffic,
-    /// Processor time of members that are watched.
-    pub processor: ProcessorTimes,
+    /// Processor time of the tracked members.
+    pub processor_times: ProcessorTimes,
 }
 
-/// Voters are the first members: the network deals members out to different zones and regions in turn.
+/// The voters: the first members, which the network assigns to different zones and regions.
 fn voters(members: usize) -> Vec<Member> {
-    (0..members.min(VOTERS)).map(|n| n as Member).collect()
+    (0..members.min(MAX_VOTERS)).map(|n| n as Member).collect()
 }
 
-/// Terms with the times that the settings have by default.
-fn terms(voters: Vec<Member>) -> LeaseSettings {
+/// Settings with the default times.
+fn lease_settings(voters: Vec<Member>) -> LeaseSettings {
     LeaseSettings {
         voters,
         vote: SECOND,
@@ -84,62 +89,62 @@
 }
 
 impl Group {
-    /// A group of which nobody runs yet.
+    /// Creates a group in which no member is running yet.
     pub fn new(plan: Plan) -> Group {
-        let terms = terms(voters(plan.members));
-        let units = (plan.members * UNITS_EACH).min(UNITS_MOST) as Unit;
-        let limit = Limit { units, floor: 0, members: plan.members as Member, cooldown: WINDOW };
-        let conditions = Conditions { max_drift_ppm: u64::from(terms.drift_ppm), ..plan.conditions };
+        let settings = lease_settings(voters(plan.members));
+        let units = (plan.members * UNITS_PER_MEMBER).min(MAX_UNITS) as Unit;
+        let limit = Limit { units, floor: 0, members: plan.members as Member, cooldown: RATE_WINDOW };
+        let conditions = Conditions { max_drift_ppm: u64::from(settings.drift_ppm), ..plan.conditions };
         let network = Network::new(conditions, plan.members, plan.seed);
-        let host = |_| Host { node: None, incarnation: 0, demand_changes: 0 };
+        let host = |_| Host { node: None, incarnation: 0, next_demand_at: 0 };
         Group {
-            terms,
-            book: LimitSet { version: 1, limits: vec![limit; plan.budgets] },
+            settings,
+            limit_set: LimitSet { version: 1, limits: vec![limit; plan.budgets] },
             rng: StdRng::seed_from_u64(plan.seed ^ 0xb0d9e7),
             peaks: PeakTraffic::new(&network),
             network,
             hosts: (0..plan.members).map(host).collect(),
-            processor: ProcessorTimes::new(plan.members),
+            processor_times: ProcessorTimes::new(plan.members),
             plan,
         }
     }
 
-    /// All members.
-    pub fn all(&self) -> Vec<usize> {
+    /// All members, running or not.
+    pub fn all_members(&self) -> Vec<usize> {
         (0..self.plan.members).collect()
     }
 
-    /// Those that vote.
+    /// The members that are voters.
     pub fn voters(&self) -> Vec<usize> {
-        self.terms.voters.iter().map(|voter| usize::from(*voter)).collect()
+        self.settings.voters.iter().map(|voter| usize::from(*voter)).collect()
     }
 
-    /// Those that do not.
-    pub fn others(&self) -> Vec<usize> {
+    /// The members that are not voters.
+    pub fn non_voters(&self) -> Vec<usize> {
         let voters = self.voters();
         (0..self.plan.members).filter(|member| !voters.contains(member)).collect()
     }
 
-    /// Starts members from nothing.
+    /// Starts members in a new incarnation without earlier state.
     pub fn start(&mut self, members: &[usize]) {
-        members.iter().for_each(|member| self.start_one(*member));
+        members.iter().for_each(|member| self.start_member(*member));
     }
 
-    fn start_one(&mut self, member: usize) {
+    fn start_member(&mut self, member: usize) {
         let now = self.network.local_time(member);
-        let part = self.rng.random();
+        let jitter = self.rng.random();
         let host = &mut self.hosts[member];
         host.incarnation += 1;
-        host.demand_changes = 0;
-        let who = (member as Member, host.incarnation);
-        let node = Node::new(now, who, self.book.clone(), self.terms.clone(), part);
+        host.next_demand_at = 0;
+        let me = (member as Member, host.incarnation);
+        let node = Node::new(now, me, self.limit_set.clone(), self.settings.clone(), jitter);
         let first_tick = self.rng.random_range(0..node.tick_interval());
         host.node = Some(node);
         self.network.start(member);
-        self.network.set_timer(member, TICK, now + first_tick);
+        self.network.set_timer(member, TICK_TIMER, now + first_tick);
     }
 
-    /// Kills members.
+    /// Stops members without notice.
     pub fn kill(&mut self, members: &[usize]) {
         for &member in members {
             self.hosts[member].node = None;
@@ -147,44 +152,44 @@
         }
     }
 
-    /// The network between them.
-    pub fn network(&mut self) -> &mut Network {
+    /// The network of the group.
+    pub fn network_mut(&mut self) -> &mut Network {
         &mut self.network
     }
 
-    /// Begins to count traffic and its busiest second anew.
-    pub fn begin_counts(&mut self) {
+    /// Resets the traffic counts and the peaks.
+    pub fn reset_counts(&mut self) {
         self.network.reset_counts();
         self.peaks = PeakTraffic::new(&self.network);
     }
 
-    /// The busiest second of each member since the counts began.
+    /// Peak traffic of each member since the last reset of the counts.
     pub fn peaks(&self) -> &PeakTraffic {
         &self.peaks
     }
 
-    /// Runs on for so long.
-    pub fn run(&mut self, span: Micros) {
-        let until = self.network.now() + span;
+    /// Advances the simulated time by a duration.
+    pub fn run(&mut self, duration: Micros) {
+        let until = self.network.now() + duration;
         while self.network.now() < until {
-            let slice = (self.network.now() / SAMPLE_INTERVAL + 1) * SAMPLE_INTERVAL;
-            self.take_events(slice.min(until));
-            if self.network.now() == slice {
+            let next_sample_at = (self.network.now() / SAMPLE_INTERVAL + 1) * SAMPLE_INTERVAL;
+            self.process_events(next_sample_at.min(until));
+            if self.network.now() == next_sample_at {
                 self.peaks.sample(&self.network);
             }
         }
     }
 
-    fn take_events(&mut self, until: Micros) {
+    fn process_events(&mut self, until: Micros) {
         while let Some(event) = self.network.next_event(until) {
             match event {
-                Event::Datagram { from, to, bytes } => self.arrive(from, to, &bytes),
-                Event::Timer { member, .. } => self.tick(member),
+                Event::Datagram { from, to, bytes } => self.on_datagram(from, to, &bytes),
+                Event::Timer { member, .. } => self.on_tick(member),
             }
         }
     }
 
-    /// Who is coordinator, by its own clock and votes.
+    /// The first member that is coordinator by its own clock and votes.
     pub fn coordinator(&mut self) -> Option<usize> {
         (0..self.plan.members).find(|member| {
             let now = self.network.local_time(*member);
@@ -192,90 +197,92 @@
         })
     }
 
-    /// How many own something of each budget at this moment.
-    pub fn owning(&self) -> usize {
-        let owns = |member: &usize| {
+    /// Number of members that currently own units of every budget.
+    pub fn owner_count(&self) -> usize {
+        let owns_units = |member: &usize| {
             let now = self.network.local_time(*member);
             let node = self.hosts[*member].node.as_ref();
             node.is_some_and(|node| (0..self.plan.budgets).all(|budget| !node.owned(now, budget).is_empty()))
         };
-        (0..self.plan.members).filter(owns).count()
+        (0..self.plan.members).filter(owns_units).count()
     }
 
-    /// How many run.
-    pub fn running(&self) -> usize {
+    /// Number of running members.
+    pub fn running_count(&self) -> usize {
         self.hosts.iter().filter(|host| host.node.is_some()).count()
     }
 
-    /// Takes a member's node out, to be weighed.
-    pub fn take(&mut self, member: usize) -> Option<Node> {
+    /// Stops a member and returns its node, whose heap can then be measured.
+    pub fn take_node(&mut self, member: usize) -> Option<Node> {
         self.network.stop(member);
         self.hosts[member].node.take()
     }
 
-    fn tick(&mut self, member: usize) {
+    fn on_tick(&mut self, member: usize) {
         let now = self.network.local_time(member);
-        self.demand(member, now);
-        let part = self.rng.random();
+        self.update_demand(member, now);
+        let jitter = self.rng.random();
         let Some(node) = &mut self.hosts[member].node else { return };
-        let meter = self.processor.start(member);
-        let out = node.tick(now, part);
-        let sends: Vec<_> = out.iter().map(|(to, message)| (*to, kind(message), message.encode())).collect();
-        self.processor.stop(member, meter);
-        self.network.set_timer(member, TICK, now + node.tick_interval());
-        sends.iter().for_each(|(to, kind, bytes)| self.send_all(member, *to, kind, bytes));
+        let meter = self.processor_times.start(member);
+        let out = node.tick(now, jitter);
+        let messages: Vec<_> =
+            out.iter().map(|(to, message)| (*to, message_kind(message), message.encode())).collect();
+        self.processor_times.stop(member, meter);
+        self.network.set_timer(member, TICK_TIMER, now + node.tick_interval());
+        messages.iter().for_each(|(to, kind, bytes)| self.send_to_recipient(member, *to, kind, bytes));
     }
 
-    /// Demand trembles, so that units change hands and what a member owns falls into several ranges.
-    fn demand(&mut self, member: usize, now: Micros) {
-        if now < self.hosts[member].demand_changes {
+    /// Changes a member's demand if that is due. Without such changes, units would not change their owners
+    /// and each member would own a single range of units.
+    fn update_demand(&mut self, member: usize, now: Micros) {
+        if now < self.hosts[member].next_demand_at {
             return;
         }
-        self.hosts[member].demand_changes = now + DEMAND_CHANGES;
-        let units = usize::from(self.book.limits[0].units);
-        let even = units.div_ceil(self.plan.members);
+        self.hosts[member].next_demand_at = now + DEMAND_INTERVAL;
+        let units = usize::from(self.limit_set.limits[0].units);
+        let even_share = units.div_ceil(self.plan.members);
         for budget in 0..self.plan.budgets {
             let quarters = self.rng.random_range(DEMAND_QUARTERS.0..=DEMAND_QUARTERS.1);
-            let wants = (even * quarters).div_ceil(4) as Unit;
+            let wanted = (even_share * quarters).div_ceil(4) as Unit;
             if let Some(node) = &mut self.hosts[member].node {
-                node.set_wanted(budget, wants);
+                node.set_wanted(budget, wanted);
             }
         }
     }
 
-    fn arrive(&mut self, from: usize, to: usize, bytes: &[u8]) {
+    fn on_datagram(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.network.local_time(to);
         let Some(node) = &mut self.hosts[to].node else { return };
-        let meter = self.processor.start(to);
+        let meter = self.processor_times.start(to);
         let answer = Message::decode(bytes).and_then(|message| node.receive(now, from as Member, &message));
-        let answer = answer.map(|message| (kind(&message), message.encode()));
-        self.processor.stop(to, meter);
+        let answer = answer.map(|message| (message_kind(&message), message.encode()));
+        self.processor_times.stop(to, meter);
         if let Some((kind, bytes)) = answer {
             self.send(to, from, kind, &bytes);
         }
     }
 
-    fn send_all(&mut self, from: usize, to: Recipient, kind: &'static str, bytes: &[u8]) {
-        let all = match to {
+    fn send_to_recipient(&mut self, from: usize, to: Recipient, kind: &'static str, bytes: &[u8]) {
+        let receivers = match to {
             Recipient::One(member) => vec![usize::from(member)],
             Recipient::Voters => self.voters(),
-            Recipient::All => self.all(),
+            Recipient::All => self.all_members(),
         };
-        let others = all.into_iter().filter(|member| *member != from);
+        let others = receivers.into_iter().filter(|member| *member != from);
         others.for_each(|member| self.send(from, member, kind, bytes));
     }
 
     fn send(&mut self, from: usize, to: usize, kind: &'static str, bytes: &[u8]) {
-        if self.plan.mutant == Some(Mutant::EverythingToAll) {
+        if self.plan.mutant == Some(Mutant::BroadcastMessages) {
             let others = (0..self.plan.members).filter(|other| *other != from && *other != to);
-            others.for_each(|other| self.network.send(from, other, kind, vec![UNREADABLE; bytes.len()]));
+            others.for_each(|other| self.network.send(from, other, kind, vec![INVALID_BYTE; bytes.len()]));
         }
         self.network.send(from, to, kind, bytes.to_vec());
     }
 }
 
-/// A message's kind, for counts.
-fn kind(message: &Message) -> &'static str {
+/// Kind under which a message's traffic is counted.
+fn message_kind(message: &Message) -> &'static str {
     match message {
         Message::RequestVote { .. } => "request-vote",
         Message::Vote { .. } => "vote",
