--- a/crates/badgerwind-cli/tests/scale_processes.rs
+++ b/crates/badgerwind-cli/tests/scale_processes.rs
@@ -187,7 +187,7 @@
     hollow.network.reset_counts();
     hollow.run(span);
     let hollow_members = hollow.traffic(span);
-    let mut hollow = HollowZones::under(Conditions::loopback(), members, 1);
+    let mut hollow = HollowZones::with_conditions(Conditions::loopback(), members, 1);
     hollow.run(2 * SECOND);
     hollow.network.reset_counts();
     hollow.run(span);
--- a/crates/badgerwind-scale/tests/zones.rs
+++ b/crates/badgerwind-scale/tests/zones.rs
@@ -1,38 +1,44 @@
-//! Bounds on what a front end sends for zones as the fleet grows; each check also has to fail for a fleet made worse on
-//! purpose.
+//! Bounds on a front end's traffic for the detection of lost zones as the fleet grows. The check of the
+//! bounds must also fail for a fleet with an injected defect.
 
 use badgerwind_scale::row::Measurement;
 use badgerwind_scale::rows::network::SECOND;
-use badgerwind_scale::rows::zones::{reporter, voter, Fleet, Mutant, BEAT};
+use badgerwind_scale::rows::zones::{measure_reporter, measure_voter, Fleet, Mutant, HEARTBEAT_INTERVAL};
 
-const SMALL: usize = 10;
-const MIDDLE: usize = 40;
-/// A report and a digest with each of three voters in a beat.
-const MESSAGES_A_BEAT: f64 = 6.0;
+const SMALL_FLEET: usize = 10;
+const MEDIUM_FLEET: usize = 40;
+/// A report to each of three voters and a digest from each, per heartbeat.
+const MESSAGES_PER_HEARTBEAT: f64 = 6.0;
 
-/// Messages and bytes a second of a front end that is no voter, in calm and while a zone is lost.
+/// Messages and bytes a second of a front end that is not a voter, without and with a lost zone.
 fn traffic(size: usize, mutant: Option<Mutant>) -> [(f64, f64); 2] {
-    let mut fleet = Fleet::new(size, 1).with(mutant);
+    let mut fleet = Fleet::new(size, 1).with_mutant(mutant);
     fleet.run(2 * SECOND);
-    let mut measured = |lost| {
-        fleet.lose(lost);
+    let mut measure = |lost_zone| {
+        fleet.set_lost_zone(lost_zone);
         fleet.network.reset_counts();
         fleet.run(3 * SECOND);
         fleet.traffic(3 * SECOND)
     };
-    [measured(None), measured(Some(1))]
+    [measure(None), measure(Some(1))]
 }
 
-/// What a front end that is no voter sends and receives must not grow with the fleet, nor with a lost zone.
+/// Checks that the traffic of a front end that is not a voter grows neither with the fleet nor with a lost
+/// zone.
 fn check_traffic(mutant: Option<Mutant>) -> Result<(), String> {
-    let most = MESSAGES_A_BEAT * SECOND as f64 / BEAT as f64;
-    for size in [SMALL, MIDDLE] {
+    let max_messages = MESSAGES_PER_HEARTBEAT * SECOND as f64 / HEARTBEAT_INTERVAL as f64;
+    for size in [SMALL_FLEET, MEDIUM_FLEET] {
         for (messages, bytes) in traffic(size, mutant) {
-            if messages > 1.02 * most {
-                return Err(format!("{messages} messages a second at {size}, {most} at most"));
+            if messages > 1.02 * max_messages {
+                return Err(format!(
+                    "{messages} messages a second with {size} front ends, more than {max_messages}"
+                ));
             }
             if bytes > messages * (badgerwind_zones::MAX_BYTES as f64 + 28.0) {
-                return Err(format!("{bytes} bytes in {messages} messages"));
+                return Err(format!(
+                    "{bytes} bytes a second in {messages} messages with {size} front ends: over the maximum \
+                     size"
+                ));
             }
         }
     }
@@ -40,53 +46,55 @@
 }
 
 #[test]
-fn a_front_end_sends_the_same_whatever_the_fleet_and_the_zones_do() {
+fn traffic_does_not_grow_with_the_fleet_or_with_a_lost_zone() {
     assert_eq!(check_traffic(None), Ok(()));
-    assert!(check_traffic(Some(Mutant::ReportsToAll)).is_err(), "reports to all must be found");
+    assert!(check_traffic(Some(Mutant::ReportsToAll)).is_err(), "reports to all front ends must be detected");
 }
 
 #[test]
-fn a_voter_answers_each_tell_once_with_as_many_bytes_whatever_the_fleet() {
-    let (small, middle) = (voter(SMALL), voter(300));
-    assert_eq!((small.messages, small.bytes), (middle.messages, middle.bytes));
+fn a_voter_answers_each_report_with_one_digest_of_constant_size() {
+    let (small, large) = (measure_voter(SMALL_FLEET), measure_voter(300));
+    assert_eq!((small.messages, small.bytes), (large.messages, large.bytes));
     assert_eq!(small.messages, 2);
 }
 
-fn value(figures: &[Measurement], unit: &str) -> f64 {
-    figures.iter().find(|f| f.metric.unit == unit).unwrap().value
+/// Value of the first measurement with this unit.
+fn value(measurements: &[Measurement], unit: &str) -> f64 {
+    measurements.iter().find(|m| m.metric.unit == unit).unwrap().value
 }
 
 #[test]
-fn the_list_of_runners_adds_nothing_to_what_is_sent() {
-    let (short, long) = (reporter(30, 1), reporter(600, 1));
+fn traffic_does_not_grow_with_the_number_of_listed_runners() {
+    let (short, long) = (measure_reporter(30, 1), measure_reporter(600, 1));
     assert_eq!(value(&short, "messages/s"), value(&long, "messages/s"));
     assert_eq!(value(&short, "B/s"), value(&long, "B/s"));
 }
 
 #[test]
-fn a_lost_zone_is_left_by_all_and_taken_back_and_no_other_is_left() {
-    let mut fleet = Fleet::new(MIDDLE, 2);
+fn all_front_ends_leave_a_lost_zone_and_return_to_it_and_leave_no_other_zone() {
+    let mut fleet = Fleet::new(MEDIUM_FLEET, 2);
     fleet.run(3 * SECOND);
-    fleet.lose(Some(1));
-    assert!(fleet.until(|f| f.share(1) == 0.0).is_some());
+    fleet.set_lost_zone(Some(1));
+    assert!(fleet.run_until(|f| f.mean_share(1) == 0.0).is_some());
     assert_eq!(fleet.wrongly_left(1), 0);
-    let before = (fleet.probes, fleet.network.now());
+    let (probes_before, time_before) = (fleet.probes, fleet.network.now());
     fleet.run(2 * SECOND);
-    // Three voters probe two runners a beat each, whatever the fleet.
-    let beats = (fleet.network.now() - before.1) as f64 / BEAT as f64;
-    assert!((fleet.probes - before.0) as f64 <= 6.0 * (beats + 1.0), "{} probes", fleet.probes - before.0);
-    fleet.lose(None);
-    assert!(fleet.until(|f| f.share(1) >= 1.0).is_some());
+    // Three voters probe two runners each per heartbeat, independently of the size of the fleet.
+    let heartbeats = (fleet.network.now() - time_before) as f64 / HEARTBEAT_INTERVAL as f64;
+    let probes = fleet.probes - probes_before;
+    assert!(probes as f64 <= 6.0 * (heartbeats + 1.0), "{probes} probes");
+    fleet.set_lost_zone(None);
+    assert!(fleet.run_until(|f| f.mean_share(1) >= 1.0).is_some());
 }
 
 #[test]
-fn the_same_seed_gives_the_same_counts_and_another_seed_others() {
+fn counts_depend_on_the_seed_alone() {
     let counts = |seed| {
-        let mut fleet = Fleet::new(SMALL, seed);
-        fleet.lose(Some(1));
+        let mut fleet = Fleet::new(SMALL_FLEET, seed);
+        fleet.set_lost_zone(Some(1));
         fleet.run(4 * SECOND);
-        let each: Vec<_> = (0..SMALL).map(|m| fleet.network.traffic(m)).collect();
-        (each, fleet.calls_lost, fleet.network.now())
+        let traffic: Vec<_> = (0..SMALL_FLEET).map(|m| fleet.network.traffic(m)).collect();
+        (traffic, fleet.calls_lost, fleet.network.now())
     };
     assert_eq!(counts(1), counts(1));
     assert_ne!(counts(1), counts(2));
