--- a/crates/badgerwind-standins/src/relay.rs
+++ b/crates/badgerwind-standins/src/relay.rs
@@ -1,5 +1,6 @@
-//! A TCP relay with faults that can be set for each direction. A silent link leaves its connections open, and
-//! bytes that were in transit when it fell silent are lost, as behind a failed switch.
+//! A TCP relay with faults that can be set for each direction. A silent link leaves its connections open. Bytes
+//! that the relay holds when the link falls silent, and bytes sent while it is silent, are delivered in order
+//! once bytes pass again, as TCP retransmits what a network has dropped.
 
 use async_channel::{Receiver, Sender};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -83,7 +84,8 @@
     }
 }
 
-/// Bytes that a silent link buffers of one direction, like a TCP window; beyond them it stops reading.
+/// Bytes that a silent link buffers of one direction, like a TCP window; beyond them it stops reading. The last
+/// chunk read may exceed the limit.
 const MAX_BUFFERED: usize = 64 * 1024;
 /// Pause after a failed accept, which is most likely due to a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -174,12 +176,16 @@
             Some(Ok(n)) if n > 0 => n,
             Some(_) => return,
         };
-        let link = lock(shared).link;
-        match flow(&link) {
-            Flow::Delayed(by) => _ = smol::Timer::after(by).await,
-            // In transit when the link fell silent: these bytes are lost.
-            Flow::Silent => continue,
-            Flow::Open => {}
+        let mut link = lock(shared).link;
+        if let Flow::Delayed(by) = flow(&link) {
+            smol::Timer::after(by).await;
+            link = lock(shared).link;
+        }
+        if flow(&link) == Flow::Silent {
+            // Bytes sent after the link fell silent can be read before this task sees the change. Nothing else
+            // is buffered here, so they fit.
+            buffered.extend_from_slice(&buf[..n]);
+            continue;
         }
         if to.write_all(&buf[..n]).await.is_err() {
             return;
