--- a/crates/badgerwind-scale/src/config_world/front_end.rs
+++ b/crates/badgerwind-scale/src/config_world/front_end.rs
@@ -1,6 +1,7 @@
-//! A hollow front end: the real client of the stream, with constants of time in place of replay, disk and router.
+//! A hollow front end: the real client of the configuration stream. Replay, disk writes and replacement of
+//! the router are replaced by constant durations.
 
-use super::settings::LONGEST_DEADLINE;
+use super::settings::MAX_DEADLINE;
 use super::SECOND;
 use badgerwind_config::client::{Action, Client, Input, Time, Timing};
 use badgerwind_config::wire::{DiscoveryRequest, Health};
@@ -8,104 +9,126 @@
 use badgerwind_settings::document::Node;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Calls a second of a front end at the planned size.
-const CALLS_A_SECOND: u64 = 127;
+/// Rate of calls at a front end of the planned size.
+const CALLS_PER_SECOND: u64 = 127;
 
-/// Routers that still answer what they hold beside the newest; a further change waits for the oldest of them.
-const MOST_LEAVING: usize = 4;
+/// Most replaced routers that may complete their calls at the same time. A further change waits until the
+/// oldest has ended.
+const MAX_DRAINING: usize = 4;
 
-/// The pauses and waits of the settings' defaults.
-const TIMES: Timing =
+/// Defaults of the settings.
+const TIMING: Timing =
     Timing { stage_timeout: 10 * SECOND, min_backoff: SECOND / 2, max_backoff: 30 * SECOND };
 
-/// What takes time at a front end, in microseconds.
+/// Durations of the slow operations of a front end, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Durations {
-    /// Keys read and calls replayed.
+    /// Reading of keys and replay of recorded calls.
     pub prepare: Time,
-    /// The set written and synced.
+    /// Writing and syncing of the settings to disk.
     pub store: Time,
-    /// The change handed to front, runners and engine.
+    /// Handover of the change to the front, the runners and the engine.
     pub apply: Time,
-    /// How long a router that was replaced still answers what it holds.
-    pub leaving: Time,
+    /// How long a replaced router continues, to complete its calls.
+    pub drain: Time,
 }
 
 impl Default for Durations {
     fn default() -> Self {
-        Durations { prepare: 180_000, store: 5_000, apply: 1_000, leaving: LONGEST_DEADLINE }
+        Durations { prepare: 180_000, store: 5_000, apply: 1_000, drain: MAX_DEADLINE }
     }
 }
 
-/// A defect put in on purpose, for tests of the checks.
+/// A defect of the front ends that a test injects to prove that its check detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FrontEndFault {
-    /// None: the front end as it is.
+    /// No defect.
     #[default]
     None,
-    /// Each question names every version that ever ran.
+    /// Each request names all versions that the front end has run.
     NamesAllVersions,
 }
 
-/// A version that began to run.
+/// A version that a front end put into force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// When.
+    /// The time at which it began to run.
     pub at: Time,
     /// The type of resource.
     pub kind: Kind,
-    /// Its number.
+    /// The version number.
     pub version: u64,
 }
 
 /// A hollow front end.
 pub struct FrontEnd {
+    /// The name under which it sends requests.
     pub name: String,
+    /// Index of its region.
     pub region: usize,
-    /// The control machines that it knows, as its settings name them.
+    /// Indices of the control services in its settings, in order of preference.
     pub services: Vec<usize>,
-    /// How often it has gone on to the next of them.
-    pub turn: usize,
-    /// Cut off from every control machine.
-    pub cut: bool,
-    /// Questions that are open.
-    pub open: BTreeMap<Kind, u64>,
-    /// Counts its starts: what was under way before a restart is passed over.
+    /// How many times it has switched to the next control service.
+    pub failovers: usize,
+    /// Whether it is isolated from all control services.
+    pub isolated: bool,
+    /// The open request of each kind, by its identifier.
+    pub open_requests: BTreeMap<Kind, u64>,
+    /// Incremented at each restart; events of earlier incarnations are discarded.
     pub incarnation: u32,
+    /// Versions that it has put into force, in this order.
     pub applied: Vec<Applied>,
+    /// Number of received responses.
     pub messages_in: u64,
+    /// Received bytes.
     pub bytes_in: u64,
+    /// Sent bytes.
     pub bytes_out: u64,
     client: Client,
+    /// The parts on disk.
     stored: Vec<Part>,
-    leaving: VecDeque<Time>,
+    /// When each replaced router ends, oldest first.
+    draining: VecDeque<Time>,
     durations: Durations,
     fault: FrontEndFault,
 }
 
-/// What a hollow front end wants done, with the moment at which its result is there.
+/// An action of a hollow front end that the simulation carries out.
 pub enum Effect {
-    /// A question to send now.
-    Ask { kind: Kind, ask: u64, request: Box<DiscoveryRequest> },
-    /// An input that comes at a later moment.
-    Later { at: Time, input: Input },
+    /// Send a request now.
+    SendRequest {
+        /// The requested type of resource.
+        kind: Kind,
+        /// Identifies the request.
+        request_id: u64,
+        /// The request.
+        request: Box<DiscoveryRequest>,
+    },
+    /// Deliver an input to the front end at a later time.
+    DeliverLater {
+        /// The time of delivery.
+        at: Time,
+        /// The input.
+        input: Input,
+    },
 }
 
 impl FrontEnd {
+    /// Creates a front end that has not started yet and has no stored settings.
     pub fn new(
         name: String,
         (region, services): (usize, Vec<usize>),
         file: &Node,
         (durations, fault): (Durations, FrontEndFault),
     ) -> Result<Self, String> {
-        let client = client(&name, file, Vec::new())?;
+        let client = new_client(&name, file, Vec::new())?;
         Ok(FrontEnd {
             name,
             region,
             services,
-            turn: 0,
-            cut: false,
-            open: BTreeMap::new(),
+            failovers: 0,
+            isolated: false,
+            open_requests: BTreeMap::new(),
             incarnation: 0,
             applied: Vec::new(),
             messages_in: 0,
@@ -113,110 +136,115 @@
             bytes_out: 0,
             client,
             stored: Vec::new(),
-            leaving: VecDeque::new(),
+            draining: VecDeque::new(),
             durations,
             fault,
         })
     }
 
-    /// The control machine that is asked next.
+    /// Index of the control service that receives the next request.
     pub fn service(&self) -> usize {
-        self.services[self.turn % self.services.len()]
+        self.services[self.failovers % self.services.len()]
     }
 
-    /// Starts anew with what was stored, or with nothing where the disk is new as well.
-    pub fn restart(&mut self, file: &Node, disk: bool) -> Result<(), String> {
-        let stored = if disk { std::mem::take(&mut self.stored) } else { Vec::new() };
-        self.client = client(&self.name, file, stored.clone())?;
+    /// Begins a new incarnation, with the stored settings or, after the loss of the disk, without them.
+    pub fn restart(&mut self, file: &Node, keep_disk: bool) -> Result<(), String> {
+        let stored = if keep_disk { std::mem::take(&mut self.stored) } else { Vec::new() };
+        self.client = new_client(&self.name, file, stored.clone())?;
         self.stored = stored;
         self.incarnation += 1;
-        self.open.clear();
-        self.leaving.clear();
+        self.open_requests.clear();
+        self.draining.clear();
         Ok(())
     }
 
-    pub fn begin(&mut self, now: Time) -> Vec<Effect> {
-        let mut out = Vec::new();
-        self.client.start(now, &mut out);
-        self.effects(now, out)
+    /// Starts the client, which sends its first requests.
+    pub fn start(&mut self, now: Time) -> Vec<Effect> {
+        let mut actions = Vec::new();
+        self.client.start(now, &mut actions);
+        self.effects(now, actions)
     }
 
+    /// When the client must next receive [`Input::Tick`].
     pub fn next_wake(&self) -> Option<Time> {
         self.client.next_wake()
     }
 
-    pub fn on(&mut self, now: Time, input: Input) -> Vec<Effect> {
+    /// Delivers an input to the client.
+    pub fn handle(&mut self, now: Time, input: Input) -> Vec<Effect> {
         let applied = matches!(input, Input::Applied { .. });
-        let mut out = Vec::new();
-        self.client.handle(now, input, &mut out);
+        let mut actions = Vec::new();
+        self.client.handle(now, input, &mut actions);
         if applied {
-            self.note_applied(now);
+            self.record_applied(now);
         }
-        self.effects(now, out)
+        self.effects(now, actions)
     }
 
-    /// The version that runs.
+    /// The version of a kind that runs.
     pub fn running(&self, kind: Kind) -> Option<u64> {
         self.client.report().into_iter().find(|r| r.kind == kind).and_then(|r| r.running)
     }
 
-    fn note_applied(&mut self, now: Time) {
+    fn record_applied(&mut self, now: Time) {
         for report in self.client.report() {
             let Some(version) = report.running else { continue };
-            let known = self.applied.iter().rev().find(|a| a.kind == report.kind).map(|a| a.version);
-            if known != Some(version) {
+            let last = self.applied.iter().rev().find(|a| a.kind == report.kind).map(|a| a.version);
+            if last != Some(version) {
                 self.applied.push(Applied { at: now, kind: report.kind, version });
             }
         }
     }
 
-    fn effects(&mut self, now: Time, out: Vec<Action>) -> Vec<Effect> {
-        out.into_iter().map(|step| self.effect(now, step)).collect()
+    fn effects(&mut self, now: Time, actions: Vec<Action>) -> Vec<Effect> {
+        actions.into_iter().map(|action| self.effect(now, action)).collect()
     }
 
-    fn effect(&mut self, now: Time, step: Action) -> Effect {
-        match step {
+    fn effect(&mut self, now: Time, action: Action) -> Effect {
+        match action {
             Action::SendRequest { kind, request_id, mut request } => {
                 request.node.metadata.health = health(now);
                 if self.fault == FrontEndFault::NamesAllVersions {
                     request.resource_names = self.all_versions();
                 }
-                Effect::Ask { kind, ask: request_id, request }
+                Effect::SendRequest { kind, request_id, request }
             }
             Action::Prepare { ticket, .. } => {
                 let input = Input::Prepared { ticket, result: Ok(()) };
-                Effect::Later { at: now + self.durations.prepare, input }
+                Effect::DeliverLater { at: now + self.durations.prepare, input }
             }
             Action::Store { ticket, parts } => {
                 self.stored = parts;
-                Effect::Later {
+                Effect::DeliverLater {
                     at: now + self.durations.store,
                     input: Input::Stored { ticket, result: Ok(()) },
                 }
             }
             Action::Apply { ticket, .. } => {
-                let at = self.router_changes_at(now);
-                Effect::Later { at: at + self.durations.apply, input: Input::Applied { ticket } }
+                let at = self.apply_start(now);
+                Effect::DeliverLater { at: at + self.durations.apply, input: Input::Applied { ticket } }
             }
         }
     }
 
-    /// When the change can be applied: at once, or when the oldest of four replaced routers has ended. Changes of
-    /// classes and of the fleet bring a new router; the others change in place.
-    fn router_changes_at(&mut self, now: Time) -> Time {
-        let router = |part: &&Part| matches!(part.kind, Kind::Classes | Kind::Fleet);
-        let changed = self.stored.iter().filter(router).any(|p| self.running(p.kind) != Some(p.version));
+    /// When the stored change can be applied: now or, if [`MAX_DRAINING`] routers are draining, when the
+    /// oldest of them ends. Only changes of classes and of the fleet replace the router; all others are
+    /// applied in place.
+    fn apply_start(&mut self, now: Time) -> Time {
+        let needs_router = |part: &&Part| matches!(part.kind, Kind::Classes | Kind::Fleet);
+        let changed =
+            self.stored.iter().filter(needs_router).any(|p| self.running(p.kind) != Some(p.version));
         if !changed {
             return now;
         }
-        while self.leaving.front().is_some_and(|ends| *ends <= now) {
-            self.leaving.pop_front();
+        while self.draining.front().is_some_and(|end| *end <= now) {
+            self.draining.pop_front();
         }
         let mut at = now;
-        if self.leaving.len() >= MOST_LEAVING {
-            at = self.leaving.pop_front().unwrap_or(now);
+        if self.draining.len() >= MAX_DRAINING {
+            at = self.draining.pop_front().unwrap_or(now);
         }
-        self.leaving.push_back(at + self.durations.leaving);
+        self.draining.push_back(at + self.durations.drain);
         at
     }
 
@@ -225,17 +253,17 @@
     }
 }
 
-fn client(name: &str, file: &Node, stored: Vec<Part>) -> Result<Client, String> {
+fn new_client(name: &str, file: &Node, stored: Vec<Part>) -> Result<Client, String> {
     let node = (name.to_owned(), "main".to_owned());
-    let text = |problems: Vec<badgerwind_settings::Problem>| format!("{problems:?}");
-    let (client, _, problems) = Client::new(node, file.clone(), stored, TIMES).map_err(text)?;
+    let describe = |problems: Vec<badgerwind_settings::Problem>| format!("{problems:?}");
+    let (client, _, problems) = Client::new(node, file.clone(), stored, TIMING).map_err(describe)?;
     if problems.is_empty() {
         Ok(client)
     } else {
-        Err(text(problems))
+        Err(describe(problems))
     }
 }
 
 fn health(now: Time) -> Health {
-    Health { served: now / SECOND * CALLS_A_SECOND, refused: 0, failed: 0 }
+    Health { served: now / SECOND * CALLS_PER_SECOND, refused: 0, failed: 0 }
 }
--- a/crates/badgerwind-scale/src/config_world/mod.rs
+++ b/crates/badgerwind-scale/src/config_world/mod.rs
@@ -1,23 +1,24 @@
-//! Hollow front ends and control machines of the configuration stream over a simulated network. Both sides run the
-//! real state machines (`badgerwind_config::Client`, `badgerwind_config::waves::Waves`) and the real messages; what
-//! takes time at a front end (replay, disk, change of router) takes named constants of simulated time.
+//! A simulation of the configuration stream: hollow front ends and control services, connected by a simulated
+//! network. Both sides run the real state machines (`badgerwind_config::Client`,
+//! `badgerwind_config::waves::Waves`) and exchange the real messages. The slow operations of a front end
+//! (replay, disk writes, replacement of the router) take constant simulated time.
 
 mod front_end;
 mod network;
 mod service;
 pub mod settings;
-mod world;
+mod simulation;
 
 pub use front_end::{Applied, Durations, FrontEndFault};
 pub use network::{request_bytes, response_bytes, Network};
-pub use service::{Load, Service, ServiceFault};
-pub use world::{Plan, World};
+pub use service::{Service, ServiceFault, ServiceLoad};
+pub use simulation::{Scenario, Simulation};
 
-/// Versions a second on an ordinary day of the planned size: 31,000 a day.
-pub const VERSIONS_A_SECOND: f64 = 31_000.0 / 86_400.0;
+/// Rate of published versions at the planned size: 31,000 a day.
+pub const VERSIONS_PER_SECOND: f64 = 31_000.0 / 86_400.0;
 
-/// Front ends of one of the 35 control machines.
-pub const FRONT_ENDS_A_MACHINE: u64 = 314;
+/// Number of front ends of each of the 35 control services of the planned size.
+pub const FRONT_ENDS_PER_SERVICE: u64 = 314;
 
-/// Microseconds in a second.
+/// One second, in microseconds.
 pub const SECOND: u64 = 1_000_000;
--- a/crates/badgerwind-scale/src/config_world/service.rs
+++ b/crates/badgerwind-scale/src/config_world/service.rs
@@ -1,6 +1,7 @@
-//! A hollow control machine: the real waves and the real messages, with the service's loop in simulated time. As in
-//! the service, each question that is held open looks every [`POLL_INTERVAL`] whether anything has changed since it looked
-//! last, and the folder is looked at every [`SCAN_INTERVAL`], which counts as a change.
+//! A hollow control service: the real waves and messages, and the loops of the real service in simulated
+//! time. As in the real service, each open request checks every [`POLL_INTERVAL`] whether anything has
+//! changed since its last evaluation, and each scan of the folder, every [`SCAN_INTERVAL`], counts as a
+//! change.
 
 use super::network::response_bytes;
 use super::SECOND;
@@ -14,240 +15,261 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How often the folder is looked at, in microseconds.
-pub const LOOK_EVERY: Time = SCAN_INTERVAL.as_micros() as Time;
+/// Time between scans of the folder, in microseconds.
+pub const SCAN_MICROS: Time = SCAN_INTERVAL.as_micros() as Time;
 
-/// How often a question that is held open looks for changes, in microseconds.
-const POLL_EVERY: Time = POLL_INTERVAL.as_micros() as Time;
+/// Time between polls of an open request, in microseconds.
+const POLL_MICROS: Time = POLL_INTERVAL.as_micros() as Time;
 
-/// Polls are taken together in slots of this width.
-pub const SLOT: Time = 1_000;
+/// Length of a poll slot in microseconds. Requests that arrived in the same slot are polled together.
+pub const SLOT_MICROS: Time = 1_000;
 
-const SLOTS: usize = (POLL_EVERY / SLOT) as usize;
+const SLOT_COUNT: usize = (POLL_MICROS / SLOT_MICROS) as usize;
 
-/// A defect put in on purpose, for tests of the checks.
+/// A defect of the control services that a test injects to prove that its check detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServiceFault {
-    /// None: the service as it is.
+    /// No defect.
     #[default]
     None,
-    /// A front end that is behind is offered every version in between, one after the other.
+    /// A front end that missed versions is offered each of them in order, instead of the newest one.
     OffersEveryVersion,
 }
 
-/// What a control machine has had to do.
+/// Work that a control service has done since its start.
 #[derive(Clone, Debug, Default)]
-pub struct Load {
-    /// Questions and answers.
+pub struct ServiceLoad {
+    /// Number of requests and responses.
     pub messages: u64,
-    /// Questions alone.
-    pub questions: u64,
-    /// Bytes of questions.
+    /// Number of requests.
+    pub requests: u64,
+    /// Bytes of requests.
     pub bytes_in: u64,
-    /// Bytes of answers.
+    /// Bytes of responses.
     pub bytes_out: u64,
-    /// Answers that offered a version.
+    /// Number of responses that offered a version.
     pub versions_sent: u64,
-    /// Times a held question was looked at anew.
+    /// Number of evaluations of an open request.
     pub offers_evaluated: u64,
-    /// Processor time of reading questions, of waves and of writing answers.
+    /// Processor time for parsing requests, advancing waves and encoding responses.
     pub processor_microseconds: f64,
-    /// Messages and bytes by second.
+    /// Messages and their bytes in each second, by the second's number.
     pub by_second: BTreeMap<u64, (u64, u64)>,
 }
 
-impl Load {
-    fn message(&mut self, now: Time, bytes: u64) {
+impl ServiceLoad {
+    fn record_message(&mut self, now: Time, bytes: u64) {
         self.messages += 1;
         let second = self.by_second.entry(now / SECOND).or_default();
         second.0 += 1;
         second.1 += bytes;
     }
 
-    /// Messages and bytes of the busiest second in a span of time, each by itself.
-    pub fn busiest(&self, from: Time, until: Time) -> (u64, u64) {
+    /// The largest number of messages and the largest number of bytes in one second of a time range. The two
+    /// maxima may be from different seconds.
+    pub fn busiest_second(&self, from: Time, until: Time) -> (u64, u64) {
         let seconds = self.by_second.range(from / SECOND..=until / SECOND);
-        seconds.fold((0, 0), |most, (_, second)| (most.0.max(second.0), most.1.max(second.1)))
+        seconds.fold((0, 0), |max, (_, second)| (max.0.max(second.0), max.1.max(second.1)))
     }
 }
 
-struct Held {
-    ask: u64,
-    question: ResourceRequest,
-    seen: Option<u64>,
+/// A request that waits for a new version.
+struct OpenRequest {
+    request_id: u64,
+    request: ResourceRequest,
+    /// The change count at its last evaluation.
+    evaluated_at_change: Option<u64>,
     slot: usize,
 }
 
-/// An answer that goes out.
-pub struct Answer {
+/// A response to send to a front end.
+pub struct OutgoingResponse {
+    /// Index of the front end.
     pub front_end: usize,
+    /// The type of resource.
     pub kind: Kind,
-    pub ask: u64,
+    /// The request that this answers.
+    pub request_id: u64,
+    /// Encoded size, including the HTTP head.
     pub bytes: u64,
-    /// The body; empty: nothing new.
+    /// The body; empty if there is no new version.
     pub body: Vec<u8>,
 }
 
-/// A hollow control machine.
+/// A hollow control service.
 pub struct Service {
     waves: Waves,
     name: String,
-    /// What lies in the folder and was not seen yet.
+    /// Versions in the folder that have not been scanned yet.
     folder: Vec<(Kind, u64, Arc<str>)>,
-    held: BTreeMap<(usize, Kind), Held>,
-    slots: [BTreeSet<(usize, Kind)>; SLOTS],
-    changes: u64,
+    /// Open requests, by index of the front end and type of resource.
+    open_requests: BTreeMap<(usize, Kind), OpenRequest>,
+    /// The keys of `open_requests`, by the slot in which they are polled.
+    poll_slots: [BTreeSet<(usize, Kind)>; SLOT_COUNT],
+    change_count: u64,
     changed_at: Time,
     nonce: u64,
-    /// Whether every question and look counts as a change, as at the service, or only what can alter an answer.
+    /// Whether every request and every scan counts as a change, as in the real service, or only one that
+    /// can alter a response.
     every_change: bool,
     fault: ServiceFault,
-    /// Lost: it answers nobody.
-    pub lost: bool,
-    /// What it has had to do.
-    pub load: Load,
+    /// Whether it has failed and no longer responds.
+    pub failed: bool,
+    /// Work that it has done.
+    pub load: ServiceLoad,
 }
 
 impl Service {
-    /// `every_change`: evaluates held questions as often as the service does. Without it only after what can alter an
-    /// answer; the answers and their moments are the same.
-    pub fn new(name: String, rules: RolloutPolicy, every_change: bool, fault: ServiceFault) -> Self {
+    /// Creates a service without versions. With `every_change`, it evaluates open requests as often as the
+    /// real service; otherwise only after changes that can alter a response. The responses and their times
+    /// are the same.
+    pub fn new(name: String, rollout: RolloutPolicy, every_change: bool, fault: ServiceFault) -> Self {
         Service {
-            waves: Waves::new(rules),
+            waves: Waves::new(rollout),
             name,
             folder: Vec::new(),
-            held: BTreeMap::new(),
-            slots: Default::default(),
-            changes: 0,
+            open_requests: BTreeMap::new(),
+            poll_slots: Default::default(),
+            change_count: 0,
             changed_at: 0,
             nonce: 0,
             every_change,
             fault,
-            lost: false,
-            load: Load::default(),
+            failed: false,
+            load: ServiceLoad::default(),
         }
     }
 
-    /// A version comes into the folder.
-    pub fn put(&mut self, kind: Kind, version: u64, text: Arc<str>) {
+    /// Adds a version to the folder.
+    pub fn add_to_folder(&mut self, kind: Kind, version: u64, text: Arc<str>) {
         self.folder.push((kind, version, text));
     }
 
-    /// The folder is looked at.
-    pub fn look(&mut self, now: Time) {
+    /// Scans the folder for new versions and advances the waves.
+    pub fn scan_folder(&mut self, now: Time) {
         let meter = ProcessorMeter::start();
         let before = self.stages();
         for (kind, version, text) in std::mem::take(&mut self.folder) {
-            // A number that is published with other content is never made here.
+            // Fails only if a version number is reused with other content, which the simulation never does.
             _ = self.waves.publish(kind, version, text);
         }
         self.waves.tick(now);
-        self.note_change(now, &before);
+        self.record_change(now, &before);
         self.load.processor_microseconds += meter.microseconds();
     }
 
-    /// A question arrives; an answer that is there at once comes back.
-    pub fn ask(
+    /// Handles a request. Returns a response if a version can be offered at once; otherwise the request
+    /// stays open.
+    pub fn handle_request(
         &mut self,
         now: Time,
-        (front_end, kind, ask): (usize, Kind, u64),
+        (front_end, kind, request_id): (usize, Kind, u64),
         body: &[u8],
         bytes: u64,
-    ) -> Option<Answer> {
+    ) -> Option<OutgoingResponse> {
         let meter = ProcessorMeter::start();
-        self.load.message(now, bytes);
-        self.load.questions += 1;
+        self.load.record_message(now, bytes);
+        self.load.requests += 1;
         self.load.bytes_in += bytes;
-        let request: DiscoveryRequest = serde_json::from_slice(body).ok()?;
-        let question = ResourceRequest::parse(kind, &request).ok()?;
+        let message: DiscoveryRequest = serde_json::from_slice(body).ok()?;
+        let request = ResourceRequest::parse(kind, &message).ok()?;
         let before = self.stages();
-        let metadata = &request.node.metadata;
-        self.waves.record_report(now, &request.node.id, &metadata.report, metadata.health);
-        self.note_change(now, &before);
-        self.gone(front_end, kind);
-        let slot = (now / SLOT) as usize % SLOTS;
-        self.slots[slot].insert((front_end, kind));
-        self.held.insert((front_end, kind), Held { ask, question, seen: None, slot });
-        let answer = self.evaluate(now, front_end, kind);
+        let metadata = &message.node.metadata;
+        self.waves.record_report(now, &message.node.id, &metadata.report, metadata.health);
+        self.record_change(now, &before);
+        self.close_request(front_end, kind);
+        let slot = (now / SLOT_MICROS) as usize % SLOT_COUNT;
+        self.poll_slots[slot].insert((front_end, kind));
+        let open = OpenRequest { request_id, request, evaluated_at_change: None, slot };
+        self.open_requests.insert((front_end, kind), open);
+        let response = self.evaluate(now, front_end, kind);
         self.load.processor_microseconds += meter.microseconds();
-        answer
+        response
     }
 
-    /// The questions whose turn it is look for changes.
-    pub fn poll(&mut self, now: Time) -> Vec<Answer> {
-        // All have looked since the last change.
-        if now > self.changed_at + POLL_EVERY + SLOT {
+    /// Evaluates the open requests of the current slot if anything has changed.
+    pub fn poll(&mut self, now: Time) -> Vec<OutgoingResponse> {
+        // All open requests have been polled since the last change.
+        if now > self.changed_at + POLL_MICROS + SLOT_MICROS {
             return Vec::new();
         }
         let meter = ProcessorMeter::start();
-        let slot = (now / SLOT) as usize % SLOTS;
-        let turn: Vec<(usize, Kind)> = self.slots[slot].iter().copied().collect();
-        let answers = turn.into_iter().filter_map(|(n, kind)| self.evaluate(now, n, kind)).collect();
+        let slot = (now / SLOT_MICROS) as usize % SLOT_COUNT;
+        let due: Vec<(usize, Kind)> = self.poll_slots[slot].iter().copied().collect();
+        let responses = due.into_iter().filter_map(|(n, kind)| self.evaluate(now, n, kind)).collect();
         self.load.processor_microseconds += meter.microseconds();
-        answers
+        responses
     }
 
-    /// The longest time for which the question may be held has passed.
-    pub fn expire(&mut self, now: Time, front_end: usize, kind: Kind, ask: u64) -> Option<Answer> {
-        self.held.get(&(front_end, kind)).filter(|h| h.ask == ask)?;
-        self.gone(front_end, kind);
+    /// Ends a request without a new version after its poll timeout. Returns `None` if the request is not
+    /// open.
+    pub fn expire_request(
+        &mut self,
+        now: Time,
+        front_end: usize,
+        kind: Kind,
+        request_id: u64,
+    ) -> Option<OutgoingResponse> {
+        self.open_requests.get(&(front_end, kind)).filter(|open| open.request_id == request_id)?;
+        self.close_request(front_end, kind);
         let (bytes, body) = response_bytes(None);
-        self.load.message(now, bytes);
+        self.load.record_message(now, bytes);
         self.load.bytes_out += bytes;
-        Some(Answer { front_end, kind, ask, bytes, body })
+        Some(OutgoingResponse { front_end, kind, request_id, bytes, body })
     }
 
-    /// A connection of a front end has gone, with the question on it.
-    pub fn gone(&mut self, front_end: usize, kind: Kind) {
-        if let Some(held) = self.held.remove(&(front_end, kind)) {
-            self.slots[held.slot].remove(&(front_end, kind));
+    /// Closes an open request without a response, as when its connection is closed.
+    pub fn close_request(&mut self, front_end: usize, kind: Kind) {
+        if let Some(open) = self.open_requests.remove(&(front_end, kind)) {
+            self.poll_slots[open.slot].remove(&(front_end, kind));
         }
     }
 
-    /// The machine is lost; whose questions were open comes back.
-    pub fn lose(&mut self) -> Vec<(usize, Kind, u64)> {
-        self.lost = true;
-        self.slots = Default::default();
-        std::mem::take(&mut self.held).into_iter().map(|((n, kind), held)| (n, kind, held.ask)).collect()
+    /// Fails the service. Returns the front end, kind and identifier of each open request.
+    pub fn fail(&mut self) -> Vec<(usize, Kind, u64)> {
+        self.failed = true;
+        self.poll_slots = Default::default();
+        let requests = std::mem::take(&mut self.open_requests).into_iter();
+        requests.map(|((n, kind), open)| (n, kind, open.request_id)).collect()
     }
 
-    /// Questions that are held open.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    /// Number of open requests.
+    pub fn open_requests(&self) -> usize {
+        self.open_requests.len()
     }
 
-    fn evaluate(&mut self, now: Time, front_end: usize, kind: Kind) -> Option<Answer> {
-        let held = self.held.get_mut(&(front_end, kind))?;
-        if held.seen == Some(self.changes) {
+    fn evaluate(&mut self, now: Time, front_end: usize, kind: Kind) -> Option<OutgoingResponse> {
+        let open = self.open_requests.get_mut(&(front_end, kind))?;
+        if open.evaluated_at_change == Some(self.change_count) {
             return None;
         }
-        held.seen = Some(self.changes);
+        open.evaluated_at_change = Some(self.change_count);
         self.load.offers_evaluated += 1;
-        let running = held.question.running;
+        let running = open.request.running;
         let offered = match self.fault {
-            ServiceFault::None => self.waves.offer(&held.question.front_end, kind, running),
+            ServiceFault::None => self.waves.offer(&open.request.front_end, kind, running),
             ServiceFault::OffersEveryVersion => next_version(&self.waves, kind, running),
         };
         let (version, text) = offered?;
-        let held = self.held.remove(&(front_end, kind))?;
-        self.slots[held.slot].remove(&(front_end, kind));
+        let open = self.open_requests.remove(&(front_end, kind))?;
+        self.poll_slots[open.slot].remove(&(front_end, kind));
         self.nonce += 1;
-        let response = held.question.response(version, &text, &self.name, self.nonce);
+        let response = open.request.response(version, &text, &self.name, self.nonce);
         let (bytes, body) = response_bytes(Some(&response));
-        self.load.message(now, bytes);
+        self.load.record_message(now, bytes);
         self.load.bytes_out += bytes;
         self.load.versions_sent += 1;
-        Some(Answer { front_end, kind, ask: held.ask, bytes, body })
+        Some(OutgoingResponse { front_end, kind, request_id: open.request_id, bytes, body })
     }
 
-    /// What an offer depends on beside the front end's own report.
+    /// The state that decides which versions are offered, apart from the front end's own report.
     fn stages(&self) -> [Option<(u64, Stage)>; 4] {
         Kind::ALL.map(|kind| self.waves.stage(kind).map(|(version, stage)| (version, stage.clone())))
     }
 
-    fn note_change(&mut self, now: Time, before: &[Option<(u64, Stage)>; 4]) {
+    fn record_change(&mut self, now: Time, before: &[Option<(u64, Stage)>; 4]) {
         if self.every_change || *before != self.stages() {
-            self.changes += 1;
+            self.change_count += 1;
             self.changed_at = now;
         }
     }
--- a/crates/badgerwind-scale/src/config_world/settings.rs
+++ b/crates/badgerwind-scale/src/config_world/settings.rs
@@ -1,46 +1,47 @@
-//! Settings of a chosen size: a front end's own file, and versions of each part of it.
+//! Generates settings of a given size: the settings file of a front end, and versions of each kind of part.
 
 use badgerwind_config::Kind;
 use badgerwind_settings::document::{parse, Node};
 use std::fmt::Write;
 
-/// Functions for which there is one route.
-const FUNCTIONS_A_ROUTE: u64 = 10;
+/// Number of functions per route.
+const FUNCTIONS_PER_ROUTE: u64 = 10;
 
-/// Bounds that a version of the limits begins from.
-const CONNECTIONS: u64 = 1_000;
+/// Connection limit of version 0 of the limits. Each version raises it by one.
+const BASE_CONNECTIONS: u64 = 1_000;
 
-const OPEN: &str = "<badgerwind version=\"1\">\n";
-const CLOSE: &str = "</badgerwind>\n";
+const START_TAG: &str = "<badgerwind version=\"1\">\n";
+const END_TAG: &str = "</badgerwind>\n";
 
-/// The longest time in which a call of these settings may still be answered, in microseconds.
-pub const LONGEST_DEADLINE: u64 = 3_000_000;
+/// Longest deadline of a class in these settings, in microseconds.
+pub const MAX_DEADLINE: u64 = 3_000_000;
 
-/// A front end's own file with so many functions.
-pub fn file(functions: u64) -> Result<Node, String> {
-    let mut text = String::from(OPEN);
+/// Parses the settings file of a front end with the given number of functions.
+pub fn settings_file(functions: u64) -> Result<Node, String> {
+    let mut text = String::from(START_TAG);
     text.push_str(&fleet(0));
     text.push_str(&classes(functions, 0));
     text.push_str("<webhook listen=\"127.0.0.1:8080\">");
     text.push_str(&senders_and_routes(functions, 0));
     text.push_str("</webhook>\n<runners key-file=\"runners.key\"/>\n");
     text.push_str("<list address=\"127.0.0.1:9000\" cache=\"runners.json\"/>\n");
-    text.push_str(CLOSE);
+    text.push_str(END_TAG);
     parse("file.xml", &text).map_err(|problem| problem.to_string())
 }
 
-/// The text of a version of a part. Any two versions differ.
-pub fn part(kind: Kind, functions: u64, version: u64) -> String {
+/// The XML text of a version of a part. Versions with different numbers have different texts, except that
+/// those of the fleet and of classes repeat after 1,000 versions.
+pub fn part_text(kind: Kind, functions: u64, version: u64) -> String {
     let content = match kind {
         Kind::Fleet => fleet(version),
         Kind::Classes => classes(functions, version),
         Kind::Routes => format!("<webhook>{}</webhook>\n", senders_and_routes(functions, version)),
-        Kind::Limits => format!("<webhook connections=\"{}\"/>\n", CONNECTIONS + version),
+        Kind::Limits => format!("<webhook connections=\"{}\"/>\n", BASE_CONNECTIONS + version),
     };
-    format!("{OPEN}{content}{CLOSE}")
+    format!("{START_TAG}{content}{END_TAG}")
 }
 
-/// Name of the n-th function.
+/// Name of the function with this number.
 pub fn function_name(number: u64) -> String {
     format!("function-{number:06}")
 }
@@ -64,7 +65,7 @@
     );
     for number in 0..functions {
         let name = function_name(number);
-        // Writing to a string does not fail.
+        // Writing to a `String` never fails.
         _ = writeln!(text, "<function name=\"{name}\" memory-mb=\"400\" load-time=\"800ms\"/>");
     }
     text
@@ -74,8 +75,8 @@
     let mut text = String::from(
         "<sender name=\"portal\" tenant=\"shire\"><secret name=\"a\" file=\"portal.key\"/></sender>\n",
     );
-    for route in 0..functions.div_ceil(FUNCTIONS_A_ROUTE) {
-        let function = function_name(route * FUNCTIONS_A_ROUTE);
+    for route in 0..functions.div_ceil(FUNCTIONS_PER_ROUTE) {
+        let function = function_name(route * FUNCTIONS_PER_ROUTE);
         _ = writeln!(
             text,
             "<route path=\"/route/{route}\" sender=\"portal\" class=\"check\" function=\"{function}\"/>"
--- a/crates/badgerwind-scale/src/rows/config.rs
+++ b/crates/badgerwind-scale/src/rows/config.rs
@@ -1,6 +1,7 @@
-//! A front end's costs of the configuration stream, by the size of the settings and of the list of workers.
+//! Rows of the cost of the configuration stream at a front end, by the size of the settings and by the
+//! number of listed workers.
 
-use crate::config_world::{request_bytes, response_bytes, settings, VERSIONS_A_SECOND};
+use crate::config_world::{request_bytes, response_bytes, settings, VERSIONS_PER_SECOND};
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
@@ -15,30 +16,33 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// What a front end may use for control.
-const MOST_MICROSECONDS: f64 = 10_000.0;
-const MOST_BYTES_A_SECOND: f64 = 6_144.0;
-const MOST_HEAP: f64 = 134_217_728.0;
+/// Bound on the processor time of a front end's control work, in microseconds per second.
+const MAX_PROCESSOR_TIME: f64 = 10_000.0;
+/// Bound on the traffic of a front end's control work, in both directions.
+const MAX_BYTES_PER_SECOND: f64 = 6_144.0;
+/// Bound on the heap of a front end's control work, in bytes.
+const MAX_HEAP: f64 = 134_217_728.0;
 
-/// Calls that are replayed before a version runs, at the most.
+/// Most recorded calls that a front end replays before a version runs.
 const REPLAYED_CALLS: u64 = 2_000;
 
-/// Time between calls of a front end at the planned size, in microseconds.
-const CALL_EVERY: u64 = 1_000_000 / 127;
+/// Time between two calls at a front end of the planned size, in microseconds.
+const CALL_INTERVAL: u64 = 1_000_000 / 127;
 
-/// Functions that the replayed calls are for.
-const CALLED_FUNCTIONS: u64 = 400;
+/// Most distinct functions that the replayed calls name.
+const MAX_CALLED_FUNCTIONS: u64 = 400;
 
-/// Listed workers where the row does not vary them.
-const USUAL_WORKERS: u64 = 120;
+/// Number of listed workers in the row that varies the size of the settings.
+const DEFAULT_WORKERS: u64 = 120;
 
-/// Routers side by side: the newest and four that answer what they hold.
+/// Most routers that run at the same time: the current one, and four that complete their calls.
 const ROUTERS: u64 = 5;
 
-/// Versions of each kind over which processor time is averaged.
-const PLAYED: u64 = 3;
+/// Number of versions of each kind over which the processor time is averaged.
+const VERSIONS_PER_KIND: u64 = 3;
 
-const TIMES: Timing = Timing { stage_timeout: 10_000_000, min_backoff: 500_000, max_backoff: 30_000_000 };
+/// Defaults of the settings.
+const TIMING: Timing = Timing { stage_timeout: 10_000_000, min_backoff: 500_000, max_backoff: 30_000_000 };
 
 const fn metric(name: &'static str, unit: &'static str) -> Metric {
     Metric { name, unit }
@@ -48,7 +52,7 @@
 const ROUTES_BYTES: Metric = metric("a version of routes, in + out", "B");
 const FLEET_BYTES: Metric = metric("a version of the fleet, in + out", "B");
 const LIMITS_BYTES: Metric = metric("a version of limits, in + out", "B");
-const ANSWER_BYTES: Metric = metric("acknowledgement of a version", "B");
+const ACKNOWLEDGEMENT_BYTES: Metric = metric("acknowledgement of a version", "B");
 const CLASSES_TIME: Metric = metric("a version of classes, read, checked and stored", "us");
 const ROUTES_TIME: Metric = metric("a version of routes, read, checked and stored", "us");
 const FLEET_TIME: Metric = metric("a version of the fleet, read, checked and stored", "us");
@@ -57,22 +61,22 @@
 const ROUTER_TIME: Metric = metric("start of a router", "us");
 const SETTINGS_HEAP: Metric = metric("heap of the client and the settings", "B");
 const ROUTERS_HEAP: Metric = metric("heap of five routers with the list, no calls", "B");
-const HEAP: Metric = metric("heap of client, settings and five routers", "B");
-const CLASSES_BYTES_A_SECOND: Metric = metric("31,000 versions of classes a day, in + out", "B/s");
-const ROUTES_BYTES_A_SECOND: Metric = metric("31,000 versions of routes a day, in + out", "B/s");
-const LIMITS_BYTES_A_SECOND: Metric = metric("31,000 versions of limits a day, in + out", "B/s");
-const CLASSES_TIME_A_SECOND: Metric = metric("31,000 versions of classes a day, without replay", "us/s");
-const ROUTES_TIME_A_SECOND: Metric = metric("31,000 versions of routes a day, without replay", "us/s");
-const LIMITS_TIME_A_SECOND: Metric = metric("31,000 versions of limits a day, without replay", "us/s");
-const REPLAY_TIME_A_SECOND: Metric = metric("31,000 replays a day, 120 workers", "us/s");
+const TOTAL_HEAP: Metric = metric("heap of client, settings and five routers", "B");
+const CLASSES_BYTES_PER_SECOND: Metric = metric("31,000 versions of classes a day, in + out", "B/s");
+const ROUTES_BYTES_PER_SECOND: Metric = metric("31,000 versions of routes a day, in + out", "B/s");
+const LIMITS_BYTES_PER_SECOND: Metric = metric("31,000 versions of limits a day, in + out", "B/s");
+const CLASSES_TIME_PER_SECOND: Metric = metric("31,000 versions of classes a day, without replay", "us/s");
+const ROUTES_TIME_PER_SECOND: Metric = metric("31,000 versions of routes a day, without replay", "us/s");
+const LIMITS_TIME_PER_SECOND: Metric = metric("31,000 versions of limits a day, without replay", "us/s");
+const REPLAY_TIME_PER_SECOND: Metric = metric("31,000 replays a day, 120 workers", "us/s");
 
 const REPLAY: Metric = metric("replay of 2,000 calls", "us");
-const REPLAY_A_SECOND: Metric = metric("31,000 replays a day", "us/s");
+const REPLAY_PER_SECOND: Metric = metric("31,000 replays a day", "us/s");
 
-/// What a version costs a front end, by the size of the settings.
+/// Row of the cost of one version at a front end, by the size of the settings.
 pub struct ConfigClient;
 
-/// What one version cost.
+/// Cost of one version at a front end.
 #[derive(Clone, Copy, Default)]
 struct VersionCost {
     bytes_in: u64,
@@ -80,59 +84,69 @@
     microseconds: f64,
 }
 
-/// A client of the stream to which versions are offered one by one.
-struct Follower {
+/// Offers versions to a client one at a time, and carries out its actions immediately.
+struct ClientHarness {
     client: Client,
-    open: BTreeMap<Kind, u64>,
+    /// The open request of each kind.
+    open_requests: BTreeMap<Kind, u64>,
+    /// The settings applied last.
     settings: Option<std::sync::Arc<Settings>>,
 }
 
-impl Follower {
+impl ClientHarness {
     fn new(functions: u64) -> Result<Self, String> {
-        let file = settings::file(functions)?;
+        let file = settings::settings_file(functions)?;
         let name = ("front-00000".to_owned(), "main".to_owned());
         let (client, ..) =
-            Client::new(name, file, Vec::new(), TIMES).map_err(|problems| format!("{problems:?}"))?;
-        let mut follower = Follower { client, open: BTreeMap::new(), settings: None };
-        let mut out = Vec::new();
-        follower.client.start(0, &mut out);
-        follower.carry(out);
-        Ok(follower)
+            Client::new(name, file, Vec::new(), TIMING).map_err(|problems| format!("{problems:?}"))?;
+        let mut harness = ClientHarness { client, open_requests: BTreeMap::new(), settings: None };
+        let mut actions = Vec::new();
+        harness.client.start(0, &mut actions);
+        harness.execute(actions);
+        Ok(harness)
     }
 
-    /// Offers a version and lets it go through.
-    fn take(&mut self, kind: Kind, version: u64, text: &str) -> Result<VersionCost, String> {
-        let question = ResourceRequest { front_end: "front-00000".into(), kind, running: None };
-        let response = question.response(version, text, "control-0", version);
+    /// Offers a version and applies it.
+    fn offer(&mut self, kind: Kind, version: u64, text: &str) -> Result<VersionCost, String> {
+        let request = ResourceRequest { front_end: "front-00000".into(), kind, running: None };
+        let response = request.response(version, text, "control-0", version);
         let (bytes_in, body) = response_bytes(Some(&response));
-        let ask = self.open.get(&kind).copied().ok_or("no question is open")?;
+        let request_id = self
+            .open_requests
+            .get(&kind)
+            .copied()
+            .ok_or_else(|| format!("the client has no open request for {}", kind.name()))?;
         let meter = ProcessorMeter::start();
         let response = serde_json::from_slice(&body).map_err(|e| e.to_string())?;
-        let mut out = Vec::new();
-        self.client.handle(0, Input::Response { kind, request_id: ask, response: Some(response) }, &mut out);
-        let bytes_out = self.carry(out);
+        let mut actions = Vec::new();
+        self.client.handle(0, Input::Response { kind, request_id, response: Some(response) }, &mut actions);
+        let bytes_out = self.execute(actions);
         let microseconds = meter.microseconds();
         let running = self.client.report().into_iter().find(|r| r.kind == kind).and_then(|r| r.running);
         if running != Some(version) {
-            return Err(format!("{} {version} does not run: {:?}", kind.name(), self.client.report()));
+            return Err(format!(
+                "version {version} of {} does not run: {:?}",
+                kind.name(),
+                self.client.report()
+            ));
         }
         Ok(VersionCost { bytes_in, bytes_out, microseconds })
     }
 
-    /// Carries out what the client wants, at once; the bytes of its questions.
-    fn carry(&mut self, mut out: Vec<Action>) -> u64 {
+    /// Carries out the client's actions until none is left. Returns the encoded size of its requests.
+    fn execute(&mut self, mut actions: Vec<Action>) -> u64 {
         let mut bytes = 0;
-        while !out.is_empty() {
-            let input = match out.remove(0) {
+        while !actions.is_empty() {
+            let input = match actions.remove(0) {
                 Action::SendRequest { kind, request_id, request } => {
                     let service = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 7_000);
                     bytes += request_bytes(service, kind, &request).0;
-                    self.open.insert(kind, request_id);
+                    self.open_requests.insert(kind, request_id);
                     continue;
                 }
                 Action::Prepare { ticket, .. } => Input::Prepared { ticket, result: Ok(()) },
                 Action::Store { ticket, parts } => {
-                    // What the disk would get; the writing itself is no processor time.
+                    // The encoding that would be written to disk; disk I/O is not part of the processor time.
                     std::hint::black_box(storage::encode(&parts));
                     Input::Stored { ticket, result: Ok(()) }
                 }
@@ -141,32 +155,38 @@
                     Input::Applied { ticket }
                 }
             };
-            self.client.handle(0, input, &mut out);
+            self.client.handle(0, input, &mut actions);
         }
         bytes
     }
 }
 
-fn average(functions: u64, kind: Kind, seed: u64, follower: &mut Follower) -> Result<VersionCost, String> {
-    let mut sum = VersionCost::default();
+/// Mean processor time of several versions of a kind, and the bytes of the last of them.
+fn mean_version_cost(
+    functions: u64,
+    kind: Kind,
+    seed: u64,
+    harness: &mut ClientHarness,
+) -> Result<VersionCost, String> {
+    let mut mean = VersionCost::default();
     let first = 100 + seed % 100;
-    for version in first..first + PLAYED {
-        let cost = follower.take(kind, version, &settings::part(kind, functions, version))?;
-        sum.microseconds += cost.microseconds / PLAYED as f64;
-        (sum.bytes_in, sum.bytes_out) = (cost.bytes_in, cost.bytes_out);
+    for version in first..first + VERSIONS_PER_KIND {
+        let cost = harness.offer(kind, version, &settings::part_text(kind, functions, version))?;
+        mean.microseconds += cost.microseconds / VERSIONS_PER_KIND as f64;
+        (mean.bytes_in, mean.bytes_out) = (cost.bytes_in, cost.bytes_out);
     }
-    Ok(sum)
+    Ok(mean)
 }
 
-/// Bytes of the question by which a front end acknowledges a version of classes.
+/// Encoded size of the request that acknowledges a version of classes.
 pub fn acknowledgement_bytes(functions: u64, seed: u64) -> Result<u64, String> {
-    let mut follower = Follower::new(functions)?;
-    let cost = average(functions, Kind::Classes, seed, &mut follower)?;
+    let mut harness = ClientHarness::new(functions)?;
+    let cost = mean_version_cost(functions, Kind::Classes, seed, &mut harness)?;
     Ok(cost.bytes_out)
 }
 
-/// Workers as listed.
-fn workers(count: u64) -> Vec<WorkerEntry> {
+/// A list of identical workers.
+fn worker_entries(count: u64) -> Vec<WorkerEntry> {
     let entry = |worker| WorkerEntry {
         worker,
         zone: 0,
@@ -179,16 +199,16 @@
     (0..count as u32).map(entry).collect()
 }
 
-/// Calls as a front end records them.
-fn recorded(functions: u64) -> Vec<RecordedCall> {
-    let called = functions.clamp(1, CALLED_FUNCTIONS);
+/// Generates calls as a front end records them.
+fn recorded_calls(functions: u64) -> Vec<RecordedCall> {
+    let called = functions.clamp(1, MAX_CALLED_FUNCTIONS);
     let call = |number: u64| RecordedCall {
-        arrived_at: 1_000_000 + number * CALL_EVERY,
+        arrived_at: 1_000_000 + number * CALL_INTERVAL,
         class: "check".into(),
         tenant: "shire".into(),
-        // A step that shares no factor with the number of functions spreads calls over all of them.
+        // The step is a prime above the number of functions, so that the calls are spread over all of them.
         function: settings::function_name(number * 7_919 % called),
-        sender_timeout: settings::LONGEST_DEADLINE,
+        sender_timeout: settings::MAX_DEADLINE,
         served: true,
         latency: 60_000 + number * 37 % 80 * 1_000,
     };
@@ -196,49 +216,49 @@
 }
 
 fn replay_microseconds(settings: &Settings, functions: u64, listed: u64) -> Result<f64, String> {
-    let (entries, calls) = (workers(listed), recorded(functions));
+    let (entries, calls) = (worker_entries(listed), recorded_calls(functions));
     let meter = ProcessorMeter::start();
-    let shown = replay(settings, &entries, &calls)?;
+    let result = replay(settings, &entries, &calls)?;
     let microseconds = meter.microseconds();
-    if shown.calls as u64 != REPLAYED_CALLS {
-        return Err(format!("only {} calls were replayed", shown.calls));
+    if result.calls as u64 != REPLAYED_CALLS {
+        return Err(format!("only {} of {REPLAYED_CALLS} calls were replayed", result.calls));
     }
     Ok(microseconds)
 }
 
-/// Processor time and heap of a router that begins with the list.
-fn router(settings: &Settings, listed: u64) -> (f64, u64) {
+/// Processor time to start a router with the list, and its heap.
+fn router_cost(settings: &Settings, listed: u64) -> (f64, u64) {
     let (heap, meter) = (HeapMeter::start(), ProcessorMeter::start());
     let router = Router::new(1, settings.router.clone());
     let mut driver: Driver<Router, (), u64, ()> = Driver::new(router, driver_limits(settings));
-    let list = badgerwind_driver::Input::List { kind: ListKind::Whole, entries: workers(listed) };
+    let list = badgerwind_driver::Input::List { kind: ListKind::Whole, entries: worker_entries(listed) };
     driver.on_batch(1, [list], &mut Vec::new());
-    let figures = (meter.microseconds(), heap.net_bytes());
+    let cost = (meter.microseconds(), heap.net_bytes());
     drop(driver);
-    figures
+    cost
 }
 
 impl ConfigClient {
-    fn figures(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
+    fn measurements(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
         let heap = HeapMeter::start();
-        let mut follower = Follower::new(size)?;
-        let mut cost = BTreeMap::new();
+        let mut harness = ClientHarness::new(size)?;
+        let mut costs = BTreeMap::new();
         for kind in Kind::ALL {
-            cost.insert(kind, average(size, kind, seed, &mut follower)?);
+            costs.insert(kind, mean_version_cost(size, kind, seed, &mut harness)?);
         }
         let settings_heap = heap.net_bytes();
-        let settings = follower.settings.clone().ok_or("no settings were applied")?;
-        let replay = replay_microseconds(&settings, size, USUAL_WORKERS)?;
-        let (router_time, router_heap) = router(&settings, USUAL_WORKERS);
+        let settings = harness.settings.clone().ok_or("no settings were applied")?;
+        let replay = replay_microseconds(&settings, size, DEFAULT_WORKERS)?;
+        let (router_time, router_heap) = router_cost(&settings, DEFAULT_WORKERS);
         let routers_heap = router_heap * ROUTERS;
-        let bytes = |kind: Kind| (cost[&kind].bytes_in + cost[&kind].bytes_out) as f64;
-        let time = |kind: Kind| cost[&kind].microseconds;
-        let figures = [
+        let bytes = |kind: Kind| (costs[&kind].bytes_in + costs[&kind].bytes_out) as f64;
+        let time = |kind: Kind| costs[&kind].microseconds;
+        let values = [
             (CLASSES_BYTES, bytes(Kind::Classes)),
             (ROUTES_BYTES, bytes(Kind::Routes)),
             (FLEET_BYTES, bytes(Kind::Fleet)),
             (LIMITS_BYTES, bytes(Kind::Limits)),
-            (ANSWER_BYTES, cost[&Kind::Classes].bytes_out as f64),
+            (ACKNOWLEDGEMENT_BYTES, costs[&Kind::Classes].bytes_out as f64),
             (CLASSES_TIME, time(Kind::Classes)),
             (ROUTES_TIME, time(Kind::Routes)),
             (FLEET_TIME, time(Kind::Fleet)),
@@ -247,20 +267,20 @@
             (ROUTER_TIME, router_time),
             (SETTINGS_HEAP, settings_heap as f64),
             (ROUTERS_HEAP, routers_heap as f64),
-            (HEAP, (settings_heap + routers_heap) as f64),
-            (CLASSES_BYTES_A_SECOND, bytes(Kind::Classes) * VERSIONS_A_SECOND),
-            (ROUTES_BYTES_A_SECOND, bytes(Kind::Routes) * VERSIONS_A_SECOND),
-            (LIMITS_BYTES_A_SECOND, bytes(Kind::Limits) * VERSIONS_A_SECOND),
-            (CLASSES_TIME_A_SECOND, (time(Kind::Classes) + router_time) * VERSIONS_A_SECOND),
-            (ROUTES_TIME_A_SECOND, time(Kind::Routes) * VERSIONS_A_SECOND),
-            (LIMITS_TIME_A_SECOND, time(Kind::Limits) * VERSIONS_A_SECOND),
-            (REPLAY_TIME_A_SECOND, replay * VERSIONS_A_SECOND),
+            (TOTAL_HEAP, (settings_heap + routers_heap) as f64),
+            (CLASSES_BYTES_PER_SECOND, bytes(Kind::Classes) * VERSIONS_PER_SECOND),
+            (ROUTES_BYTES_PER_SECOND, bytes(Kind::Routes) * VERSIONS_PER_SECOND),
+            (LIMITS_BYTES_PER_SECOND, bytes(Kind::Limits) * VERSIONS_PER_SECOND),
+            (CLASSES_TIME_PER_SECOND, (time(Kind::Classes) + router_time) * VERSIONS_PER_SECOND),
+            (ROUTES_TIME_PER_SECOND, time(Kind::Routes) * VERSIONS_PER_SECOND),
+            (LIMITS_TIME_PER_SECOND, time(Kind::Limits) * VERSIONS_PER_SECOND),
+            (REPLAY_TIME_PER_SECOND, replay * VERSIONS_PER_SECOND),
         ];
-        Ok(figures.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
+        Ok(values.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
     }
 }
 
-/// All rows of a configuration client.
+/// All rows of the configuration stream at a front end.
 pub fn rows() -> Vec<Box<dyn Row>> {
     vec![Box::new(ConfigClient), Box::new(ConfigReplay)]
 }
@@ -275,8 +295,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "a version at one front end: bytes of HTTP and body, processor time without network and disk, heap; the whole \
-         part is sent, 4 MiB at the most (about 56,000 functions)"
+        "cost of one version at a front end: bytes of HTTP heads and bodies, processor time without network and disk, \
+         heap; the whole part is sent, at most 4 MiB (about 56,000 functions)"
     }
 
     fn variable(&self) -> &'static str {
@@ -292,17 +312,17 @@
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let bytes = |metric| Bound { metric, max: MOST_BYTES_A_SECOND, source: "6 KB a second for control" };
-        let time = |metric| Bound { metric, max: MOST_MICROSECONDS, source: "1% of a core for control" };
+        let bytes = |metric| Bound { metric, max: MAX_BYTES_PER_SECOND, source: "6 KB a second for control" };
+        let time = |metric| Bound { metric, max: MAX_PROCESSOR_TIME, source: "1% of a core for control" };
         vec![
-            bytes(CLASSES_BYTES_A_SECOND),
-            bytes(ROUTES_BYTES_A_SECOND),
-            bytes(LIMITS_BYTES_A_SECOND),
-            time(CLASSES_TIME_A_SECOND),
-            time(ROUTES_TIME_A_SECOND),
-            time(LIMITS_TIME_A_SECOND),
-            time(REPLAY_TIME_A_SECOND),
-            Bound { metric: HEAP, max: MOST_HEAP, source: "128 MB for control" },
+            bytes(CLASSES_BYTES_PER_SECOND),
+            bytes(ROUTES_BYTES_PER_SECOND),
+            bytes(LIMITS_BYTES_PER_SECOND),
+            time(CLASSES_TIME_PER_SECOND),
+            time(ROUTES_TIME_PER_SECOND),
+            time(LIMITS_TIME_PER_SECOND),
+            time(REPLAY_TIME_PER_SECOND),
+            Bound { metric: TOTAL_HEAP, max: MAX_HEAP, source: "128 MB for control" },
         ]
     }
 
@@ -312,24 +332,24 @@
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let failed = |reason| ScaleError::NotSettled { row: self.name(), size, reason };
-        Self::figures(size, seed).map_err(failed)
+        Self::measurements(size, seed).map_err(failed)
     }
 }
 
-/// What the replay before a version costs, by the list of workers.
+/// Row of the cost of the replay before a version runs, by the number of listed workers.
 pub struct ConfigReplay;
 
-/// Functions in the settings of this row.
+/// Number of functions in the settings of [`ConfigReplay`].
 const REPLAY_FUNCTIONS: u64 = 1_000;
 
 impl ConfigReplay {
-    fn figures(size: u64) -> Result<Vec<Measurement>, String> {
-        let file = settings::file(REPLAY_FUNCTIONS)?;
+    fn measurements(size: u64) -> Result<Vec<Measurement>, String> {
+        let file = settings::settings_file(REPLAY_FUNCTIONS)?;
         let settings = read_tree(&file).map_err(|problems| format!("{problems:?}"))?;
         let replay = replay_microseconds(&settings, REPLAY_FUNCTIONS, size)?;
         Ok(vec![
             Measurement { metric: REPLAY, value: replay },
-            Measurement { metric: REPLAY_A_SECOND, value: replay * VERSIONS_A_SECOND },
+            Measurement { metric: REPLAY_PER_SECOND, value: replay * VERSIONS_PER_SECOND },
         ])
     }
 }
@@ -344,7 +364,7 @@
     }
 
     fn about(&self) -> &'static str {
-        "2,000 recorded calls of 16 s replayed through a new router before a version runs, 1,000 functions"
+        "replay of 2,000 recorded calls of 16 s through a new router before a version runs, 1,000 functions"
     }
 
     fn variable(&self) -> &'static str {
@@ -361,7 +381,7 @@
 
     fn bounds(&self) -> Vec<Bound> {
         let source = "1% of a core for control";
-        vec![Bound { metric: REPLAY_A_SECOND, max: MOST_MICROSECONDS, source }]
+        vec![Bound { metric: REPLAY_PER_SECOND, max: MAX_PROCESSOR_TIME, source }]
     }
 
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
@@ -370,6 +390,6 @@
 
     fn measure(&self, size: u64, _seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let failed = |reason| ScaleError::NotSettled { row: self.name(), size, reason };
-        Self::figures(size).map_err(failed)
+        Self::measurements(size).map_err(failed)
     }
 }
--- a/crates/badgerwind-scale/src/rows/control.rs
+++ b/crates/badgerwind-scale/src/rows/control.rs
@@ -1,6 +1,9 @@
-//! Costs of the control service by connected front ends, and its bad hours.
+//! Rows of the cost of the control service, by the number of its front ends: in normal operation, after the
+//! failure of another control service, and when front ends restart or reconnect.
 
-use crate::config_world::{Load, Plan, World, FRONT_ENDS_A_MACHINE, SECOND, VERSIONS_A_SECOND};
+use crate::config_world::{
+    Scenario, ServiceLoad, Simulation, FRONT_ENDS_PER_SERVICE, SECOND, VERSIONS_PER_SECOND,
+};
 use crate::cost::HeapMeter;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
@@ -12,17 +15,18 @@
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp};
 
-/// Front ends have started and their questions are held by then.
+/// Time by which all front ends have started and their requests are open.
 const STARTED: u64 = 3 * SECOND;
 
-/// A version is given so long to be acknowledged by all.
-const MOST_VERSION_TIME: u64 = 20 * SECOND;
+/// Time limit for all front ends to acknowledge a version.
+const MAX_VERSION_TIME: u64 = 20 * SECOND;
 
-/// Steps in which it is looked whether all have acknowledged.
-const STEP: u64 = SECOND / 20;
+/// Simulated time between checks of whether the awaited state is reached.
+const CHECK_INTERVAL: u64 = SECOND / 20;
 
-/// Bounds on a control machine that the letter does not give: one core of it.
-const CORE: f64 = 1e6;
+/// Bound on the processor time of a control service, in microseconds per second: one core. This is an
+/// assumption, because the requirements give no bound.
+const MAX_PROCESSOR_TIME: f64 = 1e6;
 
 const fn metric(name: &'static str, unit: &'static str) -> Metric {
     Metric { name, unit }
@@ -41,38 +45,40 @@
 const DAY_BYTES: Metric = metric("31,000 versions a day, bytes in + out", "B/s");
 const DAY_TIME: Metric = metric("31,000 versions a day, processor time", "us/s");
 
-fn bytes(load: &Load) -> u64 {
+fn total_bytes(load: &ServiceLoad) -> u64 {
     load.bytes_in + load.bytes_out
 }
 
-/// What a control machine has to do.
+/// Row of the work of a control service for one version, and while no versions are published.
 pub struct ConfigService;
 
 impl ConfigService {
-    /// The world of one machine, as it is measured.
-    pub fn plan(size: u64, seed: u64) -> Plan {
-        Plan { rules: Plan::AT_ONCE, every_change: true, ..Plan::new(size as usize, 1, seed) }
-    }
-
-    fn figures(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
-        let mut world = World::new(Self::plan(size, seed))?;
-        world.run_until(STARTED);
-        let begun = world.load(0).clone();
-        world.run_until(STARTED + SECOND);
-        let idle = world.load(0).clone();
+    /// The measured scenario: one control service, without waves.
+    pub fn scenario(size: u64, seed: u64) -> Scenario {
+        let base = Scenario::new(size as usize, 1, seed);
+        Scenario { rollout: Scenario::ALL_AT_ONCE, every_change: true, ..base }
+    }
+
+    fn measurements(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
+        let mut simulation = Simulation::new(Self::scenario(size, seed))?;
+        simulation.run_until(STARTED);
+        let started = simulation.load(0).clone();
+        simulation.run_until(STARTED + SECOND);
+        let idle = simulation.load(0).clone();
         let published = STARTED + SECOND;
-        world.publish(published, Kind::Classes);
-        let done = until_all_run(&mut world, size, Kind::Classes, published + MOST_VERSION_TIME)?;
-        let after = world.load(0).clone();
-        let spent = after.processor_microseconds - idle.processor_microseconds;
-        let idle_time = idle.processor_microseconds - begun.processor_microseconds;
-        let over = (done - published) as f64 / SECOND as f64;
-        let version_time = (spent - idle_time * over).max(0.0);
-        let version_bytes = (bytes(&after) - bytes(&idle)) as f64;
-        let idle_offers = (idle.offers_evaluated - begun.offers_evaluated) as f64;
-        let idle_bytes = idle_bytes_a_second(&begun, size);
+        simulation.publish(published, Kind::Classes);
+        let deadline = published + MAX_VERSION_TIME;
+        let acknowledged = run_until_acknowledged(&mut simulation, size, Kind::Classes, deadline)?;
+        let after = simulation.load(0).clone();
+        let busy_time = after.processor_microseconds - idle.processor_microseconds;
+        let idle_time = idle.processor_microseconds - started.processor_microseconds;
+        let elapsed = (acknowledged - published) as f64 / SECOND as f64;
+        let version_time = (busy_time - idle_time * elapsed).max(0.0);
+        let version_bytes = (total_bytes(&after) - total_bytes(&idle)) as f64;
+        let idle_offers = (idle.offers_evaluated - started.offers_evaluated) as f64;
+        let idle_bytes = idle_bytes_per_second(&started, size);
         let offers = (after.offers_evaluated - idle.offers_evaluated) as f64;
-        let figures = [
+        let values = [
             (MESSAGES, (after.messages - idle.messages) as f64),
             (BYTES_IN, (after.bytes_in - idle.bytes_in) as f64),
             (BYTES_OUT, (after.bytes_out - idle.bytes_out) as f64),
@@ -82,47 +88,55 @@
             (IDLE_TIMERS, (4 * 100 * size) as f64),
             (IDLE_BYTES, idle_bytes),
             (IDLE_TIME, idle_time),
-            (HEAP, known_heap(size) as f64),
-            (DAY_BYTES, idle_bytes + version_bytes * VERSIONS_A_SECOND),
-            (DAY_TIME, idle_time + version_time * VERSIONS_A_SECOND),
+            (HEAP, front_end_state_heap(size) as f64),
+            (DAY_BYTES, idle_bytes + version_bytes * VERSIONS_PER_SECOND),
+            (DAY_TIME, idle_time + version_time * VERSIONS_PER_SECOND),
         ];
-        Ok(figures.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
+        Ok(values.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
     }
 }
 
-/// Plays on until all front ends run the newest version of a kind and have said so.
-fn until_all_run(world: &mut World, size: u64, kind: Kind, most: u64) -> Result<u64, String> {
-    let newest = world.published().get(&kind).and_then(|v| v.last()).map(|v| v.0);
-    let all = |world: &World| (0..size as usize).all(|n| world.running(n, kind) == newest);
-    while !all(world) {
-        if world.now() >= most {
-            return Err(format!("not all front ends run {} {newest:?}", kind.name()));
+/// Runs until all front ends run the newest version of a kind and have acknowledged it. Returns the time
+/// then.
+fn run_until_acknowledged(
+    simulation: &mut Simulation,
+    size: u64,
+    kind: Kind,
+    deadline: u64,
+) -> Result<u64, String> {
+    let newest = simulation.published().get(&kind).and_then(|v| v.last()).map(|v| v.0);
+    let all_run = |simulation: &Simulation| (0..size as usize).all(|n| simulation.running(n, kind) == newest);
+    while !all_run(simulation) {
+        if simulation.now() >= deadline {
+            return Err(format!("not all front ends run version {newest:?} of {}", kind.name()));
         }
-        world.run_until(world.now() + STEP);
+        simulation.run_until(simulation.now() + CHECK_INTERVAL);
     }
-    // The last acknowledgements are on their way.
-    world.run_until(world.now() + STEP);
-    Ok(world.now())
+    // The last acknowledgements are still in transit.
+    simulation.run_until(simulation.now() + CHECK_INTERVAL);
+    Ok(simulation.now())
 }
 
-/// Each front end asks about four kinds again every 20 s where there is nothing new; taken from its first questions.
-fn idle_bytes_a_second(begun: &Load, size: u64) -> f64 {
-    let question = begun.bytes_in as f64 / begun.messages.max(1) as f64;
-    let answer = crate::config_world::response_bytes(None).0 as f64;
-    4.0 * size as f64 * (question + answer) / 20.0
+/// Traffic of front ends that each repeat a request for each of the four kinds every 20 s, because there is
+/// no new version. The size of a request is the mean of the first requests, which are all messages until
+/// `started`.
+fn idle_bytes_per_second(started: &ServiceLoad, size: u64) -> f64 {
+    let request = started.bytes_in as f64 / started.messages.max(1) as f64;
+    let response = crate::config_world::response_bytes(None).0 as f64;
+    4.0 * size as f64 * (request + response) / 20.0
 }
 
-/// Heap that the waves keep of so many front ends that run a version of each kind.
-fn known_heap(size: u64) -> u64 {
+/// Heap of the state that the waves keep for front ends that run a version of each kind.
+fn front_end_state_heap(size: u64) -> u64 {
     let heap = HeapMeter::start();
-    let mut waves = Waves::new(Plan::AT_ONCE);
+    let mut waves = Waves::new(Scenario::ALL_AT_ONCE);
     for kind in Kind::ALL {
-        // The first version of a kind is never refused.
+        // Publishing the first version of a kind never fails.
         _ = waves.publish(kind, 1, "".into());
     }
     let report = |kind| Report { kind, running: Some(1), offered: None, rejected: None };
     let reports = Kind::ALL.map(report);
-    // One pass a kind would be the same: what is kept does not depend on the order.
+    // All kinds are reported at once. Separate reports of each kind would leave the same state.
     for number in 0..size {
         waves.record_report(0, &format!("front-{number:05}"), &reports, Health::default());
     }
@@ -131,9 +145,14 @@
     bytes
 }
 
-/// All rows of the configuration service.
+/// All rows of the control service.
 pub fn rows() -> Vec<Box<dyn Row>> {
-    vec![Box::new(ConfigService), Box::new(MachineLost), Box::new(ConfigRestart), Box::new(ConfigRejoin)]
+    vec![
+        Box::new(ConfigService),
+        Box::new(ConfigMachineLost),
+        Box::new(ConfigRestart),
+        Box::new(ConfigRejoin),
+    ]
 }
 
 impl Row for ConfigService {
@@ -146,8 +165,9 @@
     }
 
     fn about(&self) -> &'static str {
-        "one version of classes (10 functions) let out at once by one control machine: real waves, real messages, \
-         held questions looked at as often as the service does; processor time without sockets and timers"
+        "one version of classes (10 functions), offered to all front ends at once by one control service with real waves \
+         and messages; open requests are evaluated as often as by the real service; processor time without sockets and \
+         timers"
     }
 
     fn variable(&self) -> &'static str {
@@ -159,11 +179,15 @@
     }
 
     fn planned_size(&self) -> u64 {
-        FRONT_ENDS_A_MACHINE
+        FRONT_ENDS_PER_SERVICE
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        vec![Bound { metric: DAY_TIME, max: CORE, source: "one core of a control machine (assumed)" }]
+        vec![Bound {
+            metric: DAY_TIME,
+            max: MAX_PROCESSOR_TIME,
+            source: "one core of a control machine (assumed)",
+        }]
     }
 
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
@@ -172,53 +196,56 @@
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let failed = |reason| ScaleError::NotSettled { row: self.name(), size, reason };
-        Self::figures(size, seed).map_err(failed)
+        Self::measurements(size, seed).map_err(failed)
     }
 }
 
-/// A control machine is lost, and its front ends go to the next one.
-pub struct MachineLost;
+/// Row of the failure of a control service, whose front ends switch to the next one.
+pub struct ConfigMachineLost;
 
 const LOST_MESSAGES: Metric =
     metric("machine lost, messages in the busiest second at the next one", "messages/s");
 const LOST_BYTES: Metric = metric("machine lost, bytes in the busiest second at the next one", "B/s");
-const LOST_HELD: Metric = metric("machine lost, front ends of the next one after a minute", "front ends");
+const LOST_FRONT_ENDS: Metric =
+    metric("machine lost, front ends of the next one after a minute", "front ends");
 const LOST_TIME: Metric = metric("machine lost, until all follow again", "s");
 
-/// Machines of this world.
-const MACHINES: u64 = 4;
-
-/// When the machine is lost.
-const LOST_AT: u64 = 10 * SECOND;
-
-impl MachineLost {
-    fn figures(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
-        let front_ends = size * MACHINES;
-        let plan = Plan { rules: Plan::AT_ONCE, ..Plan::new(front_ends as usize, MACHINES as usize, seed) };
-        let mut world = World::new(plan)?;
-        world.run_until(LOST_AT);
-        world.lose_service(0);
-        let questions = 4 * 2 * size as usize;
-        let mut followed = None;
-        while world.now() < LOST_AT + 60 * SECOND {
-            world.run_until(world.now() + STEP);
-            if followed.is_none() && world.held(1) == questions {
-                followed = Some(world.now() - LOST_AT);
+/// Number of control services in [`ConfigMachineLost`].
+const SERVICES: u64 = 4;
+
+/// When the control service fails.
+const FAILED_AT: u64 = 10 * SECOND;
+
+impl ConfigMachineLost {
+    fn measurements(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
+        let front_ends = size * SERVICES;
+        let base = Scenario::new(front_ends as usize, SERVICES as usize, seed);
+        let mut simulation = Simulation::new(Scenario { rollout: Scenario::ALL_AT_ONCE, ..base })?;
+        simulation.run_until(FAILED_AT);
+        simulation.fail_service(0);
+        // The next service has one open request per kind of its own front ends and of those of the failed
+        // service.
+        let expected_requests = 4 * 2 * size as usize;
+        let mut recovered = None;
+        while simulation.now() < FAILED_AT + 60 * SECOND {
+            simulation.run_until(simulation.now() + CHECK_INTERVAL);
+            if recovered.is_none() && simulation.open_requests(1) == expected_requests {
+                recovered = Some(simulation.now() - FAILED_AT);
             }
         }
-        let (messages, bytes) = world.load(1).busiest(LOST_AT, LOST_AT + 9 * SECOND);
-        let seconds = followed.map_or(60.0, |time| time as f64 / SECOND as f64);
-        let figures = [
+        let (messages, bytes) = simulation.load(1).busiest_second(FAILED_AT, FAILED_AT + 9 * SECOND);
+        let seconds = recovered.map_or(60.0, |time| time as f64 / SECOND as f64);
+        let values = [
             (LOST_MESSAGES, messages as f64),
             (LOST_BYTES, bytes as f64),
-            (LOST_HELD, world.held(1) as f64 / 4.0),
+            (LOST_FRONT_ENDS, simulation.open_requests(1) as f64 / 4.0),
             (LOST_TIME, seconds),
         ];
-        Ok(figures.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
+        Ok(values.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
     }
 }
 
-impl Row for MachineLost {
+impl Row for ConfigMachineLost {
     fn name(&self) -> &'static str {
         "config-machine-lost"
     }
@@ -228,8 +255,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "one of four control machines is lost; its front ends name the same next one in their settings, which has as \
-         many of its own"
+        "one of four control services fails; all its front ends have the same next service in their settings, which \
+         serves as many front ends before the failure"
     }
 
     fn variable(&self) -> &'static str {
@@ -241,7 +268,7 @@
     }
 
     fn planned_size(&self) -> u64 {
-        FRONT_ENDS_A_MACHINE
+        FRONT_ENDS_PER_SERVICE
     }
 
     fn bounds(&self) -> Vec<Bound> {
@@ -249,80 +276,85 @@
     }
 
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        16_000_000 + MACHINES * size * 120_000
+        16_000_000 + SERVICES * size * 120_000
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let failed = |reason| ScaleError::NotSettled { row: self.name(), size, reason };
-        Self::figures(size, seed).map_err(failed)
+        Self::measurements(size, seed).map_err(failed)
     }
 }
 
-/// Front ends that restart together.
+/// Row of front ends that restart at the same time.
 pub struct ConfigRestart;
 
-const NEW_VERSIONS: Metric = metric("new disk, versions sent to a front end", "versions");
-const NEW_BYTES: Metric = metric("new disk, bytes to and from a front end until it follows", "B");
-const NEW_BUSIEST: Metric = metric("new disk, bytes in the busiest second at the machine", "B/s");
-const NEW_MESSAGES: Metric = metric("new disk, messages in the busiest second at the machine", "messages/s");
-const OLD_VERSIONS: Metric = metric("stored settings, versions sent to a front end", "versions");
-const OLD_BYTES: Metric = metric("stored settings, bytes to and from a front end until it follows", "B");
-const OLD_BUSIEST: Metric = metric("stored settings, bytes in the busiest second at the machine", "B/s");
+const NEW_DISK_VERSIONS: Metric = metric("new disk, versions sent to a front end", "versions");
+const NEW_DISK_BYTES: Metric = metric("new disk, bytes to and from a front end until it follows", "B");
+const NEW_DISK_BUSIEST: Metric = metric("new disk, bytes in the busiest second at the machine", "B/s");
+const NEW_DISK_MESSAGES: Metric =
+    metric("new disk, messages in the busiest second at the machine", "messages/s");
+const STORED_VERSIONS: Metric = metric("stored settings, versions sent to a front end", "versions");
+const STORED_BYTES: Metric = metric("stored settings, bytes to and from a front end until it follows", "B");
+const STORED_BUSIEST: Metric = metric("stored settings, bytes in the busiest second at the machine", "B/s");
 
-/// Functions in the settings of this row.
+/// Number of functions in the settings of [`ConfigRestart`].
 const RESTART_FUNCTIONS: u64 = 200;
 
-/// When they restart: all run a version of each kind by then.
+/// When the front ends restart. All run a version of each kind by then.
 const RESTART_AT: u64 = 15 * SECOND;
 
-/// For how long the restart is looked at.
-const RESTART_SPAN: u64 = 4 * SECOND;
+/// Simulated time after the restart.
+const RESTART_TIME: u64 = 4 * SECOND;
 
-struct Restarted {
+/// Work of the control service after the restart.
+struct RestartCost {
     versions: u64,
     bytes: u64,
-    busiest: (u64, u64),
+    /// Messages and bytes of the busiest second.
+    busiest_second: (u64, u64),
 }
 
-fn restart(size: u64, seed: u64, disk: bool) -> Result<Restarted, String> {
-    let base = Plan::new(size as usize, 1, seed);
-    let mut world = World::new(Plan { rules: Plan::AT_ONCE, functions: RESTART_FUNCTIONS, ..base })?;
+fn simulate_restart(size: u64, seed: u64, keep_disk: bool) -> Result<RestartCost, String> {
+    let base = Scenario::new(size as usize, 1, seed);
+    let scenario = Scenario { rollout: Scenario::ALL_AT_ONCE, functions: RESTART_FUNCTIONS, ..base };
+    let mut simulation = Simulation::new(scenario)?;
     for kind in Kind::ALL {
-        world.publish(STARTED, kind);
+        simulation.publish(STARTED, kind);
     }
-    world.run_until(RESTART_AT);
-    let before = world.load(0).clone();
+    simulation.run_until(RESTART_AT);
+    let before = simulation.load(0).clone();
     for front_end in 0..size as usize {
-        world.restart(front_end, disk)?;
+        simulation.restart(front_end, keep_disk)?;
     }
-    world.run_until(RESTART_AT + RESTART_SPAN);
+    simulation.run_until(RESTART_AT + RESTART_TIME);
     for kind in Kind::ALL {
-        if (0..size as usize).any(|n| world.running(n, kind) != Some(1)) {
-            return Err(format!("not all front ends run {} 1 again", kind.name()));
+        if (0..size as usize).any(|n| simulation.running(n, kind) != Some(1)) {
+            return Err(format!("not all front ends run version 1 of {} after the restart", kind.name()));
         }
     }
-    let after = world.load(0);
-    Ok(Restarted {
+    let after = simulation.load(0);
+    Ok(RestartCost {
         versions: after.versions_sent - before.versions_sent,
-        bytes: bytes(after) - bytes(&before),
-        busiest: after.busiest(RESTART_AT, RESTART_AT + RESTART_SPAN),
+        bytes: total_bytes(after) - total_bytes(&before),
+        busiest_second: after.busiest_second(RESTART_AT, RESTART_AT + RESTART_TIME),
     })
 }
 
 impl ConfigRestart {
-    fn figures(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
-        let (new, old) = (restart(size, seed, false)?, restart(size, seed, true)?);
-        let each = |sum: u64| sum as f64 / size as f64;
-        let figures = [
-            (NEW_VERSIONS, each(new.versions)),
-            (NEW_BYTES, each(new.bytes)),
-            (NEW_MESSAGES, new.busiest.0 as f64),
-            (NEW_BUSIEST, new.busiest.1 as f64),
-            (OLD_VERSIONS, each(old.versions)),
-            (OLD_BYTES, each(old.bytes)),
-            (OLD_BUSIEST, old.busiest.1 as f64),
+    fn measurements(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
+        let new_disk = simulate_restart(size, seed, false)?;
+        let stored = simulate_restart(size, seed, true)?;
+        let per_front_end = |sum: u64| sum as f64 / size as f64;
+        let values = [
+            (NEW_DISK_VERSIONS, per_front_end(new_disk.versions)),
+            (NEW_DISK_BYTES, per_front_end(new_disk.bytes)),
+            (NEW_DISK_MESSAGES, new_disk.busiest_second.0 as f64),
+            (NEW_DISK_BUSIEST, new_disk.busiest_second.1 as f64),
+            (STORED_VERSIONS, per_front_end(stored.versions)),
+            (STORED_BYTES, per_front_end(stored.bytes)),
+            (STORED_BUSIEST, stored.busiest_second.1 as f64),
         ];
-        Ok(figures.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
+        Ok(values.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
     }
 }
 
@@ -336,8 +368,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "front ends of one control machine restart at the same moment, with the stored settings or with a new disk; \
-         200 functions, a version of each of the four kinds"
+        "the front ends of one control service restart at the same time, with the stored settings or with a new disk; \
+         200 functions, one version of each of the four kinds"
     }
 
     fn variable(&self) -> &'static str {
@@ -362,11 +394,11 @@
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let failed = |reason| ScaleError::NotSettled { row: self.name(), size, reason };
-        Self::figures(size, seed).map_err(failed)
+        Self::measurements(size, seed).map_err(failed)
     }
 }
 
-/// Front ends cut off from all control machines for an hour, and back.
+/// Row of front ends that reconnect after an hour of isolation from all control services.
 pub struct ConfigRejoin;
 
 const REJOIN_VERSIONS: Metric = metric("rejoined, versions sent to a front end", "versions");
@@ -376,92 +408,99 @@
 const REJOIN_TIME: Metric = metric("rejoined, until all run the newest versions", "s");
 const MISSED: Metric = metric("versions published during the cut", "versions");
 
-/// Front ends that stay connected during the cut.
+/// Number of front ends that stay connected during the isolation.
 const CONNECTED: u64 = 5;
 
-/// When the cut begins.
-const CUT_AT: u64 = 5 * SECOND;
+/// When the isolation begins.
+const ISOLATED_AT: u64 = 5 * SECOND;
 
-/// No version is published in the last while of the cut, so that what is sent afterwards is counted by itself.
-const QUIET: u64 = 5 * SECOND;
+/// Time without new versions before the isolation ends, so that the connected front ends have received all
+/// versions when the count begins.
+const QUIET_TIME: u64 = 5 * SECOND;
 
-/// How long it may take until all follow again: the longest pause and some.
-const REJOIN_MOST: u64 = 60 * SECOND;
+/// Time limit for all front ends to run the newest versions again: the longest backoff plus a margin.
+const MAX_REJOIN_TIME: u64 = 60 * SECOND;
 
-/// What a cut and its end have caused.
+/// Cost of reconnection after an isolation.
 #[derive(Clone, Copy, Debug)]
-pub struct Rejoined {
-    /// Versions published while they were cut off.
-    pub missed: u64,
-    /// Versions sent to all that were cut off, after the cut.
-    pub versions: u64,
-    /// Bytes of the machine in that time.
+pub struct RejoinCost {
+    /// Number of versions published during the isolation.
+    pub versions_missed: u64,
+    /// Number of versions that the control service sent afterwards, to all reconnected front ends together.
+    pub versions_sent: u64,
+    /// Bytes that the control service received and sent afterwards.
     pub bytes: u64,
     /// Messages and bytes of the busiest second.
-    pub busiest: (u64, u64),
-    /// How long it took until all ran the newest.
+    pub busiest_second: (u64, u64),
+    /// Time until all front ends ran the newest versions, in microseconds.
     pub time: u64,
 }
 
-/// Plays a cut of so many front ends, for so long.
-pub fn rejoin(plan: Plan, cut: u64, cut_span: u64) -> Result<Rejoined, String> {
-    let mut random = StdRng::seed_from_u64(plan.seed);
-    let mut world = World::new(plan)?;
-    world.run_until(CUT_AT);
-    (0..cut as usize).for_each(|n| world.cut(n, true));
-    let end = CUT_AT + cut_span;
-    let gaps = Exp::new(VERSIONS_A_SECOND).map_err(|e| e.to_string())?;
-    let (mut at, mut missed) = (CUT_AT, 0);
+/// Simulates the isolation of the first `isolated` front ends for `duration` microseconds, and their
+/// reconnection.
+pub fn simulate_rejoin(scenario: Scenario, isolated: u64, duration: u64) -> Result<RejoinCost, String> {
+    let mut rng = StdRng::seed_from_u64(scenario.seed);
+    let mut simulation = Simulation::new(scenario)?;
+    simulation.run_until(ISOLATED_AT);
+    (0..isolated as usize).for_each(|n| simulation.set_isolated(n, true));
+    let end = ISOLATED_AT + duration;
+    let gaps = Exp::new(VERSIONS_PER_SECOND).map_err(|e| e.to_string())?;
+    let (mut at, mut versions_missed) = (ISOLATED_AT, 0);
     loop {
-        at += (gaps.sample(&mut random) * SECOND as f64) as u64;
-        if at + QUIET > end {
+        at += (gaps.sample(&mut rng) * SECOND as f64) as u64;
+        if at + QUIET_TIME > end {
             break;
         }
-        missed += 1;
-        world.publish(at, if missed % 2 == 0 { Kind::Classes } else { Kind::Routes });
-    }
-    world.run_until(end);
-    let before = world.load(0).clone();
-    (0..cut as usize).for_each(|n| world.cut(n, false));
-    let newest: Vec<(Kind, u64)> =
-        world.published().iter().filter_map(|(&kind, versions)| Some((kind, versions.last()?.0))).collect();
-    let follows = |world: &World| {
-        (0..cut as usize).all(|n| newest.iter().all(|&(kind, v)| world.running(n, kind) == Some(v)))
+        versions_missed += 1;
+        simulation.publish(at, if versions_missed % 2 == 0 { Kind::Classes } else { Kind::Routes });
+    }
+    simulation.run_until(end);
+    let before = simulation.load(0).clone();
+    (0..isolated as usize).for_each(|n| simulation.set_isolated(n, false));
+    let newest: Vec<(Kind, u64)> = simulation
+        .published()
+        .iter()
+        .filter_map(|(&kind, versions)| Some((kind, versions.last()?.0)))
+        .collect();
+    let all_run_newest = |simulation: &Simulation| {
+        (0..isolated as usize).all(|n| newest.iter().all(|&(kind, v)| simulation.running(n, kind) == Some(v)))
     };
-    while !follows(&world) {
-        if world.now() > end + REJOIN_MOST {
-            return Err("not all front ends run the newest versions".into());
+    while !all_run_newest(&simulation) {
+        if simulation.now() > end + MAX_REJOIN_TIME {
+            return Err("not all front ends run the newest versions after the isolation".into());
         }
-        world.run_until(world.now() + STEP);
-    }
-    let after = world.load(0);
-    Ok(Rejoined {
-        missed,
-        versions: after.versions_sent - before.versions_sent,
-        bytes: bytes(after) - bytes(&before),
-        busiest: after.busiest(end, world.now()),
-        time: world.now() - end,
+        simulation.run_until(simulation.now() + CHECK_INTERVAL);
+    }
+    let after = simulation.load(0);
+    Ok(RejoinCost {
+        versions_missed,
+        versions_sent: after.versions_sent - before.versions_sent,
+        bytes: total_bytes(after) - total_bytes(&before),
+        busiest_second: after.busiest_second(end, simulation.now()),
+        time: simulation.now() - end,
     })
 }
 
 impl ConfigRejoin {
-    /// The world of this row.
-    pub fn plan(cut: u64, seed: u64) -> Plan {
-        Plan { rules: Plan::AT_ONCE, ..Plan::new((cut + CONNECTED) as usize, 1, seed) }
-    }
-
-    fn figures(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
-        let rejoined = rejoin(Self::plan(size, seed), size, 3_600 * SECOND)?;
-        let each = |sum: u64| sum as f64 / size as f64;
-        let figures = [
-            (MISSED, rejoined.missed as f64),
-            (REJOIN_VERSIONS, each(rejoined.versions)),
-            (REJOIN_BYTES, each(rejoined.bytes)),
-            (REJOIN_MESSAGES, rejoined.busiest.0 as f64),
-            (REJOIN_BUSIEST, rejoined.busiest.1 as f64),
-            (REJOIN_TIME, rejoined.time as f64 / SECOND as f64),
+    /// The measured scenario: one control service without waves, the isolated front ends, and a few that stay
+    /// connected.
+    pub fn scenario(isolated: u64, seed: u64) -> Scenario {
+        let base = Scenario::new((isolated + CONNECTED) as usize, 1, seed);
+        Scenario { rollout: Scenario::ALL_AT_ONCE, ..base }
+    }
+
+    fn measurements(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
+        let cost = simulate_rejoin(Self::scenario(size, seed), size, 3_600 * SECOND)?;
+        let per_front_end = |sum: u64| sum as f64 / size as f64;
+        let values = [
+            (MISSED, cost.versions_missed as f64),
+            (REJOIN_VERSIONS, per_front_end(cost.versions_sent)),
+            (REJOIN_BYTES, per_front_end(cost.bytes)),
+            (REJOIN_MESSAGES, cost.busiest_second.0 as f64),
+            (REJOIN_BUSIEST, cost.busiest_second.1 as f64),
+            (REJOIN_TIME, cost.time as f64 / SECOND as f64),
         ];
-        Ok(figures.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
+        Ok(values.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
     }
 }
 
@@ -475,8 +514,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "front ends of one control machine cut off from it for an hour with 31,000 versions a day, then back; five \
-         others stay connected; waves off, 10 functions"
+        "front ends of one control service are isolated from it for an hour with 31,000 versions a day, and reconnect; \
+         five others stay connected; without waves, 10 functions"
     }
 
     fn variable(&self) -> &'static str {
@@ -488,7 +527,7 @@
     }
 
     fn planned_size(&self) -> u64 {
-        FRONT_ENDS_A_MACHINE
+        FRONT_ENDS_PER_SERVICE
     }
 
     fn bounds(&self) -> Vec<Bound> {
@@ -501,6 +540,6 @@
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let failed = |reason| ScaleError::NotSettled { row: self.name(), size, reason };
-        Self::figures(size, seed).map_err(failed)
+        Self::measurements(size, seed).map_err(failed)
     }
 }
