--- a/crates/badgerwind-cli/tests/scale_processes.rs
+++ b/crates/badgerwind-cli/tests/scale_processes.rs
@@ -182,7 +182,7 @@
     let real_voters = rate(&before, &after, 1, 0..VOTERS);
 
     let span = COUNT_TIME.as_secs() * SECOND;
-    let mut hollow = HollowMembers::under(Conditions::loopback(), (members, members), true, 1);
+    let mut hollow = HollowMembers::with_conditions(Conditions::loopback(), (members, members), true, 1);
     hollow.run(2 * SECOND);
     hollow.network.reset_counts();
     hollow.run(span);
@@ -202,7 +202,10 @@
             "| {members} | membership, messages/s | {} |",
             compare(real_members.0, hollow_members.messages)
         ),
-        format!("| {members} | membership, B/s | {} |", compare(real_members.1, hollow_members.on_wire)),
+        format!(
+            "| {members} | membership, B/s | {} |",
+            compare(real_members.1, hollow_members.bytes_on_wire)
+        ),
         format!("| {members} | zones, messages/s | {} |", compare(real_zones.0, hollow_zones.0)),
         format!("| {members} | zones, B/s | {} |", compare(real_zones.1, hollow_zones.1)),
         format!("| {members} | zones, a voter, B/s | {} |", compare(real_voters.1, hollow_voter)),
--- a/crates/badgerwind-scale/src/cost.rs
+++ b/crates/badgerwind-scale/src/cost.rs
@@ -35,8 +35,7 @@
     /// Net growth of the heap since the start, in bytes; 0 if more was freed than allocated.
     pub fn net_bytes(&self) -> u64 {
         let change = self.0.change();
-        // Both counters already include reallocations;
-        // `bytes_reallocated` is the net change by reallocations alone.
+        // Both counters include reallocations already; `bytes_reallocated` is the net change by those alone.
         let grown = change.bytes_allocated as i64 - change.bytes_deallocated as i64;
         grown.max(0) as u64
     }
--- a/crates/badgerwind-scale/src/error.rs
+++ b/crates/badgerwind-scale/src/error.rs
@@ -19,8 +19,8 @@
     NoSizes,
     /// A size would need more memory than allowed.
     #[error(
-        "option --sizes: {size} {variable} need about {needed_mib} MiB, more than --memory-mib {allowed_mib}; \
-         remove this size or raise --memory-mib"
+        "option --sizes: {size} {variable} need about {needed_mib} MiB, more than --memory-mib \
+         {allowed_mib}; remove this size or raise --memory-mib"
     )]
     TooLarge {
         /// The requested size.
@@ -34,8 +34,8 @@
     },
     /// The measurements took longer than allowed.
     #[error(
-        "option --seconds: the time limit was exceeded after {elapsed} s, before size {size} of row '{row}'; remove \
-         large sizes or raise --seconds"
+        "option --seconds: the time limit was exceeded after {elapsed} s, before size {size} of row '{row}'; \
+         remove large sizes or raise --seconds"
     )]
     OutOfTime {
         /// The measured row.
--- a/crates/badgerwind-scale/src/main.rs
+++ b/crates/badgerwind-scale/src/main.rs
@@ -1,4 +1,4 @@
-//! `badgerwind-scale`: prints the slopes behind `docs/CAPACITY.md`, one command a row.
+//! `badgerwind-scale`: measures the rows of `docs/CAPACITY.md` and prints their growth, one row per command.
 
 use badgerwind_scale::error::ScaleError;
 use badgerwind_scale::run::RunOptions;
@@ -33,38 +33,39 @@
 struct RowArguments {
     /// Name of the row.
     row: String,
-    /// Sizes to measure, such as 10,30,100; the row's own where left out.
+    /// Sizes to measure, such as 10,30,100; default: the sizes of the row.
     #[arg(long, value_delimiter = ',')]
     sizes: Option<Vec<u64>>,
-    /// Seed of all that is drawn.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Plays at each size.
-    #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=100))]
-    plays: u32,
-    /// Most memory, in MiB.
+    /// Repetitions at each size, with consecutive seeds.
+    #[arg(long = "plays", value_name = "PLAYS")]
+    #[arg(default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=100))]
+    repetitions: u32,
+    /// Memory limit, in MiB.
     #[arg(long, default_value_t = 12_288)]
     memory_mib: u64,
-    /// No size is begun after so many seconds.
+    /// Time limit in seconds, after which no further repetition is started.
     #[arg(long, default_value_t = 600, value_parser = clap::value_parser!(u64).range(1..=7_200))]
     seconds: u64,
-    /// File for the figures as JSON.
+    /// Output file for the results as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// File for a drawing.
+    /// Output file for an SVG chart.
     #[arg(long)]
     svg: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         Command::List => {
             list();
             Ok(())
         }
         Command::Row(arguments) => measure(arguments),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("badgerwind-scale: {error}");
@@ -84,7 +85,7 @@
     let options = RunOptions {
         sizes: arguments.sizes,
         seed: arguments.seed,
-        repetitions: arguments.plays,
+        repetitions: arguments.repetitions,
         max_memory_mib: arguments.memory_mib,
         time_limit: Duration::from_secs(arguments.seconds),
     };
@@ -100,10 +101,10 @@
 }
 
 fn write_json(path: &Path, text: &str) -> Result<(), ScaleError> {
-    let failed = |error: std::io::Error| ScaleError::Output {
+    let output_error = |error: std::io::Error| ScaleError::Output {
         option: "--json",
         path: path.display().to_string(),
         reason: error.to_string(),
     };
-    std::fs::write(path, text).map_err(failed)
+    std::fs::write(path, text).map_err(output_error)
 }
--- a/crates/badgerwind-scale/src/rows/call_counts.rs
+++ b/crates/badgerwind-scale/src/rows/call_counts.rs
@@ -1,22 +1,22 @@
-//! Counts of a call that need no clock, at two sizes of the list, and how they grow from one to the other.
+//! Deterministic counts per call at two sizes of the list of workers, and their growth from one to the other.
 
 use super::front_end::{CallPath, HollowFrontEnd, Surroundings, SECOND};
 use badgerwind::interface::Span;
 use thiserror::Error;
 
-const WARM_UP: Span = SECOND;
-const MEASURED: Span = SECOND;
+const WARM_UP_TIME: Span = SECOND;
+const MEASURED_TIME: Span = SECOND;
 
-/// Counts of a call, periodic maintenance included.
+/// Mean counts per call, including periodic maintenance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallCounts {
-    /// Times that memory was taken from the heap.
+    /// Number of heap allocations.
     pub allocations: f64,
-    /// Bytes taken from the heap, freed or not: what is gathered on the way, such as candidates.
+    /// Allocated heap bytes, whether freed or not, such as temporary lists of candidates.
     pub allocated_bytes: f64,
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub sends: f64,
-    /// Events handed over.
+    /// Number of events passed to the decision module.
     pub events: f64,
 }
 
@@ -24,21 +24,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
 #[error("{count} grow {factor:.1} times where {max:.1} are allowed")]
 pub struct GrowthTooLarge {
-    /// What grew.
+    /// Description of the count.
     pub count: &'static str,
-    /// Its value at many workers over that at few.
+    /// Ratio of the count with many workers to the count with few.
     pub factor: f64,
-    /// What is allowed.
+    /// Largest allowed ratio.
     pub max: f64,
 }
 
-/// Counts of a call path over two simulated seconds, the first of which does not count. Exact where the counting allocator
-/// is the program's and no other thread runs.
+/// Counts per call of a call path in one simulated second, after a warm-up of one second. Exact only if the
+/// program's global allocator is the counting one and no other thread runs.
 pub fn call_counts<P: CallPath>(path: P, surroundings: Surroundings, seed: u64) -> CallCounts {
     let mut front_end = HollowFrontEnd::with_path(path, surroundings, seed);
-    front_end.run(WARM_UP);
+    front_end.run(WARM_UP_TIME);
     front_end.take_costs();
-    front_end.run(MEASURED);
+    front_end.run(MEASURED_TIME);
     let costs = front_end.take_costs();
     CallCounts {
         allocations: costs.per_call(costs.allocations as f64),
@@ -48,7 +48,8 @@
     }
 }
 
-/// Growth of allocations and of allocated bytes from few workers to many; an error where one is over `max`.
+/// Growth ratios of the allocations and of the allocated bytes from few workers to many; an error if one
+/// exceeds `max`.
 pub fn check_growth(few: &CallCounts, many: &CallCounts, max: f64) -> Result<(f64, f64), GrowthTooLarge> {
     let allocations = growth(few.allocations, many.allocations);
     let bytes = growth(few.allocated_bytes, many.allocated_bytes);
@@ -60,7 +61,7 @@
     Ok((allocations, bytes))
 }
 
-/// One figure over another; a figure below one counts as one.
+/// Ratio of two counts; counts below 1 are taken as 1.
 fn growth(few: f64, many: f64) -> f64 {
     many.max(1.0) / few.max(1.0)
 }
--- a/crates/badgerwind-scale/src/rows/load.rs
+++ b/crates/badgerwind-scale/src/rows/load.rs
@@ -1,5 +1,5 @@
-//! What the hollow groups of the register and of the budgets share beside the network: the busiest second of each
-//! member, processor time and heap of a few, and the figures of one role.
+//! Measurements that the hollow groups of the register and of the budgets share: the peak traffic of each
+//! member, processor time and heap of selected members, and the metrics of one role.
 
 use crate::cost::ProcessorMeter;
 use crate::row::{Bound, Measurement, Metric};
@@ -7,17 +7,17 @@
 use stats_alloc::{Region, StatsAlloc};
 use std::alloc::System;
 
-/// Ways of one group whose members are all in one region: a quarter of a millisecond to 4 ms, nothing lost.
+/// Network of a group whose members are all in one region: delays from 0.25 ms to 4 ms, no loss.
 pub fn single_region() -> Conditions {
     Conditions { region_hop_delay: MILLISECOND, loss: 0.0, ..Conditions::wide_area() }
 }
 
-/// Ways of a group over all regions, nothing lost.
+/// Network of a group over all regions, no loss.
 pub fn all_regions() -> Conditions {
     Conditions { loss: 0.0, ..Conditions::wide_area() }
 }
 
-/// Cuts one region off from all others; within it messages pass.
+/// Blocks all datagrams between one region and the others; datagrams within it are still delivered.
 pub fn isolate_region(network: &mut Network, region: usize) {
     for other in (0..REGIONS).filter(|other| *other != region) {
         network.block(Area::Region(region), Area::Region(other));
@@ -25,34 +25,35 @@
     }
 }
 
-/// Length of the pieces of time in which traffic is looked at.
+/// Interval at which the traffic counts are sampled.
 pub const SAMPLE_INTERVAL: Micros = 100 * MILLISECOND;
-/// Slices in a second.
+/// Number of samples in a second.
 const SAMPLES_PER_SECOND: usize = (SECOND / SAMPLE_INTERVAL) as usize;
 
-/// The most messages, and the most bytes, of each member in any second, slice by slice.
+/// Peak traffic of each member: the maximum numbers of messages and of bytes in any second that starts at a
+/// sample.
 #[derive(Debug)]
 pub struct PeakTraffic {
-    /// Totals of each member at the ends of the last slices.
+    /// Totals of each member at the samples of the last second.
     totals: Vec<Vec<TrafficCount>>,
-    most: Vec<TrafficCount>,
+    max: Vec<TrafficCount>,
 }
 
 impl PeakTraffic {
-    /// From these totals on.
+    /// Starts at the current totals of the network.
     pub fn new(network: &Network) -> Self {
         let members = network.member_count();
         let totals = (0..members).map(|member| vec![network.traffic(member)]).collect();
-        PeakTraffic { totals, most: vec![TrafficCount::default(); members] }
+        PeakTraffic { totals, max: vec![TrafficCount::default(); members] }
     }
 
-    /// A slice has passed.
+    /// Takes a sample; to be called every [`SAMPLE_INTERVAL`].
     pub fn sample(&mut self, network: &Network) {
-        for (member, (totals, most)) in self.totals.iter_mut().zip(&mut self.most).enumerate() {
+        for (member, (totals, max)) in self.totals.iter_mut().zip(&mut self.max).enumerate() {
             let now = network.traffic(member);
             let then = totals[totals.len().saturating_sub(SAMPLES_PER_SECOND)];
-            most.messages = most.messages.max(now.messages - then.messages);
-            most.bytes = most.bytes.max(now.bytes - then.bytes);
+            max.messages = max.messages.max(now.messages - then.messages);
+            max.bytes = max.bytes.max(now.bytes - then.bytes);
             totals.push(now);
             if totals.len() > SAMPLES_PER_SECOND {
                 totals.remove(0);
@@ -60,59 +61,61 @@
         }
     }
 
-    /// The most in any second among these members: messages and bytes each for itself.
+    /// Maximum over the given members, of messages and of bytes independently.
     pub fn max_among(&self, members: &[usize]) -> TrafficCount {
-        members.iter().fold(TrafficCount::default(), |most, member| TrafficCount {
-            messages: most.messages.max(self.most[*member].messages),
-            bytes: most.bytes.max(self.most[*member].bytes),
+        members.iter().fold(TrafficCount::default(), |max, member| TrafficCount {
+            messages: max.messages.max(self.max[*member].messages),
+            bytes: max.bytes.max(self.max[*member].bytes),
         })
     }
 }
 
-/// Processor time of members that are watched; reading the clock itself is subtracted.
+/// Processor time of tracked members. The time that reading the clock takes is subtracted.
 #[derive(Debug)]
 pub struct ProcessorTimes {
-    watched: Vec<bool>,
-    used: Vec<f64>,
-    reading: f64,
+    tracked: Vec<bool>,
+    microseconds: Vec<f64>,
+    /// Mean overhead of one measurement in microseconds.
+    overhead: f64,
 }
 
-const CALIBRATION: u32 = 2_000;
+/// Number of readings from which the overhead is averaged.
+const CALIBRATION_READINGS: u32 = 2_000;
 
 impl ProcessorTimes {
-    /// Nobody is watched yet.
+    /// Starts without tracked members.
     pub fn new(members: usize) -> Self {
-        ProcessorTimes { watched: vec![false; members], used: vec![0.0; members], reading: 0.0 }
+        ProcessorTimes { tracked: vec![false; members], microseconds: vec![0.0; members], overhead: 0.0 }
     }
 
-    /// Watches these from now on, and nobody else.
+    /// Replaces the tracked members, resets all times and calibrates the overhead.
     pub fn track(&mut self, members: &[usize]) {
-        self.watched.fill(false);
-        self.used.fill(0.0);
-        members.iter().for_each(|member| self.watched[*member] = true);
-        let readings = (0..CALIBRATION).map(|_| ProcessorMeter::start().microseconds());
-        self.reading = readings.sum::<f64>() / f64::from(CALIBRATION);
+        self.tracked.fill(false);
+        self.microseconds.fill(0.0);
+        members.iter().for_each(|member| self.tracked[*member] = true);
+        let readings = (0..CALIBRATION_READINGS).map(|_| ProcessorMeter::start().microseconds());
+        self.overhead = readings.sum::<f64>() / f64::from(CALIBRATION_READINGS);
     }
 
-    /// Begins to count for a member, where it is watched.
+    /// Starts a measurement for a member if it is tracked.
     pub fn start(&self, member: usize) -> Option<ProcessorMeter> {
-        self.watched[member].then(ProcessorMeter::start)
+        self.tracked[member].then(ProcessorMeter::start)
     }
 
-    /// Ends what was begun.
+    /// Ends a measurement and adds it to the member's time.
     pub fn stop(&mut self, member: usize, meter: Option<ProcessorMeter>) {
         if let Some(meter) = meter {
-            self.used[member] += (meter.microseconds() - self.reading).max(0.0);
+            self.microseconds[member] += (meter.microseconds() - self.overhead).max(0.0);
         }
     }
 
-    /// Microseconds of a member since it is watched.
+    /// Processor time of a member since tracking started, in microseconds.
     pub fn microseconds(&self, member: usize) -> f64 {
-        self.used[member]
+        self.microseconds[member]
     }
 }
 
-/// Bytes of heap that a value holds, by dropping it.
+/// Heap bytes owned by a value, measured by dropping it.
 pub fn heap_bytes<T>(value: T) -> f64 {
     let allocator: &'static StatsAlloc<System> = &stats_alloc::INSTRUMENTED_SYSTEM;
     let region = Region::new(allocator);
@@ -120,27 +123,27 @@
     region.change().bytes_deallocated as f64
 }
 
-/// What one member of a role costs in a second, in a steady group.
+/// Cost of one member of a role in a second, in a steady group.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MemberCost {
-    /// Messages in and out.
+    /// Messages sent and received.
     pub messages: f64,
-    /// Bytes in and out, as encoded.
+    /// Encoded bytes sent and received.
     pub bytes: f64,
-    /// Microseconds of processor time.
+    /// Processor time in microseconds.
     pub processor: f64,
-    /// Bytes of heap.
+    /// Heap in bytes.
     pub heap: f64,
 }
 
-/// Names of the figures of one role.
+/// Metrics of one role.
 #[derive(Debug, Clone, Copy)]
 pub struct CostMetrics {
-    /// Messages in and out.
+    /// Messages sent and received.
     pub messages: Metric,
-    /// Bytes in and out, as encoded.
+    /// Encoded bytes sent and received.
     pub bytes: Metric,
-    /// The same with what the link adds to each message.
+    /// Bytes sent and received, with the link's overhead for each message.
     pub framed_bytes: Metric,
     /// Processor time.
     pub processor: Metric,
@@ -148,7 +151,7 @@
     pub heap: Metric,
 }
 
-/// The metrics of a role, by its name.
+/// The metrics of a role, which its name prefixes.
 macro_rules! cost_metrics {
     ($role:literal) => {
         CostMetrics {
@@ -166,19 +169,19 @@
 pub(crate) use cost_metrics;
 
 impl CostMetrics {
-    /// The figures of a load; `frame` is what the link adds to each message.
-    pub fn measurements(&self, load: &MemberCost, frame: f64) -> Vec<Measurement> {
-        let figure = |metric, value| Measurement { metric, value };
+    /// The measurements of a cost; `frame` is the link's overhead for each message in bytes.
+    pub fn measurements(&self, cost: &MemberCost, frame: f64) -> Vec<Measurement> {
+        let measurement = |metric, value| Measurement { metric, value };
         vec![
-            figure(self.messages, load.messages),
-            figure(self.bytes, load.bytes),
-            figure(self.framed_bytes, load.bytes + frame * load.messages),
-            figure(self.processor, load.processor),
-            figure(self.heap, load.heap),
+            measurement(self.messages, cost.messages),
+            measurement(self.bytes, cost.bytes),
+            measurement(self.framed_bytes, cost.bytes + frame * cost.messages),
+            measurement(self.processor, cost.processor),
+            measurement(self.heap, cost.heap),
         ]
     }
 
-    /// The bounds of a front end's control.
+    /// Bounds on the control work of a front end.
     pub fn front_end_bounds(&self) -> Vec<Bound> {
         vec![
             Bound { metric: self.bytes, max: 6_144.0, source: "6 KB a second for control, in and out" },
@@ -192,7 +195,7 @@
         ]
     }
 
-    /// The bounds of a control machine: one core for it, and a link of 1 Gbit/s.
+    /// Bounds on a control machine: one core, and a link of 1 Gbit/s.
     pub fn control_machine_bounds(&self) -> Vec<Bound> {
         vec![
             Bound { metric: self.framed_bytes, max: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
@@ -201,14 +204,14 @@
     }
 }
 
-/// The mean of loads.
-pub fn mean_cost(loads: &[MemberCost]) -> MemberCost {
-    let over = loads.len().max(1) as f64;
-    let of = |part: fn(&MemberCost) -> f64| loads.iter().map(part).sum::<f64>() / over;
+/// Mean of the costs of several members.
+pub fn mean_cost(costs: &[MemberCost]) -> MemberCost {
+    let count = costs.len().max(1) as f64;
+    let mean = |part: fn(&MemberCost) -> f64| costs.iter().map(part).sum::<f64>() / count;
     MemberCost {
-        messages: of(|l| l.messages),
-        bytes: of(|l| l.bytes),
-        processor: of(|l| l.processor),
-        heap: of(|l| l.heap),
+        messages: mean(|c| c.messages),
+        bytes: mean(|c| c.bytes),
+        processor: mean(|c| c.processor),
+        heap: mean(|c| c.heap),
     }
 }
--- a/crates/badgerwind-scale/src/rows/members.rs
+++ b/crates/badgerwind-scale/src/rows/members.rs
@@ -1,5 +1,5 @@
-//! Membership (SWIM with Lifeguard): what a member sends, computes and stores as the fleet grows, and what joins, deaths
-//! and cuts between regions cost.
+//! Membership (SWIM with Lifeguard): traffic, processor time and memory of a member as the fleet grows, and
+//! the cost of joins, deaths and partitions between regions.
 
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
@@ -12,60 +12,64 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// The default of `<budgets beat>`, which is the period of membership.
+/// Protocol period of the membership, which is the default of `<budgets beat>`.
 pub const PERIOD: Micros = 300 * MILLISECOND;
-/// The runtime gives a member the time four times in a period.
-const TICK: Micros = PERIOD / 4;
-/// Bytes that the peers' datagrams add to each message: number, counter and tag (`badgerwind-gateway`, `peers`).
+/// Interval of a member's ticks; the runtime calls it four times in a period.
+const TICK_INTERVAL: Micros = PERIOD / 4;
+/// Overhead of a datagram between peers: number, counter and authentication tag (`badgerwind-gateway`,
+/// `peers`).
 pub const ENVELOPE_BYTES: u64 = 28;
-/// Up to so many members every one is real; beyond, a sample of them among scripted others.
-const ALL_REAL: usize = 1_000;
-/// Real members of a sample: one a zone.
-const SAMPLE: usize = 21;
-/// How long the steady state is measured.
-const STEADY: Micros = 30 * SECOND;
-/// How often the views are looked at.
-const LOOK: Micros = 250 * MILLISECOND;
-/// Simulated time after which a fleet that has not settled is given up.
-const PATIENCE: Micros = 1_800 * SECOND;
-/// Simulated part of the hour for which regions are apart: until views change no more, and this much longer.
-const APART: Micros = 30 * SECOND;
-/// Machines of a rack in the planned fleet.
-const RACK: usize = 40;
-/// Front ends of the planned fleet.
+/// Largest fleet in which all members are real. Larger fleets have a sample of real members; the others are
+/// scripted.
+const MAX_ALL_REAL: usize = 1_000;
+/// Number of real members in a sample: one in each zone.
+const SAMPLE_SIZE: usize = 21;
+/// Simulated time over which the steady state is measured.
+const STEADY_TIME: Micros = 30 * SECOND;
+/// Interval at which the members' views are checked.
+const CHECK_INTERVAL: Micros = 250 * MILLISECOND;
+/// Simulated time after which a measurement fails if the fleet has not reached the expected state.
+const SETTLE_TIMEOUT: Micros = 1_800 * SECOND;
+/// Simulated time of isolated regions after the views have stopped changing. It stands for the rest of an
+/// hour.
+const ISOLATION_TIME: Micros = 30 * SECOND;
+/// Number of front ends in a rack of the planned fleet.
+const FRONT_ENDS_IN_A_RACK: usize = 40;
+/// Number of front ends in the planned fleet.
 pub const PLANNED_FRONT_ENDS: u64 = 11_000;
 
-/// Relayed pings that scripted members remember; the oldest goes first.
-const MOST_RELAYED: usize = 65_536;
+/// Maximum number of pending relayed pings of scripted members; the oldest is discarded first.
+const MAX_RELAYED_PINGS: usize = 65_536;
 
 const TIMER_TICK: u32 = 0;
 const TIMER_SCRIPTED_PING: u32 = 1;
 
-/// A change for the worse that shows that a check on growth fails when it must.
+/// A deliberate defect, with which a test verifies that a check on growth can fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
     /// A member sends each ping to all others.
     PingsAll,
 }
 
-/// Hollow members: real state machines, of all members or of the first few.
+/// A fleet of hollow members. Either all members run the real state machine, or only the first ones do and
+/// the others are scripted.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The network between them.
+    /// The network between the members.
     pub network: Network,
     members: Vec<Members>,
-    /// Members beyond this one are scripted.
+    /// Number of real members; members with a higher index are scripted.
     real: usize,
     size: usize,
     incarnations: Vec<Incarnation>,
-    terms: DetectionSettings,
+    settings: DetectionSettings,
     rng: StdRng,
     mutant: Option<Mutant>,
-    /// Pings of scripted members for real ones, by serial: who asked, and under which serial of its own.
+    /// Pings that scripted members relay, by serial: the requester, and the serial of its request.
     relayed: BTreeMap<u32, (usize, u32)>,
     serial: u32,
-    /// Processor time of the first member, in microseconds.
-    processor: f64,
+    /// Processor time of member 0 in microseconds.
+    processor_us: f64,
 }
 
 fn kind_name(kind: Kind) -> &'static str {
@@ -78,13 +82,19 @@
 }
 
 impl Fleet {
-    /// A fleet of this size of which `real` members are real, calm where `acquainted`: all know all for long.
-    pub fn new(size: usize, real: usize, acquainted: bool, seed: u64) -> Fleet {
-        Fleet::under(Conditions::wide_area(), (size, real), acquainted, seed)
-    }
-
-    /// The same over another network.
-    pub fn under(conditions: Conditions, (size, real): (usize, usize), acquainted: bool, seed: u64) -> Fleet {
+    /// A fleet on a wide-area network whose first `real` members are real. If `converged`, all members know
+    /// each other from the start.
+    pub fn new(size: usize, real: usize, converged: bool, seed: u64) -> Fleet {
+        Fleet::with_conditions(Conditions::wide_area(), (size, real), converged, seed)
+    }
+
+    /// Like [`Fleet::new`], with other network conditions.
+    pub fn with_conditions(
+        conditions: Conditions,
+        (size, real): (usize, usize),
+        converged: bool,
+        seed: u64,
+    ) -> Fleet {
         let size = size.min(usize::from(Member::MAX));
         let real = real.min(size);
         let mut fleet = Fleet {
@@ -93,37 +103,37 @@
             real,
             size,
             incarnations: vec![1; size],
-            terms: DetectionSettings::for_period(PERIOD),
+            settings: DetectionSettings::for_period(PERIOD),
             rng: StdRng::seed_from_u64(seed ^ 0x6d65_6d62),
             mutant: None,
             relayed: BTreeMap::new(),
             serial: 0,
-            processor: 0.0,
+            processor_us: 0.0,
         };
         for index in 0..real {
-            let mut one = fleet.newcomer(index);
-            if acquainted {
+            let mut one = fleet.new_member(index);
+            if converged {
                 one = one.with_known_members((0..size).map(|m| (m as Member, 1)));
             }
             fleet.members.push(one);
-            fleet.begin_timers(index);
+            fleet.start_timers(index);
         }
         fleet
     }
 
-    /// With a change for the worse.
-    pub fn with(mut self, mutant: Option<Mutant>) -> Fleet {
+    /// Adds a deliberate defect.
+    pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Fleet {
         self.mutant = mutant;
         self
     }
 
-    fn newcomer(&self, index: usize) -> Members {
+    fn new_member(&self, index: usize) -> Members {
         let me = (index as Member, self.incarnations[index]);
-        Members::new(self.network.local_time(index), me, 0..self.size as Member, self.terms.clone())
+        Members::new(self.network.local_time(index), me, 0..self.size as Member, self.settings.clone())
     }
 
-    fn begin_timers(&mut self, index: usize) {
-        let first = self.network.local_time(index) + self.rng.random_range(0..TICK);
+    fn start_timers(&mut self, index: usize) {
+        let first = self.network.local_time(index) + self.rng.random_range(0..TICK_INTERVAL);
         self.network.set_timer(index, TIMER_TICK, first);
         if self.real < self.size {
             let first = self.network.local_time(index) + self.rng.random_range(0..PERIOD);
@@ -131,38 +141,38 @@
         }
     }
 
-    /// Members that are real and run.
+    /// Running real members with their indices.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Members)> {
         self.members.iter().enumerate().filter(|(index, _)| self.network.is_running(*index))
     }
 
-    /// A member's process ends without a word.
+    /// Stops a member without a farewell message.
     pub fn kill(&mut self, index: usize) {
         self.network.stop(index);
     }
 
-    /// A member's process starts anew and knows nobody.
+    /// Restarts a member with a new incarnation and an empty view.
     pub fn restart(&mut self, index: usize) {
         self.incarnations[index] += 1;
         self.network.start(index);
-        self.members[index] = self.newcomer(index);
-        self.begin_timers(index);
+        self.members[index] = self.new_member(index);
+        self.start_timers(index);
     }
 
-    /// Plays for this long.
+    /// Runs the simulation for a duration.
     pub fn run(&mut self, span: Micros) {
         let until = self.network.now() + span;
         while let Some(event) = self.network.next_event(until) {
-            self.on(event);
+            self.handle(event);
         }
     }
 
-    fn on(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Timer { member, id: TIMER_SCRIPTED_PING } => self.scripted_ping(member),
             Event::Timer { member, .. } => self.tick(member),
-            Event::Datagram { from, to, bytes } if to < self.real => self.hear(from, to, &bytes),
-            Event::Datagram { from, to, bytes } => self.scripted_answer(from, to, &bytes),
+            Event::Datagram { from, to, bytes } if to < self.real => self.receive(from, to, &bytes),
+            Event::Datagram { from, to, bytes } => self.receive_scripted(from, to, &bytes),
         }
     }
 
@@ -170,23 +180,23 @@
         let now = self.network.local_time(index);
         let meter = (index == 0).then(ProcessorMeter::start);
         let rng = &mut self.rng;
-        let mut draw = |n: usize| rng.random_range(0..n.max(1));
-        let out = encoded(self.members[index].tick(now, &mut draw));
-        self.processor += meter.map_or(0.0, |m| m.microseconds());
+        let mut random = |n: usize| rng.random_range(0..n.max(1));
+        let out = encode_all(self.members[index].tick(now, &mut random));
+        self.processor_us += meter.map_or(0.0, |m| m.microseconds());
         self.send(index, out);
-        self.network.set_timer(index, TIMER_TICK, now + TICK);
+        self.network.set_timer(index, TIMER_TICK, now + TICK_INTERVAL);
     }
 
-    fn hear(&mut self, from: usize, to: usize, bytes: &[u8]) {
+    fn receive(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.network.local_time(to);
         let meter = (to == 0).then(ProcessorMeter::start);
         let Some(message) = Message::decode(bytes) else { return };
-        let out = encoded(self.members[to].receive(now, from as Member, &message));
-        self.processor += meter.map_or(0.0, |m| m.microseconds());
+        let out = encode_all(self.members[to].receive(now, from as Member, &message));
+        self.processor_us += meter.map_or(0.0, |m| m.microseconds());
         self.send(to, out);
     }
 
-    fn send(&mut self, from: usize, out: Vec<Encoded>) {
+    fn send(&mut self, from: usize, out: Vec<EncodedMessage>) {
         let requests = out.iter().filter(|(_, kind, _)| *kind == Kind::PingRequest).count();
         for (to, kind, bytes) in out {
             if self.mutant == Some(Mutant::PingsAll) && kind == Kind::Ping {
@@ -197,70 +207,73 @@
             self.network.send(from, to, kind_name(kind), bytes);
         }
         if requests > 0 {
-            self.mirror(from, requests);
+            self.mirror_ping_requests(from, requests);
         }
     }
 
-    /// A real member has asked others to ping one that answers late. By symmetry as many ask it the same, and it is pinged
-    /// itself by as many and once more by the one that found it late: by scripted members, where those are the others.
-    fn mirror(&mut self, real: usize, requests: usize) {
+    /// Simulates the ping requests of scripted members. When a real member sends ping requests because a
+    /// target answers late, by symmetry as many others send it ping requests, and as many others and the one
+    /// that finds it late ping it.
+    fn mirror_ping_requests(&mut self, real: usize, requests: usize) {
         for _ in 0..requests {
             let about = self.rng.random_range(0..self.size) as Member;
-            self.scripted_sends(real, Kind::PingRequest, about);
-            self.scripted_sends(real, Kind::Ping, real as Member);
+            self.send_scripted_sampled(real, Kind::PingRequest, about);
+            self.send_scripted_sampled(real, Kind::Ping, real as Member);
         }
-        self.scripted_sends(real, Kind::Ping, real as Member);
+        self.send_scripted_sampled(real, Kind::Ping, real as Member);
     }
 
-    /// Another member chooses this one for its ping, once a period on average, as each chooses all others in turn.
+    /// A scripted ping to a member. It receives one in each period on average, because each member pings all
+    /// others in turn.
     fn scripted_ping(&mut self, to: usize) {
         let again = self.network.local_time(to) + self.rng.random_range(0..2 * PERIOD);
         self.network.set_timer(to, TIMER_SCRIPTED_PING, again);
-        self.scripted_sends(to, Kind::Ping, to as Member);
+        self.send_scripted_sampled(to, Kind::Ping, to as Member);
     }
 
-    /// A message of a scripted member, as often as such a member and not a real one would have sent it.
-    fn scripted_sends(&mut self, to: usize, kind: Kind, about: Member) {
+    /// Sends a message of a random scripted member, with the probability that a scripted member and not a
+    /// real one would send it.
+    fn send_scripted_sampled(&mut self, to: usize, kind: Kind, about: Member) {
         let scripted = self.real..self.size;
         let share = scripted.len() as f64 / (self.size - 1).max(1) as f64;
         if !self.rng.random_bool(share.clamp(0.0, 1.0)) {
             return;
         }
         let from = self.rng.random_range(scripted);
-        let message = self.scripted(from, kind, 0, about);
+        let message = self.scripted_message(from, kind, 0, about);
         self.network.send(from, to, kind_name(kind), message.encode());
     }
 
-    /// What a scripted member does with a message: it answers pings, and pings for others.
-    fn scripted_answer(&mut self, from: usize, to: usize, bytes: &[u8]) {
+    /// Handles a message to a scripted member, which answers pings and relays ping requests.
+    fn receive_scripted(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let Some(message) = Message::decode(bytes) else { return };
         match message.kind {
-            Kind::Ping => self.scripted_send(to, from, Kind::Ack, message.serial, to as Member),
+            Kind::Ping => self.send_scripted(to, from, Kind::Ack, message.serial, to as Member),
             Kind::PingRequest => {
                 self.serial = self.serial.wrapping_add(1);
-                if self.relayed.len() >= MOST_RELAYED {
+                if self.relayed.len() >= MAX_RELAYED_PINGS {
                     self.relayed.pop_first();
                 }
                 self.relayed.insert(self.serial, (from, message.serial));
                 let about = usize::from(message.target);
-                self.scripted_send(to, about, Kind::Ping, self.serial, message.target);
+                self.send_scripted(to, about, Kind::Ping, self.serial, message.target);
             }
             Kind::Ack => {
                 if let Some((requester, serial)) = self.relayed.remove(&message.serial) {
-                    self.scripted_send(to, requester, Kind::Ack, serial, message.target);
+                    self.send_scripted(to, requester, Kind::Ack, serial, message.target);
                 }
             }
             Kind::Nack => {}
         }
     }
 
-    fn scripted_send(&mut self, from: usize, to: usize, kind: Kind, serial: u32, about: Member) {
-        let message = self.scripted(from, kind, serial, about);
+    fn send_scripted(&mut self, from: usize, to: usize, kind: Kind, serial: u32, about: Member) {
+        let message = self.scripted_message(from, kind, serial, about);
         self.network.send(from, to, kind_name(kind), message.encode());
     }
 
-    /// A message of a scripted member of a calm fleet: full of what all know.
-    fn scripted(&mut self, from: usize, kind: Kind, serial: u32, about: Member) -> Message {
+    /// A message of a scripted member in a steady fleet, filled with updates that all members know.
+    fn scripted_message(&mut self, from: usize, kind: Kind, serial: u32, about: Member) -> Message {
         let first = self.rng.random_range(0..self.size);
         let known = (0..MAX_UPDATES.min(self.size - 1)).map(|n| (first + n) % self.size);
         let update = |member: usize| Update {
@@ -274,39 +287,41 @@
         Message { kind, serial, target: about, incarnation: self.incarnations[from], refutations: 0, updates }
     }
 
-    /// Plays until this holds, looked at four times a second; how long that took.
-    pub fn until(&mut self, holds: impl Fn(&Fleet) -> bool) -> Option<Micros> {
-        let begun = self.network.now();
-        while self.network.now() < begun + PATIENCE {
-            if holds(self) {
-                return Some(self.network.now() - begun);
+    /// Runs until a condition holds, which is checked four times a second. Returns the simulated time that it
+    /// took, or `None` at [`SETTLE_TIMEOUT`].
+    pub fn run_until(&mut self, condition: impl Fn(&Fleet) -> bool) -> Option<Micros> {
+        let start = self.network.now();
+        while self.network.now() < start + SETTLE_TIMEOUT {
+            if condition(self) {
+                return Some(self.network.now() - start);
             }
-            self.run(LOOK);
+            self.run(CHECK_INTERVAL);
         }
         None
     }
 
-    /// Share of pairs of a running member and one of these in which the first takes the second for dead.
-    pub fn known_dead(&self, dead: &[usize]) -> f64 {
-        let knows = |one: &Members, of: usize| {
-            one.peer(of as Member).is_some_and(|s| matches!(s.state, State::Dead | State::Left))
+    /// Share of pairs of a running member and one of `dead` in which the first considers the second dead.
+    pub fn share_known_dead(&self, dead: &[usize]) -> f64 {
+        let knows = |one: &Members, other: usize| {
+            one.peer(other as Member).is_some_and(|s| matches!(s.state, State::Dead | State::Left))
         };
-        self.share(dead, knows)
+        self.share_of_pairs(dead, knows)
     }
 
-    /// Share of pairs of a running member and one of these in which the first knows that the second incarnations as it does now.
-    pub fn known_alive(&self, alive: &[usize]) -> f64 {
-        let knows = |one: &Members, of: usize| {
-            one.peer(of as Member)
-                .is_some_and(|s| s.state == State::Alive && s.incarnation == self.incarnations[of])
+    /// Share of pairs of a running member and one of `alive` in which the first considers the second alive in
+    /// its current incarnation.
+    pub fn share_known_alive(&self, alive: &[usize]) -> f64 {
+        let knows = |one: &Members, other: usize| {
+            one.peer(other as Member)
+                .is_some_and(|s| s.state == State::Alive && s.incarnation == self.incarnations[other])
         };
-        self.share(alive, knows)
+        self.share_of_pairs(alive, knows)
     }
 
-    fn share(&self, of: &[usize], knows: impl Fn(&Members, usize) -> bool) -> f64 {
+    fn share_of_pairs(&self, others: &[usize], knows: impl Fn(&Members, usize) -> bool) -> f64 {
         let (mut pairs, mut known) = (0_u64, 0_u64);
         for (index, one) in self.running() {
-            for &other in of.iter().filter(|other| **other != index) {
+            for &other in others.iter().filter(|other| **other != index) {
                 pairs += 1;
                 known += u64::from(knows(one, other));
             }
@@ -314,17 +329,20 @@
         known as f64 / pairs.max(1) as f64
     }
 
-    /// Pairs of running members in which the first takes the second for suspect or dead.
-    pub fn wrongly_doubted(&self) -> u64 {
-        let doubts = |one: &Members| {
-            let doubted = |s: State| matches!(s, State::Suspect | State::Dead);
-            one.view().filter(|(of, s)| doubted(s.state) && self.network.is_running(usize::from(*of))).count()
+    /// Number of pairs of running members in which the first considers the second suspect or dead.
+    pub fn false_suspicions(&self) -> u64 {
+        let false_suspicions = |one: &Members| {
+            let suspected = |s: State| matches!(s, State::Suspect | State::Dead);
+            one.view()
+                .filter(|(of, s)| suspected(s.state) && self.network.is_running(usize::from(*of)))
+                .count()
         };
-        self.running().map(|(_, one)| doubts(one) as u64).sum()
+        self.running().map(|(_, one)| false_suspicions(one) as u64).sum()
     }
 
-    /// Messages and bytes a second, in and out, of a running member on average.
-    pub fn traffic(&self, span: Micros) -> Traffic {
+    /// Mean traffic of a running real member since the last reset of the counts, for a measured time of
+    /// `span`.
+    pub fn traffic(&self, span: Micros) -> TrafficRate {
         let (mut messages, mut bytes, mut members) = (0_u64, 0_u64, 0_u64);
         for (index, _) in self.running() {
             let count = self.network.traffic(index);
@@ -332,26 +350,26 @@
             bytes += count.bytes;
             members += 1;
         }
-        let each = members.max(1) as f64 * seconds(span).max(f64::MIN_POSITIVE);
-        let (messages, bytes) = (messages as f64 / each, bytes as f64 / each);
-        Traffic { messages, bytes, on_wire: bytes + messages * ENVELOPE_BYTES as f64 }
+        let member_seconds = members.max(1) as f64 * seconds(span).max(f64::MIN_POSITIVE);
+        let (messages, bytes) = (messages as f64 / member_seconds, bytes as f64 / member_seconds);
+        TrafficRate { messages, bytes, bytes_on_wire: bytes + messages * ENVELOPE_BYTES as f64 }
     }
 }
 
-/// What a member sends and receives in a second.
+/// Messages and bytes that a member sends and receives in a second.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Traffic {
-    /// Messages.
+pub struct TrafficRate {
+    /// Messages a second.
     pub messages: f64,
-    /// Encoded bytes.
+    /// Encoded bytes a second, without envelopes.
     pub bytes: f64,
-    /// Bytes with the datagrams' envelope.
-    pub on_wire: f64,
+    /// Bytes a second with the envelopes of the datagrams.
+    pub bytes_on_wire: f64,
 }
 
-type Encoded = (usize, Kind, Vec<u8>);
+type EncodedMessage = (usize, Kind, Vec<u8>);
 
-fn encoded(out: Vec<(Member, Message)>) -> Vec<Encoded> {
+fn encode_all(out: Vec<(Member, Message)>) -> Vec<EncodedMessage> {
     out.into_iter().map(|(to, message)| (usize::from(to), message.kind, message.encode())).collect()
 }
 
@@ -365,7 +383,8 @@
 const PROCESSOR: Metric = Metric { name: "processor time", unit: "us/s" };
 const HEAP: Metric = Metric { name: "heap", unit: "B" };
 
-/// Bounds on all control of a front end; a part over 1 alone is over.
+/// Bounds on the total control work of a front end. Rows that cover only a part of it are compared with the
+/// same bounds, so that a ratio above 1 exceeds them already.
 pub fn control_bounds(bytes: Metric, processor: Metric, heap: Metric) -> Vec<Bound> {
     vec![
         Bound { metric: bytes, max: 6_144.0, source: "6 KB a second for all control, in and out" },
@@ -374,28 +393,29 @@
     ]
 }
 
-fn figure(name: &'static str, unit: &'static str, value: f64) -> Measurement {
+fn measurement(name: &'static str, unit: &'static str, value: f64) -> Measurement {
     Measurement { metric: Metric { name, unit }, value }
 }
 
-/// Bytes of a member's entry for another, with the map's share; checked by the measured heap.
-const ENTRY: u64 = 120;
+/// Estimated heap of one entry in a member's view, including the overhead of the map. The measured heap
+/// confirms it.
+const ENTRY_BYTES: u64 = 120;
 
-fn real_members(size: u64) -> u64 {
-    if size <= ALL_REAL as u64 {
+fn real_member_count(size: u64) -> u64 {
+    if size <= MAX_ALL_REAL as u64 {
         size
     } else {
-        SAMPLE as u64
+        SAMPLE_SIZE as u64
     }
 }
 
-/// The steady state of a calm fleet.
+/// Row: cost of a member in the steady state.
 #[derive(Debug)]
 pub struct Steady;
 
 /// All rows of membership.
 pub fn rows() -> Vec<Box<dyn Row>> {
-    vec![Box::new(Steady), Box::new(Join), Box::new(Deaths), Box::new(Apart)]
+    vec![Box::new(Steady), Box::new(Join), Box::new(Deaths), Box::new(RegionsApart)]
 }
 
 impl Row for Steady {
@@ -406,15 +426,16 @@
         Role::FrontEndControl
     }
     fn about(&self) -> &'static str {
-        "a member of a calm fleet at a period of 0.3 s; to 1,000 all members are real, beyond 21 real ones among \
-         scripted others; regions up to 108 ms there and back, which is more than the ack timeout of 75 ms; processor time \
-         without sealing and system calls"
+        "one member of a steady fleet with a protocol period of 0.3 s; up to 1,000 members all are real, \
+         beyond that 21 are real and the others scripted; round trips between regions take up to 108 ms, \
+         more than the ack timeout of 75 ms; processor time excludes the authentication of datagrams and \
+         system calls"
     }
     fn variable(&self) -> &'static str {
         "front ends"
     }
     fn default_sizes(&self) -> &'static [u64] {
-        // With fewer, messages are not full: 13 members fit into one.
+        // In smaller fleets messages are not full: one message holds 13 members.
         &[30, 100, 300, 1_000, 3_000, 11_000]
     }
     fn planned_size(&self) -> u64 {
@@ -424,50 +445,54 @@
         control_bounds(ON_WIRE, PROCESSOR, HEAP)
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        real_members(size) * size * ENTRY
+        real_member_count(size) * size * ENTRY_BYTES
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let counts = (size as usize, real_members(size) as usize);
-        let mut fleet = Fleet::under(Conditions::wide_area(), counts, true, seed);
-        let mut figures = steady(&mut fleet);
+        let counts = (size as usize, real_member_count(size) as usize);
+        let mut fleet = Fleet::with_conditions(Conditions::wide_area(), counts, true, seed);
+        let mut measurements = measure_steady(&mut fleet);
         drop(fleet);
-        let mut near = Fleet::under(Conditions::loopback(), counts, true, seed);
-        near.run(2 * SECOND);
-        near.network.reset_counts();
-        near.run(STEADY);
-        let near = near.traffic(STEADY);
-        figures.push(figure("no answer later than the ack timeout: messages", "messages/s", near.messages));
-        figures.push(figure(
+        let mut loopback = Fleet::with_conditions(Conditions::loopback(), counts, true, seed);
+        loopback.run(2 * SECOND);
+        loopback.network.reset_counts();
+        loopback.run(STEADY_TIME);
+        let loopback = loopback.traffic(STEADY_TIME);
+        measurements.push(measurement(
+            "no answer later than the ack timeout: messages",
+            "messages/s",
+            loopback.messages,
+        ));
+        measurements.push(measurement(
             "no answer later than the ack timeout: bytes with envelope",
             "B/s",
-            near.on_wire,
+            loopback.bytes_on_wire,
         ));
-        Ok(figures)
+        Ok(measurements)
     }
 }
 
-/// Figures of a fleet that goes on as it is.
-pub fn steady(fleet: &mut Fleet) -> Vec<Measurement> {
+/// Measures a fleet in its steady state.
+pub fn measure_steady(fleet: &mut Fleet) -> Vec<Measurement> {
     fleet.run(2 * SECOND);
     fleet.network.reset_counts();
-    fleet.processor = 0.0;
-    fleet.run(STEADY);
-    let Traffic { messages, bytes, on_wire } = fleet.traffic(STEADY);
+    fleet.processor_us = 0.0;
+    fleet.run(STEADY_TIME);
+    let TrafficRate { messages, bytes, bytes_on_wire } = fleet.traffic(STEADY_TIME);
     let meter = HeapMeter::start();
     let copy = fleet.members.first().cloned();
     let heap = meter.net_bytes();
     drop(copy);
-    let figure = |metric, value| Measurement { metric, value };
+    let measurement = |metric, value| Measurement { metric, value };
     vec![
-        figure(MESSAGES, messages),
-        figure(BYTES, bytes),
-        figure(ON_WIRE, on_wire),
-        figure(PROCESSOR, fleet.processor / seconds(STEADY)),
-        figure(HEAP, heap as f64),
+        measurement(MESSAGES, messages),
+        measurement(BYTES, bytes),
+        measurement(ON_WIRE, bytes_on_wire),
+        measurement(PROCESSOR, fleet.processor_us / seconds(STEADY_TIME)),
+        measurement(HEAP, heap as f64),
     ]
 }
 
-/// A fleet that starts at once, and a tenth of it that restarts at once.
+/// Row: all members start at the same time, then a tenth of them restarts at the same time.
 #[derive(Debug)]
 pub struct Join;
 
@@ -479,14 +504,14 @@
         Role::FrontEndControl
     }
     fn about(&self) -> &'static str {
-        "all members start at once, then a tenth restarts at once: simulated time until all know all, and bytes of a \
-         member until then; all members are real"
+        "all members start at the same time, then a tenth restarts at the same time: simulated time until \
+         all members know each other, and bytes of a member until then; all members are real"
     }
     fn variable(&self) -> &'static str {
         "front ends"
     }
     fn default_sizes(&self) -> &'static [u64] {
-        // With fewer than 14, messages are not full.
+        // In fleets of fewer than 14 members messages are not full.
         &[30, 100, 300, 1_000]
     }
     fn planned_size(&self) -> u64 {
@@ -497,78 +522,86 @@
         vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        size * size * ENTRY
+        size * size * ENTRY_BYTES
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let mut fleet = Fleet::new(size as usize, size as usize, false, seed);
         let all: Vec<usize> = (0..fleet.size).collect();
-        let stuck =
+        let not_settled =
             |what: &str| ScaleError::NotSettled { row: "members-join", size, reason: what.to_owned() };
-        let started = fleet.until(|f| f.known_alive(&all) >= 1.0);
-        let started = started.ok_or_else(|| stuck("not all knew all after a common start"))?;
+        let started = fleet.run_until(|f| f.share_known_alive(&all) >= 1.0);
+        let started =
+            started.ok_or_else(|| not_settled("not all members knew each other after a common start"))?;
         let start = fleet.traffic(started);
         fleet.run(2 * SECOND);
         fleet.network.reset_counts();
         let tenth: Vec<usize> =
             (0..fleet.size.div_ceil(10)).map(|n| n * 10).filter(|n| *n < fleet.size).collect();
         tenth.iter().for_each(|one| fleet.restart(*one));
-        let restarted = fleet.until(|f| f.known_alive(&all) >= 1.0);
-        let restarted = restarted.ok_or_else(|| stuck("not all knew all after a tenth restarted"))?;
+        let restarted = fleet.run_until(|f| f.share_known_alive(&all) >= 1.0);
+        let restarted = restarted
+            .ok_or_else(|| not_settled("not all members knew each other after a tenth restarted"))?;
         let restart = fleet.traffic(restarted);
         Ok(vec![
-            figure("start of all: until all know all", "s", seconds(started)),
-            figure("start of all: encoded bytes of a member until then", "B", start.bytes * seconds(started)),
-            figure("start of all: bytes with envelope", "B/s", start.on_wire),
-            figure("a tenth restarts: until all know all", "s", seconds(restarted)),
-            figure(
+            measurement("start of all: until all know all", "s", seconds(started)),
+            measurement(
+                "start of all: encoded bytes of a member until then",
+                "B",
+                start.bytes * seconds(started),
+            ),
+            measurement("start of all: bytes with envelope", "B/s", start.bytes_on_wire),
+            measurement("a tenth restarts: until all know all", "s", seconds(restarted)),
+            measurement(
                 "a tenth restarts: encoded bytes of a member until then",
                 "B",
                 restart.bytes * seconds(restarted),
             ),
-            figure("a tenth restarts: bytes with envelope", "B/s", restart.on_wire),
+            measurement("a tenth restarts: bytes with envelope", "B/s", restart.bytes_on_wire),
         ])
     }
 }
 
-/// Deaths of one member, of a rack and of a zone.
+/// Row: deaths of one member, of a rack and of a zone.
 #[derive(Debug)]
 pub struct Deaths;
 
-/// One death's or one group's figures.
+/// Measured detection of the death of a group of members.
 #[derive(Debug, Clone, Copy)]
-pub struct News {
-    /// Until 99 in 100 pairs of a survivor and a dead one are known.
-    pub known: Micros,
-    /// Bytes a second with envelope of a survivor until then.
-    pub on_wire: f64,
+pub struct Detection {
+    /// Simulated time until 99% of the pairs of a survivor and a dead member have detected the death.
+    pub time: Micros,
+    /// Bytes a second of a survivor until then, with envelopes.
+    pub bytes_on_wire: f64,
     /// Messages a second of a survivor until then.
     pub messages: f64,
-    /// The most pairs of survivors at one time in which one doubted the other.
-    pub doubted: u64,
+    /// Maximum number of false suspicions among the survivors at one time.
+    pub max_false_suspicions: u64,
 }
 
-/// Kills these members of a calm fleet; `None` where it is not known in time.
-pub fn death(fleet: &mut Fleet, dead: &[usize]) -> Option<News> {
+/// Kills members of a steady fleet and measures the detection; `None` if it takes longer than
+/// [`SETTLE_TIMEOUT`].
+pub fn measure_deaths(fleet: &mut Fleet, dead: &[usize]) -> Option<Detection> {
     fleet.run(2 * SECOND);
     fleet.network.reset_counts();
     dead.iter().for_each(|one| fleet.kill(*one));
-    let begun = fleet.network.now();
-    let mut doubted = 0;
-    while fleet.known_dead(dead) < 0.99 {
-        if fleet.network.now() > begun + PATIENCE {
+    let start = fleet.network.now();
+    let mut max_false_suspicions = 0;
+    while fleet.share_known_dead(dead) < 0.99 {
+        if fleet.network.now() > start + SETTLE_TIMEOUT {
             return None;
         }
-        fleet.run(LOOK);
-        doubted = doubted.max(fleet.wrongly_doubted());
+        fleet.run(CHECK_INTERVAL);
+        max_false_suspicions = max_false_suspicions.max(fleet.false_suspicions());
     }
-    let known = fleet.network.now() - begun;
-    let Traffic { messages, on_wire, .. } = fleet.traffic(known);
-    Some(News { known, on_wire, messages, doubted })
+    let time = fleet.network.now() - start;
+    let TrafficRate { messages, bytes_on_wire, .. } = fleet.traffic(time);
+    Some(Detection { time, bytes_on_wire, messages, max_false_suspicions })
 }
 
-/// The first members of the second zone: a rack's part of a fleet of this size, two at least.
-pub fn rack(fleet: &Fleet) -> Vec<usize> {
-    let machines = (RACK * fleet.size).div_ceil(PLANNED_FRONT_ENDS as usize).max(2);
+/// Members of one rack, from the second zone. Their share of the fleet is the same as in the planned fleet;
+/// at least two.
+pub fn rack_members(fleet: &Fleet) -> Vec<usize> {
+    let machines = (FRONT_ENDS_IN_A_RACK * fleet.size).div_ceil(PLANNED_FRONT_ENDS as usize).max(2);
     let mut zone = fleet.network.members_in(Area::Zone(1));
     zone.truncate(machines);
     zone
@@ -582,8 +615,9 @@
         Role::FrontEndControl
     }
     fn about(&self) -> &'static str {
-        "one member, a rack (40 of 11,000) or a zone of 21 dies in a calm fleet: simulated time until 99 in 100 pairs \
-         know, bytes of a survivor meanwhile, pairs of survivors that doubt each other; all members are real"
+        "one member, a rack (40 of 11,000) or one of 21 zones dies in a steady fleet: simulated time until \
+         99% of the pairs have detected it, bytes of a survivor until then, pairs of survivors with a false \
+         suspicion; all members are real"
     }
     fn variable(&self) -> &'static str {
         "front ends"
@@ -599,40 +633,54 @@
         vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        size * size * ENTRY
+        size * size * ENTRY_BYTES
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let calm = || Fleet::new(size as usize, size as usize, true, seed);
-        let stuck =
+        let steady_fleet = || Fleet::new(size as usize, size as usize, true, seed);
+        let not_settled =
             |what: &str| ScaleError::NotSettled { row: "members-deaths", size, reason: what.to_owned() };
-        let mut fleet = calm();
-        let one = death(&mut fleet, &[1]).ok_or_else(|| stuck("one death was not known to all"))?;
-        let mut fleet = calm();
-        let group = rack(&fleet);
-        let of_rack =
-            death(&mut fleet, &group).ok_or_else(|| stuck("a rack's death was not known to all"))?;
-        let mut fleet = calm();
+        let mut fleet = steady_fleet();
+        let one = measure_deaths(&mut fleet, &[1])
+            .ok_or_else(|| not_settled("the death of one member was not detected"))?;
+        let mut fleet = steady_fleet();
+        let group = rack_members(&fleet);
+        let of_rack = measure_deaths(&mut fleet, &group)
+            .ok_or_else(|| not_settled("the death of a rack was not detected"))?;
+        let mut fleet = steady_fleet();
         let zone = fleet.network.members_in(Area::Zone(1));
-        let of_zone = death(&mut fleet, &zone).ok_or_else(|| stuck("a zone's death was not known to all"))?;
+        let of_zone = measure_deaths(&mut fleet, &zone)
+            .ok_or_else(|| not_settled("the death of a zone was not detected"))?;
         Ok(vec![
-            figure("one dies: until 99% know", "s", seconds(one.known)),
-            figure("one dies: bytes with envelope", "B/s", one.on_wire),
-            figure("one dies: survivors' pairs in doubt at most", "pairs", one.doubted as f64),
-            figure("a rack dies: until 99% know", "s", seconds(of_rack.known)),
-            figure("a rack dies: bytes with envelope", "B/s", of_rack.on_wire),
-            figure("a rack dies: survivors' pairs in doubt at most", "pairs", of_rack.doubted as f64),
-            figure("a zone dies: until 99% know", "s", seconds(of_zone.known)),
-            figure("a zone dies: bytes with envelope", "B/s", of_zone.on_wire),
-            figure("a zone dies: survivors' pairs in doubt at most", "pairs", of_zone.doubted as f64),
+            measurement("one dies: until 99% know", "s", seconds(one.time)),
+            measurement("one dies: bytes with envelope", "B/s", one.bytes_on_wire),
+            measurement(
+                "one dies: survivors' pairs in doubt at most",
+                "pairs",
+                one.max_false_suspicions as f64,
+            ),
+            measurement("a rack dies: until 99% know", "s", seconds(of_rack.time)),
+            measurement("a rack dies: bytes with envelope", "B/s", of_rack.bytes_on_wire),
+            measurement(
+                "a rack dies: survivors' pairs in doubt at most",
+                "pairs",
+                of_rack.max_false_suspicions as f64,
+            ),
+            measurement("a zone dies: until 99% know", "s", seconds(of_zone.time)),
+            measurement("a zone dies: bytes with envelope", "B/s", of_zone.bytes_on_wire),
+            measurement(
+                "a zone dies: survivors' pairs in doubt at most",
+                "pairs",
+                of_zone.max_false_suspicions as f64,
+            ),
         ])
     }
 }
 
-/// Regions that lose each other and come together again.
+/// Row: all regions are isolated from each other and then reconnected.
 #[derive(Debug)]
-pub struct Apart;
+pub struct RegionsApart;
 
-impl Row for Apart {
+impl Row for RegionsApart {
     fn name(&self) -> &'static str {
         "members-apart"
     }
@@ -640,8 +688,9 @@
         Role::FrontEndControl
     }
     fn about(&self) -> &'static str {
-        "all seven regions lose each other, until each takes all others for dead and 30 s more (the rest of the hour is \
-         the same, not played), then meet again: simulated time and bytes of a member; all members are real"
+        "all seven regions are isolated until each considers all others dead, and for 30 s more (the rest of \
+         an hour would be the same and is not simulated), then reconnected: simulated time and bytes of a \
+         member; all members are real"
     }
     fn variable(&self) -> &'static str {
         "front ends"
@@ -657,41 +706,43 @@
         vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        size * size * ENTRY
+        size * size * ENTRY_BYTES
     }
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let stuck =
+        let not_settled =
             |what: &str| ScaleError::NotSettled { row: "members-apart", size, reason: what.to_owned() };
         let mut fleet = Fleet::new(size as usize, size as usize, true, seed);
         let all: Vec<usize> = (0..fleet.size).collect();
         fleet.run(2 * SECOND);
         fleet.network.reset_counts();
         fleet.network.isolate_regions();
-        let apart = fleet.until(|f| f.known_dead_elsewhere() >= 0.99);
-        let apart = apart.ok_or_else(|| stuck("regions apart did not take each other for dead"))?;
-        let parting = fleet.traffic(apart).on_wire;
+        let apart = fleet.run_until(|f| f.share_known_dead_across_regions() >= 0.99);
+        let apart =
+            apart.ok_or_else(|| not_settled("the isolated regions did not consider each other dead"))?;
+        let parting = fleet.traffic(apart).bytes_on_wire;
         fleet.network.reset_counts();
-        fleet.run(APART);
-        let alone = fleet.traffic(APART).on_wire;
+        fleet.run(ISOLATION_TIME);
+        let alone = fleet.traffic(ISOLATION_TIME).bytes_on_wire;
         fleet.network.heal();
         fleet.network.reset_counts();
-        let together = fleet.until(|f| f.known_alive(&all) >= 0.99);
-        let together = together.ok_or_else(|| stuck("regions did not find each other again"))?;
-        let meeting = fleet.traffic(together).on_wire;
+        let together = fleet.run_until(|f| f.share_known_alive(&all) >= 0.99);
+        let together = together
+            .ok_or_else(|| not_settled("the regions did not find each other after the reconnection"))?;
+        let meeting = fleet.traffic(together).bytes_on_wire;
         Ok(vec![
-            figure("regions part: until 99% take the others for dead", "s", seconds(apart)),
-            figure("regions part: bytes with envelope", "B/s", parting),
-            figure("apart: bytes with envelope", "B/s", alone),
-            figure("together again: until 99% know each other", "s", seconds(together)),
-            figure("together again: bytes with envelope", "B/s", meeting),
-            figure("together again: bytes of a member until then", "B", meeting * seconds(together)),
+            measurement("regions part: until 99% take the others for dead", "s", seconds(apart)),
+            measurement("regions part: bytes with envelope", "B/s", parting),
+            measurement("apart: bytes with envelope", "B/s", alone),
+            measurement("together again: until 99% know each other", "s", seconds(together)),
+            measurement("together again: bytes with envelope", "B/s", meeting),
+            measurement("together again: bytes of a member until then", "B", meeting * seconds(together)),
         ])
     }
 }
 
 impl Fleet {
-    /// Share of pairs of members of different regions in which the first takes the second for dead.
-    pub fn known_dead_elsewhere(&self) -> f64 {
+    /// Share of pairs of members of different regions in which the first considers the second dead.
+    pub fn share_known_dead_across_regions(&self) -> f64 {
         let (mut pairs, mut known) = (0_u64, 0_u64);
         for (index, one) in self.running() {
             let region = self.network.location(index).region;
--- a/crates/badgerwind-scale/tests/heap_meter.rs
+++ b/crates/badgerwind-scale/tests/heap_meter.rs
@@ -1,4 +1,5 @@
-//! What the heap meter counts. One test only, since it counts for the whole process.
+//! The bytes that the heap meter reports. This file has a single test, because the meter counts the whole
+//! process.
 
 use badgerwind_scale::cost::HeapMeter;
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -8,7 +9,7 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 #[test]
-fn a_vector_that_grew_counts_once() {
+fn reallocated_memory_counts_once() {
     let meter = HeapMeter::start();
     let mut grown: Vec<u64> = Vec::with_capacity(1);
     for number in 0..10_000 {
