--- a/crates/badgerwind-scale/src/rows/members.rs
+++ b/crates/badgerwind-scale/src/rows/members.rs
@@ -30,7 +30,7 @@
 const CHECK_INTERVAL: Micros = 250 * MILLISECOND;
 /// Simulated time after which a measurement fails if the fleet has not reached the expected state.
 const SETTLE_TIMEOUT: Micros = 1_800 * SECOND;
-/// Simulated time of isolated regions after the views have stopped changing. It stands for the rest of an
+/// Simulated time of isolated regions after the views have stopped changing. It represents the rest of an
 /// hour.
 const ISOLATION_TIME: Micros = 30 * SECOND;
 /// Number of front ends in a rack of the planned fleet.
@@ -216,8 +216,8 @@
     /// that finds it late ping it.
     fn mirror_ping_requests(&mut self, real: usize, requests: usize) {
         for _ in 0..requests {
-            let about = self.rng.random_range(0..self.size) as Member;
-            self.send_scripted_sampled(real, Kind::PingRequest, about);
+            let target = self.rng.random_range(0..self.size) as Member;
+            self.send_scripted_sampled(real, Kind::PingRequest, target);
             self.send_scripted_sampled(real, Kind::Ping, real as Member);
         }
         self.send_scripted_sampled(real, Kind::Ping, real as Member);
@@ -233,14 +233,14 @@
 
     /// Sends a message of a random scripted member, with the probability that a scripted member and not a
     /// real one would send it.
-    fn send_scripted_sampled(&mut self, to: usize, kind: Kind, about: Member) {
+    fn send_scripted_sampled(&mut self, to: usize, kind: Kind, target: Member) {
         let scripted = self.real..self.size;
         let share = scripted.len() as f64 / (self.size - 1).max(1) as f64;
         if !self.rng.random_bool(share.clamp(0.0, 1.0)) {
             return;
         }
         let from = self.rng.random_range(scripted);
-        let message = self.scripted_message(from, kind, 0, about);
+        let message = self.scripted_message(from, kind, 0, target);
         self.network.send(from, to, kind_name(kind), message.encode());
     }
 
@@ -255,8 +255,8 @@
                     self.relayed.pop_first();
                 }
                 self.relayed.insert(self.serial, (from, message.serial));
-                let about = usize::from(message.target);
-                self.send_scripted(to, about, Kind::Ping, self.serial, message.target);
+                let target = usize::from(message.target);
+                self.send_scripted(to, target, Kind::Ping, self.serial, message.target);
             }
             Kind::Ack => {
                 if let Some((requester, serial)) = self.relayed.remove(&message.serial) {
@@ -267,13 +267,13 @@
         }
     }
 
-    fn send_scripted(&mut self, from: usize, to: usize, kind: Kind, serial: u32, about: Member) {
-        let message = self.scripted_message(from, kind, serial, about);
+    fn send_scripted(&mut self, from: usize, to: usize, kind: Kind, serial: u32, target: Member) {
+        let message = self.scripted_message(from, kind, serial, target);
         self.network.send(from, to, kind_name(kind), message.encode());
     }
 
     /// A message of a scripted member in a steady fleet, filled with updates that all members know.
-    fn scripted_message(&mut self, from: usize, kind: Kind, serial: u32, about: Member) -> Message {
+    fn scripted_message(&mut self, from: usize, kind: Kind, serial: u32, target: Member) -> Message {
         let first = self.rng.random_range(0..self.size);
         let known = (0..MAX_UPDATES.min(self.size - 1)).map(|n| (first + n) % self.size);
         let update = |member: usize| Update {
@@ -284,11 +284,11 @@
             reported_by: member as Member,
         };
         let updates = known.map(update).collect();
-        Message { kind, serial, target: about, incarnation: self.incarnations[from], refutations: 0, updates }
+        Message { kind, serial, target, incarnation: self.incarnations[from], refutations: 0, updates }
     }
 
     /// Runs until a condition holds, which is checked four times a second. Returns the simulated time that it
-    /// took, or `None` at [`SETTLE_TIMEOUT`].
+    /// took, or `None` after the timeout of 1,800 s.
     pub fn run_until(&mut self, condition: impl Fn(&Fleet) -> bool) -> Option<Micros> {
         let start = self.network.now();
         while self.network.now() < start + SETTLE_TIMEOUT {
@@ -578,8 +578,8 @@
     pub max_false_suspicions: u64,
 }
 
-/// Kills members of a steady fleet and measures the detection; `None` if it takes longer than
-/// [`SETTLE_TIMEOUT`].
+/// Kills members of a steady fleet and measures the detection; `None` if it takes longer than the timeout of
+/// 1,800 s.
 pub fn measure_deaths(fleet: &mut Fleet, dead: &[usize]) -> Option<Detection> {
     fleet.run(2 * SECOND);
     fleet.network.reset_counts();
