--- a/crates/badgerwind-standins/src/platform/mod.rs
+++ b/crates/badgerwind-standins/src/platform/mod.rs
@@ -8,8 +8,10 @@
 pub mod full_backlog;
 pub mod web;
 
+use rustix::net::RecvFlags;
 use serde_json::{json, Value};
-use std::net::SocketAddr;
+use std::io::{self, Read};
+use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
 /// Longest time that a stand-in waits for anything.
@@ -27,6 +29,26 @@
     false
 }
 
+/// Reads some bytes, and returns [`io::ErrorKind::WouldBlock`] if none arrive within the timeout. A read that a
+/// signal interrupts continues for the time that remains: Linux does not restart a read with a timeout, not
+/// even after a stop or a `SIGCHLD` for which there is no handler.
+pub fn read_with_timeout(stream: &mut TcpStream, buf: &mut [u8], timeout: Duration) -> io::Result<usize> {
+    let end = Instant::now() + timeout;
+    let mut left = timeout;
+    while !left.is_zero() {
+        stream.set_read_timeout(Some(left))?;
+        match stream.read(buf) {
+            // The kernel counts in ticks and may return `WouldBlock` up to one early.
+            Err(e) if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock) => {}
+            result => return result,
+        }
+        left = end.saturating_duration_since(Instant::now());
+    }
+    // The process may have been stopped until now, and bytes may have arrived during that time.
+    let (received, _) = rustix::net::recv(&*stream, buf, RecvFlags::DONTWAIT)?;
+    Ok(received)
+}
+
 /// An executor of the list in the configuration's `known`.
 pub fn list_member(id: u32, address: SocketAddr, phase: &str) -> Value {
     json!({"id": format!("s-{id:08x}"), "host_port": address, "locality": "east", "flavor": "std", "cell": 0,
--- a/crates/badgerwind-standins/src/platform/web.rs
+++ b/crates/badgerwind-standins/src/platform/web.rs
@@ -1,9 +1,9 @@
 //! A web server's FastCGI connection to a front end.
 
-use super::TIMEOUT;
+use super::{read_with_timeout, TIMEOUT};
 use badgerwind_platform::fcgi::{self, Decoder};
 use std::collections::BTreeMap;
-use std::io::{self, Read, Write};
+use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
 
 /// A received answer.
@@ -80,7 +80,6 @@
     /// Connects to a front end.
     pub fn connect(to: SocketAddr) -> io::Result<WebConnection> {
         let stream = TcpStream::connect(to)?;
-        stream.set_read_timeout(Some(TIMEOUT))?;
         stream.set_write_timeout(Some(TIMEOUT))?;
         stream.set_nodelay(true)?;
         Ok(WebConnection { stream, decoder: Decoder::default(), partial: BTreeMap::new(), ready: Vec::new() })
@@ -117,7 +116,7 @@
     pub fn answer(&mut self) -> io::Result<Answer> {
         let mut buf = [0u8; 8192];
         while self.ready.is_empty() {
-            let n = match self.stream.read(&mut buf)? {
+            let n = match read_with_timeout(&mut self.stream, &mut buf, TIMEOUT)? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                 n => n,
             };
