--- a/crates/badgerwind-cli/src/control.rs
+++ b/crates/badgerwind-cli/src/control.rs
@@ -4,7 +4,7 @@
 use badgerwind_config::parts::Kind;
 use badgerwind_config::waves::{RolloutPolicy, Stage};
 use badgerwind_control::{folder, serve, Pin, Status};
-use badgerwind_http::{Exchange, Pool, PoolBounds};
+use badgerwind_http::{Exchange, Pool, PoolLimits};
 use clap::Subcommand;
 use smol::net::TcpListener;
 use std::net::SocketAddr;
@@ -122,9 +122,14 @@
     body: Vec<u8>,
 ) -> Result<Vec<u8>, CommandError> {
     let timeout = Duration::from_secs(10);
-    let bounds = PoolBounds { most: 1, connect_time: timeout, idle_time: timeout, body_bytes: 64 << 20 };
+    let limits = PoolLimits {
+        max_connections: 1,
+        connect_timeout: timeout,
+        idle_timeout: timeout,
+        max_body_bytes: 64 << 20,
+    };
     let request = Exchange { method, target: target.into(), headers: vec![], body: Arc::from(body) };
-    let (head, body) = smol::block_on(Pool::new(address, bounds).exchange(&request))
+    let (head, body) = smol::block_on(Pool::new(address, limits).exchange(&request))
         .map_err(|e| CommandError::failed(format!("the control service at {address}: {e}")))?;
     match head.status {
         200 => Ok(body),
@@ -221,18 +226,21 @@
             Some((v, Stage::Stopped(why))) => format!(", {v} STOPPED: {why}"),
         };
         lines.push(format!("{}: newest {newest}{wave}", k.kind.name()));
-        lines.extend(k.unfit.iter().map(|(file, why)| format!("  not offered: {file}: {why}")));
+        lines.extend(k.unpublished.iter().map(|(file, why)| format!("  not offered: {file}: {why}")));
     }
     lines.push(format!(
         "{:<24} {:>9} {:<8} {:>9} {:<18} rejected",
         "front end", "heard", "kind", "running", "offered"
     ));
-    for f in &status.fronts {
+    for f in &status.front_ends {
         let pinned = if f.pinned { " (pinned)" } else { "" };
         for (n, r) in f.report.iter().enumerate() {
             let name = if n == 0 { format!("{}{pinned}", f.id) } else { String::new() };
-            let heard =
-                if n == 0 { format!("{:.1}s ago", f.heard_ms_ago as f64 / 1e3) } else { String::new() };
+            let heard = if n == 0 {
+                format!("{:.1}s ago", f.since_last_request_ms as f64 / 1e3)
+            } else {
+                String::new()
+            };
             let running = r.running.map_or("file".to_owned(), |v| v.to_string());
             let offered = r.offered.map_or(String::new(), |(v, p)| format!("{v} {p:?}").to_lowercase());
             let first_line = |s: &str| s.lines().next().unwrap_or("").to_owned();
--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -12,7 +12,7 @@
 use badgerwind_config::Kind;
 use badgerwind_control::{folder, serve, Status};
 use badgerwind_http::{Conn, Limits, Response};
-use badgerwind_protocol::list::State;
+use badgerwind_protocol::list::Availability;
 use futures_lite::future::zip;
 use rig::*;
 use smol::net::TcpListener;
@@ -208,7 +208,7 @@
         assert_eq!(status.kinds[2].newest, Some(200));
         rig.until("the control service has the report", async || {
             let status: Status = serde_json::from_str(&get(address, "/status").await.1).unwrap();
-            status.fronts[0].report.iter().any(|r| r.kind == Kind::Routes && r.running == Some(200))
+            status.front_ends[0].report.iter().any(|r| r.kind == Kind::Routes && r.running == Some(200))
         })
         .await;
     });
@@ -216,15 +216,19 @@
 
 async fn get(address: SocketAddr, path: &str) -> (u16, String) {
     let time = std::time::Duration::from_secs(5);
-    let bounds =
-        badgerwind_http::PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 1 << 20 };
+    let limits = badgerwind_http::PoolLimits {
+        max_connections: 1,
+        connect_timeout: time,
+        idle_timeout: time,
+        max_body_bytes: 1 << 20,
+    };
     let request = badgerwind_http::Exchange {
         method: "GET",
         target: path.into(),
         headers: vec![],
         body: Arc::from(&b""[..]),
     };
-    let (head, body) = badgerwind_http::Pool::new(address, bounds).exchange(&request).await.unwrap();
+    let (head, body) = badgerwind_http::Pool::new(address, limits).exchange(&request).await.unwrap();
     (head.status, String::from_utf8(body).unwrap())
 }
 
@@ -238,7 +242,7 @@
             rig.send(&format!("m{n}"), CHECK, 1).await;
         }
         let drained = rig.runners[0].clone();
-        rig.update_list(&list_entry(drained.id, drained.address, State::Draining)).await;
+        rig.update_list(&list_entry(drained.id, drained.address, Availability::Draining)).await;
         rig.until("one is ready", async || rig.get("/metrics").await.1.contains("runners_ready 1\n")).await;
         let before = rig.lines().len();
         folder::publish(dir.path(), Kind::Fleet, &fleet("60s")).unwrap();
@@ -399,7 +403,7 @@
             until_running(&rig, Kind::Routes, version).await;
         }
         let status: Status = serde_json::from_str(&get(address, "/status").await.1).unwrap();
-        assert!(status.fronts.iter().any(|f| f.id == "slow" && f.report.is_empty()));
+        assert!(status.front_ends.iter().any(|f| f.id == "slow" && f.report.is_empty()));
     });
 }
 
--- a/crates/badgerwind-cli/tests/hard_cases.rs
+++ b/crates/badgerwind-cli/tests/hard_cases.rs
@@ -3,8 +3,8 @@
 
 mod rig;
 
-use badgerwind_http::{Conn, Exchange, Limits, Pool, PoolBounds, Response};
-use badgerwind_protocol::list::State;
+use badgerwind_http::{Conn, Exchange, Limits, Pool, PoolLimits, Response};
+use badgerwind_protocol::list::Availability;
 use badgerwind_webhook::{sign, Key, KeyKind, ID, SIGNATURE, TIMESTAMP};
 use futures_lite::future::poll_once;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -22,8 +22,10 @@
 /// Posts a message with exactly these headers.
 async fn post_raw(to: SocketAddr, headers: Vec<(&'static str, String)>, body: &[u8]) -> (u16, String) {
     let time = Duration::from_secs(10);
-    let pool =
-        Pool::new(to, PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 1 << 20 });
+    let pool = Pool::new(
+        to,
+        PoolLimits { max_connections: 1, connect_timeout: time, idle_timeout: time, max_body_bytes: 1 << 20 },
+    );
     let request = Exchange { method: "POST", target: LODGE.into(), headers, body: body.into() };
     let (head, body) = pool.exchange(&request).await.unwrap();
     (head.status, String::from_utf8(body).unwrap())
@@ -374,7 +376,7 @@
     smol::block_on(async {
         let rig = Rig::start(Plan::default()).await;
         for r in rig.runners.clone() {
-            rig.update_list(&list_entry(r.id, r.address, State::Draining)).await;
+            rig.update_list(&list_entry(r.id, r.address, Availability::Draining)).await;
         }
         rig.until("the front end knows that all runners drain", async || rig.get("/health").await.0 == 503)
             .await;
@@ -383,7 +385,7 @@
         assert_eq!((got.status, got.problem().1.as_str()), (503, "harmless"), "{got:?}");
         assert_eq!(rig.arrived(), before);
         for r in rig.runners.clone() {
-            rig.update_list(&list_entry(r.id, r.address, State::Ready)).await;
+            rig.update_list(&list_entry(r.id, r.address, Availability::Ready)).await;
         }
         rig.until("it is served", async || rig.send("m1", LODGE, 1).await.status == 200).await;
         assert_eq!(rig.finished(), 1);
--- a/crates/badgerwind-cli/tests/restarts.rs
+++ b/crates/badgerwind-cli/tests/restarts.rs
@@ -5,7 +5,7 @@
 use badgerwind_check::Event;
 use badgerwind_cli::send::{post, Message};
 use badgerwind_http::{Conn, Limits, Response};
-use badgerwind_protocol::list::{List, Runner, State};
+use badgerwind_protocol::list::{Availability, List, Runner};
 use badgerwind_standins::reserved::unused_address;
 use futures_lite::future::zip;
 use rig::*;
@@ -47,7 +47,7 @@
         let first = Rig::start(Plan::default()).await;
         let (drained, ready) = (first.runners[0].clone(), first.runners[1].clone());
         let (listener, list_address) = bind_loopback().await;
-        let runners = vec![Runner { state: State::Draining, ..drained.clone() }, ready];
+        let runners = vec![Runner { availability: Availability::Draining, ..drained.clone() }, ready];
         let (allow, allowed) = smol::channel::bounded(1);
         let _service =
             smol::spawn(serve_when_allowed(listener, List { version: 4, whole: true, runners }, allowed));
@@ -84,15 +84,19 @@
 /// A metric of the front end that serves its metrics at this address.
 async fn read_metric(address: SocketAddr, name: &str) -> Option<u64> {
     let time = Duration::from_secs(5);
-    let bounds =
-        badgerwind_http::PoolBounds { most: 1, connect_time: time, idle_time: time, body_bytes: 1 << 20 };
+    let limits = badgerwind_http::PoolLimits {
+        max_connections: 1,
+        connect_timeout: time,
+        idle_timeout: time,
+        max_body_bytes: 1 << 20,
+    };
     let request = badgerwind_http::Exchange {
         method: "GET",
         target: "/metrics".into(),
         headers: vec![],
         body: Arc::from(&b""[..]),
     };
-    let (_, body) = badgerwind_http::Pool::new(address, bounds).exchange(&request).await.ok()?;
+    let (_, body) = badgerwind_http::Pool::new(address, limits).exchange(&request).await.ok()?;
     let text = String::from_utf8(body).unwrap();
     let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '))?;
     line.parse().ok()
--- a/crates/badgerwind-gateway/src/control.rs
+++ b/crates/badgerwind-gateway/src/control.rs
@@ -8,7 +8,7 @@
 use crate::log_limit::LogLimit;
 use crate::runners::Runners;
 use crate::secrets;
-use crate::shares::Shares;
+use crate::shares::BudgetShares;
 use crate::zones::Zones;
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::WorkerEntry;
@@ -18,7 +18,7 @@
 use badgerwind_config::shadow::{driver_limits, replay, RecordedCall};
 use badgerwind_config::wire::{DiscoveryRequest, DiscoveryResponse, Health};
 use badgerwind_config::{storage, Report};
-use badgerwind_http::{Exchange, Pool, PoolBounds};
+use badgerwind_http::{Exchange, Pool, PoolLimits};
 use badgerwind_settings::document::Node;
 use badgerwind_settings::{Control as ControlSettings, Problem, Settings};
 use futures_lite::FutureExt;
@@ -87,7 +87,7 @@
 }
 
 /// Follows the control service and applies its settings.
-pub(crate) struct Follower {
+pub(crate) struct ConfigFollower {
     pub settings: ControlSettings,
     pub folder: PathBuf,
     pub clock: Clock,
@@ -95,7 +95,7 @@
     pub runners: Arc<Runners>,
     pub engine: Sender<Control>,
     /// Divides tenants' quotas among front ends.
-    pub shares: Option<Arc<Shares>>,
+    pub shares: Option<Arc<BudgetShares>>,
     /// Receives the operator's directives for zones.
     pub zones: Option<Arc<Zones>>,
     /// The runners as listed, for the replay of recent calls.
@@ -106,7 +106,7 @@
     pub unanswered_log: Mutex<LogLimit>,
 }
 
-impl Follower {
+impl ConfigFollower {
     pub(crate) fn timing(settings: &ControlSettings) -> Timing {
         let ControlSettings { stage_timeout, min_backoff, max_backoff, .. } = *settings;
         Timing { stage_timeout, min_backoff, max_backoff }
@@ -116,14 +116,14 @@
     pub(crate) async fn run(self, mut client: Client) {
         let (events, received_events) = async_channel::bounded(256);
         let follower = Arc::new(self);
-        let bounds = PoolBounds {
-            most: 2 * Kind::ALL.len(),
-            connect_time: Duration::from_secs(2),
-            idle_time: follower.settings.poll_timeout + RESPONSE_GRACE,
-            body_bytes: MAX_RESPONSE_BYTES,
+        let limits = PoolLimits {
+            max_connections: 2 * Kind::ALL.len(),
+            connect_timeout: Duration::from_secs(2),
+            idle_timeout: follower.settings.poll_timeout + RESPONSE_GRACE,
+            max_body_bytes: MAX_RESPONSE_BYTES,
         };
         let pools: Vec<Arc<Pool>> =
-            follower.settings.services.iter().map(|a| Arc::new(Pool::new(*a, bounds))).collect();
+            follower.settings.services.iter().map(|a| Arc::new(Pool::new(*a, limits))).collect();
         let next_service = Arc::new(AtomicUsize::new(0));
         let mut prepared: HashMap<u64, Box<PreparedSettings>> = HashMap::new();
         let (mut actions, mut requests) = (Vec::new(), HashMap::new());
@@ -246,7 +246,7 @@
 
     fn warn_unanswered(&self, address: SocketAddr, kind: Kind, error: &str) {
         let limit = self.unanswered_log.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(suppressed) = limit.may(self.clock.now()) {
+        if let Some(suppressed) = limit.allow(self.clock.now()) {
             tracing::warn!(
                 %address, kind = kind.name(), more = suppressed,
                 "the control service does not answer: {error}; keeping the current settings and retrying"
--- a/crates/badgerwind-gateway/src/list.rs
+++ b/crates/badgerwind-gateway/src/list.rs
@@ -7,8 +7,8 @@
 use crate::serve::ListFilter;
 use async_channel::{Receiver, Sender};
 use badgerwind::interface::{Discovery, ListKind, WorkerEntry};
-use badgerwind_http::{Exchange, Pool, PoolBounds};
-use badgerwind_protocol::list::{target, List, Runner, State};
+use badgerwind_http::{Exchange, Pool, PoolLimits};
+use badgerwind_protocol::list::{target, Availability, List, Runner};
 use badgerwind_settings::Settings;
 use futures_lite::FutureExt;
 use smol::Timer;
@@ -26,7 +26,7 @@
     pub filter: Option<ListFilter>,
     pub runners: Arc<Runners>,
     pub metrics: Arc<Metrics>,
-    pub report: Sender<Input>,
+    pub inputs: Sender<Input>,
     pub requests: Receiver<ListRequest>,
     /// The runners as listed, shared with the client of the control service.
     pub listed_runners: Arc<Mutex<Vec<WorkerEntry>>>,
@@ -47,13 +47,13 @@
         let mut known: BTreeMap<u32, Runner> = BTreeMap::new();
         let mut cached = self.load_cache();
         let list_settings = &self.settings.list;
-        let bounds = PoolBounds {
-            most: 2,
-            connect_time: self.settings.runners.connect_timeout,
-            idle_time: list_settings.poll_timeout + RESPONSE_GRACE,
-            body_bytes: MAX_LIST_BYTES,
+        let limits = PoolLimits {
+            max_connections: 2,
+            connect_timeout: self.settings.runners.connect_timeout,
+            idle_timeout: list_settings.poll_timeout + RESPONSE_GRACE,
+            max_body_bytes: MAX_LIST_BYTES,
         };
-        let pool = Pool::new(list_settings.address, bounds);
+        let pool = Pool::new(list_settings.address, limits);
         let on_request = self.settings.router.discovery == Discovery::Ask;
         let (mut watching, mut version, mut failing) = (!on_request, None, false);
         loop {
@@ -106,7 +106,7 @@
                     if on_request {
                         watching = false;
                         let _ =
-                            self.report.send(Input::List { kind: ListKind::Failed, entries: vec![] }).await;
+                            self.inputs.send(Input::List { kind: ListKind::Failed, entries: vec![] }).await;
                     }
                     Timer::after(list_settings.retry_delay).await;
                 }
@@ -157,15 +157,17 @@
         for r in &list.runners {
             known.insert(r.id, r.clone());
         }
-        known.retain(|_, r| r.state != State::Gone);
+        known.retain(|_, r| r.availability != Availability::Removed);
         *self.listed_runners.lock().unwrap_or_else(PoisonError::into_inner) =
             known.values().map(Runner::entry).collect();
         self.runners.apply_list(&list);
         self.metrics.list_version.set(list.version);
-        self.metrics.runners.set(known.values().filter(|r| r.state == State::Ready).count() as i64);
+        self.metrics
+            .runners
+            .set(known.values().filter(|r| r.availability == Availability::Ready).count() as i64);
         let entries = list.runners.iter().map(Runner::entry).collect();
         // Reported before it is stored, so that the engine uses it without waiting for the disk.
-        let _ = self.report.send(Input::List { kind, entries }).await;
+        let _ = self.inputs.send(Input::List { kind, entries }).await;
         if let (Some(path), true) = (self.cache.clone(), kind != ListKind::Cached) {
             let whole =
                 List { version: list.version, whole: true, runners: known.values().cloned().collect() };
--- a/crates/badgerwind-gateway/src/runners.rs
+++ b/crates/badgerwind-gateway/src/runners.rs
@@ -7,7 +7,7 @@
 use badgerwind_attempts::Fence;
 use badgerwind_driver::{AttemptEnd, CancelReason};
 use badgerwind_http::client::Answer;
-use badgerwind_http::{ClientTls, Exchange, ExchangeError, Pool, PoolBounds, ResponseHead};
+use badgerwind_http::{ClientTls, Exchange, ExchangeError, Pool, PoolLimits, ResponseHead};
 use badgerwind_protocol::list;
 use badgerwind_protocol::runner::{self, LoadAnswer, LoadOrder, LoadParameters};
 use badgerwind_settings::Settings;
@@ -77,11 +77,11 @@
     /// Replaces settings, key and certificates; calls already accepted keep the settings they were accepted
     /// under.
     pub(crate) fn update(&self, settings: Arc<Settings>, key: Key, tls: Option<ClientTls>) {
-        let bounds = pool_bounds(&settings);
+        let limits = pool_limits(&settings);
         let mut current_tls = self.tls.write().unwrap_or_else(PoisonError::into_inner);
         let under_tls = current_tls.is_some() || tls.is_some();
         for endpoint in self.endpoints().values() {
-            endpoint.pool.set_bounds(bounds);
+            endpoint.pool.set_limits(limits);
             if under_tls {
                 endpoint.pool.set_tls(tls.clone());
             }
@@ -103,7 +103,7 @@
     /// Applies a list: endpoints, draining and removed runners. Attempts at a removed runner keep their
     /// connections.
     pub(crate) fn apply_list(&self, list: &list::List) {
-        let bounds = pool_bounds(&self.settings());
+        let limits = pool_limits(&self.settings());
         let tls = self.tls.read().unwrap_or_else(PoisonError::into_inner);
         let mut endpoints = self.endpoints();
         if list.whole {
@@ -111,17 +111,17 @@
             endpoints.retain(|id, _| listed_ids.contains(id));
         }
         for runner in &list.runners {
-            if runner.state == list::State::Gone {
+            if runner.availability == list::Availability::Removed {
                 endpoints.remove(&runner.id);
                 continue;
             }
             let existing = endpoints.remove(&runner.id).filter(|p| p.pool.address() == runner.address);
             let mut endpoint = existing.unwrap_or_else(|| {
-                let pool = Pool::new(runner.address, bounds);
+                let pool = Pool::new(runner.address, limits);
                 pool.set_tls(tls.clone());
                 Endpoint { pool: Arc::new(pool), draining: false }
             });
-            endpoint.draining = runner.state != list::State::Ready;
+            endpoint.draining = runner.availability != list::Availability::Ready;
             endpoints.insert(runner.id, endpoint);
         }
     }
@@ -178,14 +178,14 @@
 
     /// Runs one attempt to its end. When cancelled it asks the runner to stop, and drops its connection once
     /// the runner has confirmed; an answer that arrives first counts.
-    pub(crate) async fn attempt(
+    pub(crate) async fn send_attempt(
         &self,
         id: &RequestId,
         attempt: u32,
         worker: WorkerId,
         content: &Content,
         signals: Receiver<AttemptSignal>,
-        report: &Sender<Input>,
+        inputs: &Sender<Input>,
     ) -> AttemptEnd<Reply> {
         let Some(pool) = self.pool(worker) else { return AttemptEnd::from_outcome(Outcome::ConnectFailed) };
         let next_signal = || async {
@@ -221,7 +221,7 @@
                 Err(e) => return end_of_error(&e),
             };
             if streaming && outcome_of(&answer.head) == Outcome::Ok {
-                return self.stream(id, attempt, answer, report).await;
+                return self.stream(id, attempt, answer, inputs).await;
             }
             let mut body = Vec::new();
             loop {
@@ -274,12 +274,12 @@
         id: &RequestId,
         attempt: u32,
         mut answer: Answer<'_>,
-        report: &Sender<Input>,
+        inputs: &Sender<Input>,
     ) -> AttemptEnd<Reply> {
         let (chunks, rest) = async_channel::bounded(STREAM_QUEUE);
         let content_type = answer.head.headers.get("content-type").map(str::to_owned);
         let reply = Reply { content_type, body: Arc::from(&b""[..]), rest: Some(rest) };
-        let _ = report.send(Input::StreamBegan { id: id.clone(), attempt, reply }).await;
+        let _ = inputs.send(Input::StreamBegan { id: id.clone(), attempt, reply }).await;
         loop {
             let mut chunk = Vec::new();
             match answer.read_piece(&mut chunk).await {
@@ -313,7 +313,7 @@
     }
 
     /// Runs a load order to its end and returns the number of copies loaded; the caller applies the timeout.
-    pub(crate) async fn order(&self, worker: WorkerId, function: &str, copies: u32) -> (Outcome, u32) {
+    pub(crate) async fn send_order(&self, worker: WorkerId, function: &str, copies: u32) -> (Outcome, u32) {
         let Some(pool) = self.pool(worker) else { return (Outcome::ConnectFailed, 0) };
         let request = self.post_request(runner::load_path(function), self.load_parameters(function, copies));
         let response = async {
@@ -374,13 +374,13 @@
     }
 }
 
-fn pool_bounds(settings: &Settings) -> PoolBounds {
+fn pool_limits(settings: &Settings) -> PoolLimits {
     let runners = &settings.runners;
-    PoolBounds {
-        most: runners.max_connections,
-        connect_time: runners.connect_timeout,
-        idle_time: runners.idle_timeout,
-        body_bytes: runners.max_answer_bytes,
+    PoolLimits {
+        max_connections: runners.max_connections,
+        connect_timeout: runners.connect_timeout,
+        idle_timeout: runners.idle_timeout,
+        max_body_bytes: runners.max_answer_bytes,
     }
 }
 
