--- a/crates/badgerwind-standins/tests/interruptions.rs
+++ b/crates/badgerwind-standins/tests/interruptions.rs
@@ -118,8 +118,8 @@
 /// The records of an answer with status 200.
 fn answer(number: u16) -> Vec<u8> {
     let mut out = Vec::new();
-    fcgi::stream(&mut out, fcgi::STDOUT, number, b"Status: 200 OK\r\n\r\nbody");
-    fcgi::end_request(&mut out, number, fcgi::ProtocolStatus::Complete);
+    fcgi::write_stream(&mut out, fcgi::STDOUT, number, b"Status: 200 OK\r\n\r\nbody");
+    fcgi::write_end_request(&mut out, number, fcgi::ProtocolStatus::Complete);
     out
 }
 
