--- a/crates/badgerwind-scale/src/rows/cold_starts.rs
+++ b/crates/badgerwind-scale/src/rows/cold_starts.rs
@@ -1,13 +1,14 @@
-//! Rows of cold starts, fleet-wide: which share of calls finds no loaded copy where it goes, by arithmetic
-//! (Poisson arrivals, Zipf over functions) with a check by simulation; and how long a cold start takes where
-//! loads queue.
+//! Rows of cold starts in the whole fleet: the share of calls that find no loaded copy at their worker,
+//! computed for Poisson arrivals with a Zipf distribution over functions and verified by simulation, and
+//! the duration of a cold start where loads queue.
 //!
-//! A copy stays for a keep-alive after its last use. A call is cold where the one who decides sees no earlier
-//! call within that time: with each front end placing alone that is its own 1 in 11,000 of the calls, with
-//! placement by a hash that all share it is all of them. Where the copies that would stand exceed the
-//! instances there are, the least recently used go first; the time they then stay is Che's characteristic time.
+//! A copy stays loaded for a keep-alive after its last use. A call is cold if no earlier call of the same
+//! function was placed by the same rule within that time. If each front end places calls independently,
+//! only its own calls count, 1 in 11,000 of all; with a hash that all front ends share, all calls count. If
+//! more copies would be loaded than the fleet has room for, the least recently used ones are unloaded
+//! first; idle copies then stay loaded for the characteristic time of Che's approximation for LRU caches.
 
-use super::front_end::{FRONT_ENDS, SECOND};
+use super::front_end::{PLANNED_FRONT_ENDS, SECOND};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use rand::rngs::StdRng;
@@ -15,87 +16,91 @@
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use std::collections::{BinaryHeap, HashMap};
 
-/// Functions of the fleet.
-pub const FUNCTIONS: u64 = 400_000;
-/// Calls a second of the whole fleet.
-pub const CALLS_PER_SECOND: f64 = 1_400_000.0;
-/// Copies that the fleet has room for.
-pub const INSTANCES: f64 = 1_500_000.0;
-/// Calls that a copy serves at a time, and how long it serves one, in seconds.
+/// Number of functions in the fleet.
+pub const FLEET_FUNCTIONS: u64 = 400_000;
+/// Calls per second in the whole fleet.
+pub const FLEET_CALLS_PER_SECOND: f64 = 1_400_000.0;
+/// Maximum number of copies that can be loaded in the fleet.
+pub const FLEET_COPY_CAPACITY: f64 = 1_500_000.0;
+/// Number of calls that a copy serves at once.
 const LANES: f64 = 2.0;
-const SERVICE: f64 = 0.1;
-/// Steps of the search for the characteristic time.
-const BISECTIONS: u32 = 60;
+/// Service time of a call, in seconds.
+const SERVICE_TIME: f64 = 0.1;
+/// Number of bisection steps for the characteristic time.
+const RETENTION_BISECTIONS: u32 = 60;
+/// Number of bisection steps for the Zipf exponent.
 const EXPONENT_BISECTIONS: u32 = 16;
-/// A function called once a minute.
-const RARE: f64 = 1.0 / 60.0;
-const SECONDS_A_DAY: f64 = 86_400.0;
+/// Calls per second below which a function counts as rarely called: one call per minute.
+const RARE_RATE: f64 = 1.0 / 60.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// All rows of this part.
+/// All rows of this module.
 pub fn rows() -> Vec<Box<dyn Row>> {
-    vec![Box::new(ColdShare), Box::new(ColdShareSimulated), Box::new(LoadQueue)]
+    vec![Box::new(ColdStarts), Box::new(ColdStartsSimulated), Box::new(ColdStartTime)]
 }
 
-/// Who decides where a function's copies stand.
+/// How the workers of a function's calls are selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
-    /// Each front end for itself, from its own calls.
-    Alone,
-    /// All by one hash, so that a function's calls meet.
-    Shared,
+    /// Each front end selects them independently, based on its own calls.
+    Independent,
+    /// All front ends use the same hash, so that all calls of a function go to the same workers.
+    SharedHash,
 }
 
 impl Placement {
-    /// Deciders among which the calls are divided.
-    fn deciders(self) -> f64 {
+    /// Number of independent parts into which the calls are divided.
+    fn partitions(self) -> f64 {
         match self {
-            Placement::Alone => f64::from(FRONT_ENDS),
-            Placement::Shared => 1.0,
+            Placement::Independent => f64::from(PLANNED_FRONT_ENDS),
+            Placement::SharedHash => 1.0,
         }
     }
 }
 
-/// Calls of the fleet by function.
+/// Rates of calls by function.
 #[derive(Debug)]
 pub struct Demand {
-    /// Calls a second of each function, the most called first.
+    /// Calls per second of each function, in descending order.
     rates: Vec<f64>,
 }
 
 impl Demand {
-    /// Calls a second divided over functions by Zipf's law.
+    /// Distributes a total rate of calls over functions by Zipf's law.
     pub fn new(functions: u64, exponent: f64, calls_per_second: f64) -> Self {
         let weights: Vec<f64> = (1..=functions).map(|rank| (rank as f64).powf(-exponent)).collect();
-        let whole: f64 = weights.iter().sum();
-        Demand { rates: weights.into_iter().map(|weight| weight / whole * calls_per_second).collect() }
+        let total: f64 = weights.iter().sum();
+        Demand { rates: weights.into_iter().map(|weight| weight / total * calls_per_second).collect() }
     }
 
-    /// Share of calls that are cold where a copy stays so long after its last use, in seconds.
-    pub fn cold_share(&self, placement: Placement, stay: f64) -> f64 {
-        let cold = |rate: &f64| rate * (-rate / placement.deciders() * stay).exp();
+    /// Share of calls that are cold if a copy stays loaded for `retention` seconds after its last use.
+    pub fn cold_share(&self, placement: Placement, retention: f64) -> f64 {
+        let cold = |rate: &f64| rate * (-rate / placement.partitions() * retention).exp();
         self.rates.iter().map(cold).sum::<f64>() / self.rates.iter().sum::<f64>()
     }
 
-    /// Mean number of copies that stand: one where idle ones stay, more where more calls run at once.
-    pub fn copies(&self, placement: Placement, stay: f64) -> f64 {
-        let deciders = placement.deciders();
-        let standing = |rate: &f64| {
-            let own = rate / deciders;
-            let idle = 1.0 - (-own * (stay + SERVICE)).exp();
-            deciders * idle.max(own * SERVICE / LANES)
+    /// Mean number of loaded copies. For each function and partition, this is the larger of the probability
+    /// that a copy is in use or retained and the number of copies that concurrent calls need.
+    pub fn mean_copies(&self, placement: Placement, retention: f64) -> f64 {
+        let partitions = placement.partitions();
+        let loaded = |rate: &f64| {
+            let partition_rate = rate / partitions;
+            let retained = 1.0 - (-partition_rate * (retention + SERVICE_TIME)).exp();
+            partitions * retained.max(partition_rate * SERVICE_TIME / LANES)
         };
-        self.rates.iter().map(standing).sum()
+        self.rates.iter().map(loaded).sum()
     }
 
-    /// How long a copy stays where there is room for so many: the keep-alive, or less.
-    pub fn stay(&self, placement: Placement, keep_alive: f64, instances: f64) -> f64 {
-        if self.copies(placement, keep_alive) <= instances {
+    /// Time for which an idle copy stays loaded, in seconds: the keep-alive, or less if the fleet has room
+    /// for only `capacity` copies.
+    pub fn retention(&self, placement: Placement, keep_alive: f64, capacity: f64) -> f64 {
+        if self.mean_copies(placement, keep_alive) <= capacity {
             return keep_alive;
         }
         let (mut low, mut high) = (0.0, keep_alive);
-        for _ in 0..BISECTIONS {
+        for _ in 0..RETENTION_BISECTIONS {
             let middle = (low + high) / 2.0;
-            if self.copies(placement, middle) <= instances {
+            if self.mean_copies(placement, middle) <= capacity {
                 low = middle;
             } else {
                 high = middle;
@@ -104,25 +109,26 @@
         low
     }
 
-    /// Calls a second of the most called function.
-    pub fn most_called(&self) -> f64 {
+    /// Calls per second of the most frequently called function.
+    pub fn top_function_rate(&self) -> f64 {
         self.rates.first().copied().unwrap_or(0.0)
     }
 
-    /// Mean number of functions that are called at least once in so many seconds.
-    pub fn called_within(&self, seconds: f64) -> f64 {
+    /// Mean number of functions that are called at least once in the given number of seconds.
+    pub fn mean_functions_called(&self, seconds: f64) -> f64 {
         self.rates.iter().map(|rate| 1.0 - (-rate * seconds).exp()).sum()
     }
 
-    /// Share of functions that are called less than once a minute, and of calls to them.
-    pub fn rare(&self) -> (f64, f64) {
-        let rare = self.rates.iter().filter(|rate| **rate < RARE);
-        let (count, calls) = rare.fold((0.0, 0.0), |(count, calls), rate| (count + 1.0, calls + rate));
-        (count / self.rates.len().max(1) as f64, calls / self.rates.iter().sum::<f64>())
+    /// Share of functions that are called less than once per minute, and share of calls to them.
+    pub fn rare_shares(&self) -> (f64, f64) {
+        let rare = self.rates.iter().filter(|rate| **rate < RARE_RATE);
+        let (functions, calls) =
+            rare.fold((0.0, 0.0), |(functions, calls), rate| (functions + 1.0, calls + rate));
+        (functions / self.rates.len().max(1) as f64, calls / self.rates.iter().sum::<f64>())
     }
 }
 
-macro_rules! metrics_of_exponent {
+macro_rules! exponent_metrics {
     ($exponent:literal) => {
         [
             Metric { name: concat!("cold, Zipf ", $exponent, ", alone, no memory limit"), unit: "of 1,000" },
@@ -139,30 +145,32 @@
     };
 }
 
-/// Zipf exponents. From about 1.4 on most functions are called less than once a minute, as the plan has it.
-const EXPONENTS: [(f64, [Metric; 10]); 5] = [
-    (0.8, metrics_of_exponent!("0.8")),
-    (1.0, metrics_of_exponent!("1.0")),
-    (1.2, metrics_of_exponent!("1.2")),
-    (1.4, metrics_of_exponent!("1.4")),
-    (1.6, metrics_of_exponent!("1.6")),
+/// Zipf exponents and their metrics. From about 1.4 on, most functions are called less than once per
+/// minute, as the planned fleet assumes.
+const EXPONENT_METRICS: [(f64, [Metric; 10]); 5] = [
+    (0.8, exponent_metrics!("0.8")),
+    (1.0, exponent_metrics!("1.0")),
+    (1.2, exponent_metrics!("1.2")),
+    (1.4, exponent_metrics!("1.4")),
+    (1.6, exponent_metrics!("1.6")),
 ];
-const LEAST_EXPONENT: Metric =
+const MIN_RARE_EXPONENT: Metric =
     Metric { name: "Zipf exponent from which most functions are called less than once a minute", unit: "" };
-const DAYS_BETWEEN: Metric =
+const DAYS_BETWEEN_CALLS: Metric =
     Metric { name: "days between calls at one front end of a function called once a minute", unit: "days" };
 
-/// Days from one call to the next that one front end sees of a function called so often a second.
+/// Mean number of days between two calls that one front end receives for a function, from the fleet's calls
+/// per second of that function.
 pub fn days_between_calls(rate: f64) -> f64 {
-    f64::from(FRONT_ENDS) / rate / SECONDS_A_DAY
+    f64::from(PLANNED_FRONT_ENDS) / rate / SECONDS_PER_DAY
 }
 
-/// The exponent at which half of the functions are called less than once a minute, the whole fleet's calls given.
-pub fn exponent_of_mostly_rare() -> f64 {
+/// Smallest Zipf exponent at which half of the fleet's functions are called less than once per minute.
+pub fn min_mostly_rare_exponent() -> f64 {
     let (mut low, mut high) = (0.0, 4.0);
     for _ in 0..EXPONENT_BISECTIONS {
         let middle = (low + high) / 2.0;
-        if Demand::new(FUNCTIONS, middle, CALLS_PER_SECOND).rare().0 < 0.5 {
+        if Demand::new(FLEET_FUNCTIONS, middle, FLEET_CALLS_PER_SECOND).rare_shares().0 < 0.5 {
             low = middle;
         } else {
             high = middle;
@@ -171,10 +179,10 @@
     high
 }
 
-/// Share of cold calls by keep-alive, for three exponents and both placements.
-struct ColdShare;
+/// Share of cold calls by keep-alive, for all exponents and both placements.
+struct ColdStarts;
 
-impl Row for ColdShare {
+impl Row for ColdStarts {
     fn name(&self) -> &'static str {
         "cold-starts"
     }
@@ -184,8 +192,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "arithmetic: share of calls without a loaded copy where they go; 400,000 functions, 1.4 million calls a \
-         second, 11,000 front ends, room for 1.5 million copies"
+        "arithmetic: share of calls that find no loaded copy at their worker; 400,000 functions, 1.4 \
+         million calls per second, 11,000 front ends, room for 1.5 million copies"
     }
 
     fn variable(&self) -> &'static str {
@@ -201,50 +209,53 @@
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let copies = |metric| Bound { metric, max: INSTANCES, source: "1.5 million instances" };
-        EXPONENTS.iter().flat_map(|(_, metrics)| [copies(metrics[3]), copies(metrics[4])]).collect()
+        let copies = |metric| Bound { metric, max: FLEET_COPY_CAPACITY, source: "1.5 million instances" };
+        EXPONENT_METRICS.iter().flat_map(|(_, metrics)| [copies(metrics[3]), copies(metrics[4])]).collect()
     }
 
     fn estimated_heap_bytes(&self, _size: u64) -> u64 {
-        FUNCTIONS * 16
+        FLEET_FUNCTIONS * 16
     }
 
     fn measure(&self, size: u64, _seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let keep_alive = size as f64;
-        let mut all = Vec::new();
-        for (exponent, metrics) in EXPONENTS {
-            let values = cold_figures(exponent, keep_alive);
-            all.extend(metrics.into_iter().zip(values).map(|(metric, value)| Measurement { metric, value }));
+        let mut measurements = Vec::new();
+        for (exponent, metrics) in EXPONENT_METRICS {
+            let values = cold_start_values(exponent, keep_alive);
+            measurements
+                .extend(metrics.into_iter().zip(values).map(|(metric, value)| Measurement { metric, value }));
         }
-        all.push(Measurement { metric: LEAST_EXPONENT, value: exponent_of_mostly_rare() });
-        all.push(Measurement { metric: DAYS_BETWEEN, value: days_between_calls(RARE) });
-        Ok(all)
+        measurements.push(Measurement { metric: MIN_RARE_EXPONENT, value: min_mostly_rare_exponent() });
+        measurements.push(Measurement { metric: DAYS_BETWEEN_CALLS, value: days_between_calls(RARE_RATE) });
+        Ok(measurements)
     }
 }
 
-fn cold_figures(exponent: f64, keep_alive: f64) -> [f64; 10] {
-    use Placement::{Alone, Shared};
-    let demand = Demand::new(FUNCTIONS, exponent, CALLS_PER_SECOND);
-    let stay_alone = demand.stay(Alone, keep_alive, INSTANCES);
-    let stay_shared = demand.stay(Shared, keep_alive, INSTANCES);
-    let (alone, shared) = (demand.cold_share(Alone, stay_alone), demand.cold_share(Shared, stay_shared));
-    let (rare_functions, rare_calls) = demand.rare();
+/// Values of the metrics of an exponent, in the order of [`EXPONENT_METRICS`].
+fn cold_start_values(exponent: f64, keep_alive: f64) -> [f64; 10] {
+    use Placement::{Independent, SharedHash};
+    let demand = Demand::new(FLEET_FUNCTIONS, exponent, FLEET_CALLS_PER_SECOND);
+    let independent_retention = demand.retention(Independent, keep_alive, FLEET_COPY_CAPACITY);
+    let shared_retention = demand.retention(SharedHash, keep_alive, FLEET_COPY_CAPACITY);
+    let independent = demand.cold_share(Independent, independent_retention);
+    let shared = demand.cold_share(SharedHash, shared_retention);
+    let (rare_functions, rare_calls) = demand.rare_shares();
     [
-        1e3 * demand.cold_share(Alone, keep_alive),
-        1e3 * alone,
+        1e3 * demand.cold_share(Independent, keep_alive),
+        1e3 * independent,
         1e3 * shared,
-        demand.copies(Alone, keep_alive),
-        demand.copies(Shared, keep_alive),
-        stay_alone,
-        alone * CALLS_PER_SECOND,
-        shared * CALLS_PER_SECOND,
+        demand.mean_copies(Independent, keep_alive),
+        demand.mean_copies(SharedHash, keep_alive),
+        independent_retention,
+        independent * FLEET_CALLS_PER_SECOND,
+        shared * FLEET_CALLS_PER_SECOND,
         1e3 * rare_functions,
         1e3 * rare_calls,
     ]
 }
 
-/// Share of cold calls in a simulated stream: calls in time order, and the last use of each copy.
-/// Service time does not count; the stream runs for one keep-alive before calls are counted for another.
+/// Share of cold calls in a simulated stream of calls, from the time of the last call of each function.
+/// Service times are ignored. Calls are counted for one keep-alive, after a warm-up of one keep-alive.
 pub fn simulated_cold_share(
     functions: u64,
     exponent: f64,
@@ -253,22 +264,22 @@
     seed: u64,
 ) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
-    let Ok(pause) = Exp::new(calls_per_second) else { return 0.0 };
-    let Ok(ranks) = Zipf::new(functions as f64, exponent) else { return 0.0 };
+    let Ok(interval) = Exp::new(calls_per_second) else { return 0.0 };
+    let Ok(function_ranks) = Zipf::new(functions as f64, exponent) else { return 0.0 };
     let mut last_use: HashMap<u64, f64> = HashMap::new();
     let (mut now, mut counted, mut cold) = (0.0, 0u64, 0u64);
     while now < 2.0 * keep_alive {
-        now += pause.sample(&mut rng);
-        let before = last_use.insert(ranks.sample(&mut rng) as u64, now);
+        now += interval.sample(&mut rng);
+        let previous = last_use.insert(function_ranks.sample(&mut rng) as u64, now);
         if now >= keep_alive {
             counted += 1;
-            cold += u64::from(before.is_none_or(|used| used + keep_alive < now));
+            cold += u64::from(previous.is_none_or(|used| used + keep_alive < now));
         }
     }
     cold as f64 / counted.max(1) as f64
 }
 
-macro_rules! metrics_of_streams {
+macro_rules! stream_metrics {
     ($exponent:literal) => {
         [
             Metric {
@@ -291,15 +302,16 @@
     };
 }
 
-const STREAMS: [(f64, [Metric; 4]); 2] =
-    [(1.0, metrics_of_streams!("1.0")), (1.4, metrics_of_streams!("1.4"))];
-/// Calls of a simulated stream, at the most; longer keep-alives are left to the arithmetic.
-const MOST_CALLS: f64 = 200e6;
+/// Zipf exponents of the simulated streams and their metrics.
+const STREAM_METRICS: [(f64, [Metric; 4]); 2] =
+    [(1.0, stream_metrics!("1.0")), (1.4, stream_metrics!("1.4"))];
+/// Maximum number of calls in a simulated stream. For longer keep-alives, only the computed share is given.
+const MAX_SIMULATED_CALLS: f64 = 200e6;
 
-/// The same by simulation, beside the arithmetic.
-struct ColdShareSimulated;
+/// Share of cold calls by keep-alive, computed and simulated.
+struct ColdStartsSimulated;
 
-impl Row for ColdShareSimulated {
+impl Row for ColdStartsSimulated {
     fn name(&self) -> &'static str {
         "cold-starts-simulated"
     }
@@ -309,8 +321,9 @@
     }
 
     fn about(&self) -> &'static str {
-        "streams of calls (Poisson, Zipf, 400,000 functions) over two keep-alives against the arithmetic; the \
-         whole fleet's 1.4 million calls a second as far as 200 million calls go"
+        "simulated streams of calls (Poisson, Zipf, 400,000 functions) over two keep-alives, compared \
+         with the arithmetic; the stream of the whole fleet, 1.4 million calls per second, only up to 200 \
+         million calls"
     }
 
     fn variable(&self) -> &'static str {
@@ -330,101 +343,105 @@
     }
 
     fn estimated_heap_bytes(&self, _size: u64) -> u64 {
-        FUNCTIONS * 64
+        FLEET_FUNCTIONS * 64
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let keep_alive = size as f64;
-        let own = CALLS_PER_SECOND / f64::from(FRONT_ENDS);
-        let mut all = Vec::new();
-        let mut add = |metric, share: f64| all.push(Measurement { metric, value: 1e3 * share });
-        for (exponent, [alone, alone_simulated, shared, shared_simulated]) in STREAMS {
-            let demand = Demand::new(FUNCTIONS, exponent, CALLS_PER_SECOND);
-            add(alone, demand.cold_share(Placement::Alone, keep_alive));
-            add(shared, demand.cold_share(Placement::Shared, keep_alive));
-            for (metric, rate) in [(alone_simulated, own), (shared_simulated, CALLS_PER_SECOND)] {
-                if 2.0 * keep_alive * rate <= MOST_CALLS {
-                    add(metric, simulated_cold_share(FUNCTIONS, exponent, rate, keep_alive, seed));
+        let front_end_rate = FLEET_CALLS_PER_SECOND / f64::from(PLANNED_FRONT_ENDS);
+        let mut measurements = Vec::new();
+        let mut add = |metric, share: f64| measurements.push(Measurement { metric, value: 1e3 * share });
+        for (exponent, [independent, independent_simulated, shared, shared_simulated]) in STREAM_METRICS {
+            let demand = Demand::new(FLEET_FUNCTIONS, exponent, FLEET_CALLS_PER_SECOND);
+            add(independent, demand.cold_share(Placement::Independent, keep_alive));
+            add(shared, demand.cold_share(Placement::SharedHash, keep_alive));
+            for (metric, rate) in
+                [(independent_simulated, front_end_rate), (shared_simulated, FLEET_CALLS_PER_SECOND)]
+            {
+                if 2.0 * keep_alive * rate <= MAX_SIMULATED_CALLS {
+                    add(metric, simulated_cold_share(FLEET_FUNCTIONS, exponent, rate, keep_alive, seed));
                 }
             }
         }
-        Ok(all)
+        Ok(measurements)
     }
 }
 
-/// Loads that a worker runs at a time.
+/// Number of loads that a worker executes at once.
 const LOAD_SLOTS: usize = 3;
-/// A cold start is to take no longer, in seconds.
-const COLD_AIM: f64 = 1.5;
-/// Slots taken to 100% have a queue without end.
-const MOST_PERCENT: u64 = 99;
-/// Simulated loads at each size; those of the first tenth are not counted.
-const LOADS: usize = 200_000;
-const EVEN_P99: Metric = Metric { name: "cold start, load of 0.6 to 1.2 s: 99th percentile", unit: "ms" };
-const EVEN_LATE: Metric = Metric { name: "cold starts over 1.5 s, load of 0.6 to 1.2 s", unit: "of 1,000" };
-const TAILED_P99: Metric =
+/// Time within which a cold start should be complete, in seconds.
+const COLD_START_TARGET: f64 = 1.5;
+/// Maximum utilization of the load slots in percent; at 100% the queue grows without limit.
+const MAX_UTILIZATION_PERCENT: u64 = 99;
+/// Number of simulated loads at each size, including the first tenth, which is not counted.
+const SIMULATED_LOADS: usize = 200_000;
+const UNIFORM_P99: Metric = Metric { name: "cold start, load of 0.6 to 1.2 s: 99th percentile", unit: "ms" };
+const UNIFORM_LATE: Metric =
+    Metric { name: "cold starts over 1.5 s, load of 0.6 to 1.2 s", unit: "of 1,000" };
+const LOG_NORMAL_P99: Metric =
     Metric { name: "cold start, load log-normal of median 0.8 s, sigma 0.25: 99th percentile", unit: "ms" };
-const TAILED_LATE: Metric = Metric { name: "cold starts over 1.5 s, log-normal load", unit: "of 1,000" };
+const LOG_NORMAL_LATE: Metric = Metric { name: "cold starts over 1.5 s, log-normal load", unit: "of 1,000" };
 
-/// How long a load takes.
+/// Distribution of load times.
 #[derive(Debug, Clone, Copy)]
 pub enum LoadTime {
-    /// Evenly between 0.6 and 1.2 s.
-    Even,
-    /// Log-normal around 0.8 s.
-    Tailed,
+    /// Uniform between 0.6 and 1.2 s.
+    Uniform,
+    /// Log-normal with a median of 0.8 s.
+    LogNormal,
 }
 
 impl LoadTime {
     fn mean(self) -> f64 {
         match self {
-            LoadTime::Even => 0.9,
-            LoadTime::Tailed => 0.8 * (0.25f64.powi(2) / 2.0).exp(),
+            LoadTime::Uniform => 0.9,
+            LoadTime::LogNormal => 0.8 * (0.25f64.powi(2) / 2.0).exp(),
         }
     }
 
-    fn draw(self, rng: &mut StdRng) -> f64 {
+    fn sample(self, rng: &mut StdRng) -> f64 {
         match self {
-            LoadTime::Even => rng.random_range(0.6..1.2),
-            LoadTime::Tailed => LogNormal::new(0.8f64.ln(), 0.25).map_or(0.8, |d| d.sample(rng)),
+            LoadTime::Uniform => rng.random_range(0.6..1.2),
+            LoadTime::LogNormal => LogNormal::new(0.8f64.ln(), 0.25).map_or(0.8, |d| d.sample(rng)),
         }
     }
 }
 
-/// Times from order to loaded copy at a worker whose load slots are taken to so much, in milliseconds, sorted.
-pub fn cold_start_times(load: LoadTime, utilization: f64, loads: usize, seed: u64) -> Vec<f64> {
+/// Times from load order to loaded copy at a worker with the given utilization of its load slots, in
+/// milliseconds and ascending order. The first tenth of the loads is a warm-up and not included.
+pub fn cold_start_times(load_time: LoadTime, utilization: f64, loads: usize, seed: u64) -> Vec<f64> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let rate = utilization * LOAD_SLOTS as f64 / load.mean();
-    let Ok(pause) = Exp::new(rate) else { return Vec::new() };
-    // When each slot is free again, the next one first, in whole microseconds.
+    let rate = utilization * LOAD_SLOTS as f64 / load_time.mean();
+    let Ok(interval) = Exp::new(rate) else { return Vec::new() };
+    // Times at which the slots become free, earliest first, in whole microseconds.
     let mut slots: BinaryHeap<std::cmp::Reverse<u64>> =
         (0..LOAD_SLOTS).map(|_| std::cmp::Reverse(0)).collect();
     let (mut now, mut times) = (0.0, Vec::with_capacity(loads));
     for _ in 0..loads {
-        now += pause.sample(&mut rng);
+        now += interval.sample(&mut rng);
         let free = slots.pop().map_or(0.0, |slot| slot.0 as f64 / SECOND as f64);
-        let end = now.max(free) + load.draw(&mut rng);
+        let end = now.max(free) + load_time.sample(&mut rng);
         slots.push(std::cmp::Reverse((end * SECOND as f64) as u64));
         times.push((end - now) * 1e3);
     }
-    let mut settled = times.split_off(loads / 10);
-    settled.sort_by(f64::total_cmp);
-    settled
+    let mut counted = times.split_off(loads / 10);
+    counted.sort_by(f64::total_cmp);
+    counted
 }
 
 fn late_share(times: &[f64]) -> f64 {
-    let in_time = times.partition_point(|time| *time <= COLD_AIM * 1e3);
-    1.0 - in_time as f64 / times.len().max(1) as f64
+    let on_time = times.partition_point(|time| *time <= COLD_START_TARGET * 1e3);
+    1.0 - on_time as f64 / times.len().max(1) as f64
 }
 
 fn percentile_99(times: &[f64]) -> f64 {
     times.get(times.len() * 99 / 100).copied().unwrap_or(0.0)
 }
 
-/// Time of a cold start by how much of a worker's load slots is taken.
-struct LoadQueue;
+/// Duration of a cold start by the utilization of a worker's load slots.
+struct ColdStartTime;
 
-impl Row for LoadQueue {
+impl Row for ColdStartTime {
     fn name(&self) -> &'static str {
         "cold-start-time"
     }
@@ -434,8 +451,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "simulated: orders arrive at a worker with three load slots (Poisson) and wait their turn; from order to \
-         loaded copy, without the call's own service time"
+        "simulated: load orders arrive at a worker with three load slots (Poisson) and are executed in \
+         order of arrival; time from load order to loaded copy, without the service time of the call"
     }
 
     fn variable(&self) -> &'static str {
@@ -451,26 +468,26 @@
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let aim = "99 in 100 cold starts within 1.5 s";
-        [EVEN_LATE, TAILED_LATE].map(|metric| Bound { metric, max: 10.0, source: aim }).into()
+        let source = "99 in 100 cold starts within 1.5 s";
+        [UNIFORM_LATE, LOG_NORMAL_LATE].map(|metric| Bound { metric, max: 10.0, source }).into()
     }
 
     fn estimated_heap_bytes(&self, _size: u64) -> u64 {
-        (LOADS * 16) as u64
+        (SIMULATED_LOADS * 16) as u64
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        if size > MOST_PERCENT {
-            let (variable, min, max) = (self.variable(), 1, MOST_PERCENT);
+        if size > MAX_UTILIZATION_PERCENT {
+            let (variable, min, max) = (self.variable(), 1, MAX_UTILIZATION_PERCENT);
             return Err(ScaleError::SizeOutOfRange { size, variable, min, max });
         }
-        let times = |load| cold_start_times(load, size as f64 / 100.0, LOADS, seed);
-        let (even, tailed) = (times(LoadTime::Even), times(LoadTime::Tailed));
+        let times = |load_time| cold_start_times(load_time, size as f64 / 100.0, SIMULATED_LOADS, seed);
+        let (uniform, log_normal) = (times(LoadTime::Uniform), times(LoadTime::LogNormal));
         Ok(vec![
-            Measurement { metric: EVEN_P99, value: percentile_99(&even) },
-            Measurement { metric: EVEN_LATE, value: 1e3 * late_share(&even) },
-            Measurement { metric: TAILED_P99, value: percentile_99(&tailed) },
-            Measurement { metric: TAILED_LATE, value: 1e3 * late_share(&tailed) },
+            Measurement { metric: UNIFORM_P99, value: percentile_99(&uniform) },
+            Measurement { metric: UNIFORM_LATE, value: 1e3 * late_share(&uniform) },
+            Measurement { metric: LOG_NORMAL_P99, value: percentile_99(&log_normal) },
+            Measurement { metric: LOG_NORMAL_LATE, value: 1e3 * late_share(&log_normal) },
         ])
     }
 }
--- a/crates/badgerwind-scale/src/rows/front_end.rs
+++ b/crates/badgerwind-scale/src/rows/front_end.rs
@@ -15,7 +15,7 @@
 /// Calls a second at one front end at the planned size.
 pub const CALLS_PER_SECOND: f64 = 127.0;
 /// Front ends at the planned size.
-pub const FRONT_ENDS: u32 = 11_000;
+pub const PLANNED_FRONT_ENDS: u32 = 11_000;
 /// Zones at the planned size.
 pub const ZONES: u32 = 21;
 /// Workers of a cell.
@@ -98,7 +98,7 @@
             streaming: false,
         };
         Settings {
-            front_ends: FRONT_ENDS,
+            front_ends: PLANNED_FRONT_ENDS,
             my_number: 0,
             my_zone: 0,
             classes: vec![class],
--- a/crates/badgerwind-scale/src/rows/hard_cases.rs
+++ b/crates/badgerwind-scale/src/rows/hard_cases.rs
@@ -1,7 +1,7 @@
 //! Rows of hard cases on the path of a call: functions that are called once, a function that grows a
 //! thousandfold in a second, a lost cell, and a front end that has just restarted.
 
-use super::cold_starts::{self, Demand};
+use super::cold_starts::{Demand, FLEET_CALLS_PER_SECOND};
 use super::front_end::{Costs, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, CELL_WORKERS, SECOND};
 use super::router::{CORE_SHARE_BOUND, MEMORY_BOUND};
 use super::workers::ForeignCalls;
@@ -154,7 +154,7 @@
 
 /// Nothing is known but the list, and the copies that the rest of the fleet uses stand.
 fn restarted(workers: u32, seed: u64) -> Vec<Measurement> {
-    let most_called = Demand::new(MANY_FUNCTIONS, 1.0, cold_starts::CALLS_PER_SECOND).most_called();
+    let most_called = Demand::new(MANY_FUNCTIONS, 1.0, FLEET_CALLS_PER_SECOND).top_function_rate();
     let others = Some(ForeignCalls { top_function_rate: most_called, exponent: 1.0 });
     let surroundings = Surroundings { others, ..Surroundings::new(workers, MANY_FUNCTIONS) };
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
--- a/crates/badgerwind-scale/src/rows/router.rs
+++ b/crates/badgerwind-scale/src/rows/router.rs
@@ -1,6 +1,6 @@
 //! Rows of a front end's path of a call: what the module costs by listed workers and by functions.
 
-use super::cold_starts::{self, Demand};
+use super::cold_starts::{Demand, FLEET_CALLS_PER_SECOND};
 use super::front_end::{Costs, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND};
 use super::workers::ForeignCalls;
 use crate::error::ScaleError;
@@ -182,7 +182,7 @@
 impl ByFunctions {
     fn settled(&self, functions: u64) -> f64 {
         let keep_alive = Surroundings::new(self.workers, functions).keep_alive as f64 / SECOND as f64;
-        Demand::new(functions, 1.0, CALLS_PER_SECOND).called_within(FORGOTTEN_AFTER * keep_alive)
+        Demand::new(functions, 1.0, CALLS_PER_SECOND).mean_functions_called(FORGOTTEN_AFTER * keep_alive)
     }
 }
 
@@ -236,7 +236,7 @@
             return Err(ScaleError::SizeOutOfRange { size, variable, min, max });
         }
         let others = self.fleet.then(|| {
-            let most_called = Demand::new(size, 1.0, cold_starts::CALLS_PER_SECOND).most_called();
+            let most_called = Demand::new(size, 1.0, FLEET_CALLS_PER_SECOND).top_function_rate();
             ForeignCalls { top_function_rate: most_called, exponent: 1.0 }
         });
         let surroundings = Surroundings { others, ..Surroundings::new(self.workers, size) };
