--- a/crates/badgerwind-scale/src/rows/front_end.rs
+++ b/crates/badgerwind-scale/src/rows/front_end.rs
@@ -1,4 +1,5 @@
-//! A hollow front end: the real call path over scripted workers in simulated time, with meters around it.
+//! A hollow front end: the real call path with simulated workers in simulated time. Processor time and heap
+//! allocations of the call path are measured.
 
 use super::workers::{CallReply, ForeignCalls, ScriptedWorkers, WorkerModel};
 use crate::cost::ProcessorMeter;
@@ -12,33 +13,34 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// Calls a second at one front end at the planned size.
+/// Calls per second at one front end at the planned size.
 pub const CALLS_PER_SECOND: f64 = 127.0;
-/// Front ends at the planned size.
+/// Number of front ends at the planned size.
 pub const PLANNED_FRONT_ENDS: u32 = 11_000;
-/// Zones at the planned size.
+/// Number of zones at the planned size.
 pub const ZONES: u32 = 21;
-/// Workers of a cell.
-pub const CELL_WORKERS: u32 = 100;
-/// A second, in the module's unit of time.
+/// Number of workers per cell.
+pub const WORKERS_PER_CELL: u32 = 100;
+/// One second in microseconds, the unit of time of the decision module.
 pub const SECOND: Micros = 1_000_000;
-/// Events that fall due within this time are handed over together, as the driver does.
+/// Events that are due within this time are processed in one batch, as the driver does.
 const ROUND: Micros = 500;
 const AIM: Micros = SECOND;
 const DEADLINE: Micros = 3 * SECOND;
 const LANES: u32 = 2;
 const FUNCTION_MEMORY_MB: f64 = 400.0;
-const USUAL_LOAD: Micros = 900_000;
-/// A cold start is to take no longer than this.
-pub const COLD_AIM: Micros = 1_500_000;
-/// First moment of simulated time.
-const START: Time = SECOND;
-/// Empty readings from which the meter's own cost is taken.
-const CALIBRATIONS: u32 = 2_000;
-
-/// What takes events and gives actions: the router, or a variant of it in a test.
+/// Load time of a function as stated in each request.
+const EXPECTED_LOAD_TIME: Micros = 900_000;
+/// Time within which a cold call should be answered.
+pub const COLD_START_TARGET: Micros = 1_500_000;
+/// Simulated time at which a measurement starts.
+const START_TIME: Time = SECOND;
+/// Number of empty readings from which the overhead of the meter is estimated.
+const CALIBRATION_READINGS: u32 = 2_000;
+
+/// The code under measurement, which turns events into actions: the router, or a substitute in a test.
 pub trait CallPath {
-    /// Takes in an event and adds what is to be done.
+    /// Processes an event and appends the resulting actions to `out`.
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
 }
 
@@ -48,43 +50,44 @@
     }
 }
 
-/// What surrounds a hollow front end.
+/// The workload and the simulated workers of a hollow front end.
 #[derive(Debug, Clone, Copy)]
 pub struct Surroundings {
-    /// Listed workers.
+    /// Number of workers in the list.
     pub workers: u32,
-    /// Functions that are called.
+    /// Number of functions that are called.
     pub functions: u64,
     /// Exponent of the Zipf distribution of calls over functions.
-    pub exponent: f64,
-    /// Calls a second that arrive here.
+    pub zipf_exponent: f64,
+    /// Calls per second that arrive at this front end.
     pub calls_per_second: f64,
-    /// What a worker does with a call for a function that it does not hold.
+    /// What a worker does with a call for a function that it has not loaded.
     pub when_absent: WhenAbsent,
-    /// An idle copy stays for this long.
+    /// Time for which an idle copy stays loaded.
     pub keep_alive: Micros,
-    /// Mean number of other front ends' calls that an answer mentions.
-    pub crowd: f64,
+    /// Mean number of calls of other front ends in the crowd mark of an answer.
+    pub mean_foreign_crowd: f64,
     /// Calls of other front ends that keep copies loaded; none by default.
-    pub others: Option<ForeignCalls>,
+    pub foreign_calls: Option<ForeignCalls>,
 }
 
 impl Surroundings {
-    /// The planned rate of calls over so many workers and functions.
+    /// Creates a workload at the planned rate of calls, without calls of other front ends.
     pub fn new(workers: u32, functions: u64) -> Self {
         Surroundings {
             workers,
             functions,
-            exponent: 1.0,
+            zipf_exponent: 1.0,
             calls_per_second: CALLS_PER_SECOND,
             when_absent: WhenAbsent::Miss,
             keep_alive: 60 * SECOND,
-            crowd: 0.0,
-            others: None,
+            mean_foreign_crowd: 0.0,
+            foreign_calls: None,
         }
     }
 
-    /// The module's settings: the product's defaults where it has them, in a fleet of the planned size.
+    /// Settings of the decision module in a fleet of the planned size, with the product's defaults where
+    /// they exist.
     pub fn settings(&self) -> Settings {
         let class = Class {
             aim: AIM,
@@ -137,63 +140,64 @@
         }
     }
 
-    /// Entries of the list of workers, all ready.
-    pub fn entries(&self) -> Vec<WorkerEntry> {
-        (1..=self.workers).map(|worker| entry(worker, Availability::Ready)).collect()
+    /// The entries of all workers in the list, all ready.
+    pub fn worker_entries(&self) -> Vec<WorkerEntry> {
+        (1..=self.workers).map(|worker| worker_entry(worker, Availability::Ready)).collect()
     }
 }
 
-/// A worker as the list has it; zones take turns.
-pub fn entry(worker: WorkerId, availability: Availability) -> WorkerEntry {
-    let (zone, cell) = (worker % ZONES, worker / CELL_WORKERS);
+/// The entry of a worker in the list. Workers are assigned to zones round-robin.
+pub fn worker_entry(worker: WorkerId, availability: Availability) -> WorkerEntry {
+    let (zone, cell) = (worker % ZONES, worker / WORKERS_PER_CELL);
     WorkerEntry { worker, zone, cell, kind: 0, size: 1.0, availability, born: None }
 }
 
-/// What the call path has cost, and what became of the calls.
+/// Costs of the call path and results of the calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Costs {
-    /// Calls that arrived.
+    /// Number of calls that arrived.
     pub calls: u64,
-    /// Events handed over.
+    /// Number of events processed.
     pub events: u64,
-    /// Processor time of the call path alone.
+    /// Processor time of the call path alone, in microseconds.
     pub processor_us: f64,
-    /// Times that memory was taken from the heap.
+    /// Number of heap allocations and reallocations.
     pub allocations: u64,
-    /// Bytes taken from the heap, freed or not.
+    /// Number of bytes allocated on the heap, whether freed again or not.
     pub allocated_bytes: u64,
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub sends: u64,
-    /// Attempts that found no copy.
+    /// Number of attempts that found no loaded copy.
     pub misses: u64,
-    /// Load orders.
-    pub orders: u64,
-    /// Calls served.
+    /// Number of load orders.
+    pub load_orders: u64,
+    /// Number of calls served.
     pub served: u64,
-    /// Calls refused or failed.
+    /// Number of calls refused or failed.
     pub refused: u64,
-    /// Time from arrival to the answer, summed over the calls served.
-    pub answer_us: u64,
-    /// Calls that found no loaded copy at some attempt, or took a lane of one that still loaded, and are over.
-    pub cold: u64,
-    /// Of these, calls answered within [`COLD_AIM`].
-    pub cold_in_time: u64,
+    /// Sum of the times from arrival to answer of all calls served, in microseconds.
+    pub total_answer_us: u64,
+    /// Number of finished cold calls: an attempt found no loaded copy, or waited for a copy that was still
+    /// loading.
+    pub cold_calls: u64,
+    /// Number of cold calls answered within [`COLD_START_TARGET`].
+    pub cold_calls_on_time: u64,
 }
 
 impl Costs {
-    /// A figure per call.
-    pub fn per_call(&self, figure: f64) -> f64 {
-        figure / self.calls.max(1) as f64
+    /// Divides a total by the number of calls.
+    pub fn per_call(&self, total: f64) -> f64 {
+        total / self.calls.max(1) as f64
     }
 }
 
 #[derive(Debug)]
-enum Pending {
+enum PendingEvent {
     Arrival,
-    /// A call beside the others, to one function; more follow until a time.
-    Burst {
+    /// An additional call to one function, followed by more until the end of the burst.
+    BurstArrival {
         function: u64,
-        pause: Exp<f64>,
+        interval: Exp<f64>,
         until: Time,
     },
     Answer {
@@ -212,31 +216,32 @@
     },
 }
 
-/// Something that will happen; ordered by time, then by the order in which it was planned.
+/// A pending event with its due time. Events due at the same time are ordered by `sequence`, the order in
+/// which they were scheduled.
 #[derive(Debug)]
-struct Scheduled {
-    at: Time,
-    number: u64,
-    pending: Pending,
+struct ScheduledEvent {
+    due: Time,
+    sequence: u64,
+    pending: PendingEvent,
 }
 
-impl PartialEq for Scheduled {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.due, self.sequence) == (other.due, other.sequence)
     }
 }
 
-impl Eq for Scheduled {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Scheduled {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Scheduled {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.due, self.sequence).cmp(&(other.due, other.sequence))
     }
 }
 
@@ -244,7 +249,7 @@
 struct Attempt {
     worker: WorkerId,
     sent: Time,
-    out: bool,
+    in_flight: bool,
 }
 
 #[derive(Debug)]
@@ -253,249 +258,258 @@
     arrived: Time,
     attempts: Vec<Attempt>,
     cold: bool,
-    over: bool,
+    finished: bool,
 }
 
-/// A hollow front end and what surrounds it.
+/// A hollow front end with its simulated calls and workers.
 pub struct HollowFrontEnd<P> {
-    path: P,
+    call_path: P,
     surroundings: Surroundings,
     workers: ScriptedWorkers,
     now: Time,
-    agenda: BinaryHeap<Reverse<Scheduled>>,
-    scheduled: u64,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    last_sequence: u64,
     rng: StdRng,
-    pause: Exp<f64>,
-    ranks: Zipf<f64>,
+    arrival_interval: Exp<f64>,
+    function_ranks: Zipf<f64>,
     calls: HashMap<u64, Call>,
-    arrived: u64,
-    called: HashSet<u64>,
+    arrived_calls: u64,
+    called_functions: HashSet<u64>,
     batch: Vec<Event>,
     actions: Vec<Action>,
     costs: Costs,
-    /// The meter's own cost, a reading.
-    reading_us: f64,
-    /// The first worker of each call, by its number.
+    /// Overhead of one use of the processor meter, in microseconds.
+    meter_overhead_us: f64,
+    /// The worker of the first attempt of each call, by call number.
     first_workers: Vec<Option<WorkerId>>,
 }
 
 impl HollowFrontEnd<Router> {
-    /// One with the real router, which has the whole list; nothing is loaded yet.
+    /// Creates a front end with the real router, which has the whole list. Nothing is loaded yet.
     pub fn new(surroundings: Surroundings, seed: u64) -> Self {
         HollowFrontEnd::with_path(Router::new(seed, surroundings.settings()), surroundings, seed)
     }
 }
 
 impl<P: CallPath> HollowFrontEnd<P> {
-    /// One with this call path, which is told the whole list first.
-    pub fn with_path(path: P, surroundings: Surroundings, seed: u64) -> Self {
+    /// Creates a front end with another call path, whose first event is the whole list.
+    pub fn with_path(call_path: P, surroundings: Surroundings, seed: u64) -> Self {
         let model = WorkerModel {
             when_absent: surroundings.when_absent,
             keep_alive: surroundings.keep_alive,
             lanes: LANES,
-            mean_foreign_crowd: surroundings.crowd,
-            foreign_calls: surroundings.others,
+            mean_foreign_crowd: surroundings.mean_foreign_crowd,
+            foreign_calls: surroundings.foreign_calls,
         };
         let mut front_end = HollowFrontEnd {
-            path,
+            call_path,
             surroundings,
             workers: ScriptedWorkers::new(model, seed ^ 0x5eed),
-            now: START,
-            agenda: BinaryHeap::new(),
-            scheduled: 0,
+            now: START_TIME,
+            queue: BinaryHeap::new(),
+            last_sequence: 0,
             rng: StdRng::seed_from_u64(seed),
-            pause: Exp::new(surroundings.calls_per_second.max(1e-6)).expect("a rate above 0"),
-            ranks: Zipf::new(surroundings.functions.max(1) as f64, surroundings.exponent)
-                .expect("a function, and an exponent of 0 or more"),
+            arrival_interval: Exp::new(surroundings.calls_per_second.max(1e-6))
+                .expect("the rate is positive"),
+            function_ranks: Zipf::new(surroundings.functions.max(1) as f64, surroundings.zipf_exponent)
+                .expect("there is a function, and the exponent is not negative"),
             calls: HashMap::new(),
-            arrived: 0,
-            called: HashSet::new(),
+            arrived_calls: 0,
+            called_functions: HashSet::new(),
             batch: Vec::with_capacity(64),
             actions: Vec::with_capacity(1024),
             costs: Costs::default(),
-            reading_us: reading_us(),
+            meter_overhead_us: measure_meter_overhead(),
             first_workers: Vec::new(),
         };
-        front_end.list(ListKind::Whole, surroundings.entries());
-        front_end.schedule(START, Pending::Arrival);
+        front_end.apply_list(ListKind::Whole, surroundings.worker_entries());
+        front_end.schedule(START_TIME, PendingEvent::Arrival);
         front_end
     }
 
-    /// Lets simulated time pass.
-    pub fn run(&mut self, span: Micros) {
-        let end = self.now + span;
-        while self.next_at().is_some_and(|at| at <= end) {
-            self.take_batch();
-            self.hand_over();
+    /// Advances simulated time and processes all events that become due.
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while self.next_due().is_some_and(|due| due <= end) {
+            self.collect_batch();
+            self.process_batch();
         }
         self.now = end;
     }
 
-    /// A list arrives and is taken in at once; the processor time of that alone, in microseconds.
-    pub fn list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) -> f64 {
+    /// Processes a list event at once and returns its processor time in microseconds.
+    pub fn apply_list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) -> f64 {
         let before = self.costs.processor_us;
         self.batch.push(Event::List { kind, entries });
-        self.hand_over();
+        self.process_batch();
         self.costs.processor_us - before
     }
 
-    /// From now on and for so long, further calls arrive for one function, so many a second.
-    pub fn begin_burst(&mut self, function: u64, calls_per_second: f64, span: Micros) {
-        let Some(pause) = Exp::new(calls_per_second).ok().filter(|_| calls_per_second > 0.0) else { return };
-        let until = self.now + span;
-        self.schedule(self.now, Pending::Burst { function, pause, until });
+    /// Starts a burst of additional calls to one function, with the given rate and duration.
+    pub fn start_burst(&mut self, function: u64, calls_per_second: f64, duration: Micros) {
+        let Some(interval) = Exp::new(calls_per_second).ok().filter(|_| calls_per_second > 0.0) else {
+            return;
+        };
+        let until = self.now + duration;
+        self.schedule(self.now, PendingEvent::BurstArrival { function, interval, until });
     }
 
-    /// Costs since the last reading.
+    /// Returns the costs since the last reading and resets them.
     pub fn take_costs(&mut self) -> Costs {
         std::mem::take(&mut self.costs)
     }
 
-    /// The first worker of each call, by its number; none where it was sent to none.
+    /// The worker of the first attempt of each call, by call number; `None` for a call that was never sent.
     pub fn first_workers(&self) -> &[Option<WorkerId>] {
         &self.first_workers
     }
 
-    /// Simulated time.
+    /// The current simulated time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Calls that have arrived so far.
-    pub fn arrived(&self) -> u64 {
-        self.arrived
+    /// Number of calls that have arrived since the start.
+    pub fn arrived_calls(&self) -> u64 {
+        self.arrived_calls
     }
 
-    /// Functions that were called so far.
-    pub fn functions_called(&self) -> u64 {
-        self.called.len() as u64
+    /// Number of different functions called since the start.
+    pub fn called_functions(&self) -> u64 {
+        self.called_functions.len() as u64
     }
 
-    /// Ends it; the bytes of heap that the call path held.
+    /// Drops the front end and returns the heap bytes that the call path held.
     pub fn into_heap_bytes(self) -> u64 {
-        let HollowFrontEnd { path, .. } = self;
-        let with = live_bytes();
-        drop(path);
-        with.saturating_sub(live_bytes())
+        let HollowFrontEnd { call_path, .. } = self;
+        let before = live_heap_bytes();
+        drop(call_path);
+        before.saturating_sub(live_heap_bytes())
     }
 
-    fn next_at(&self) -> Option<Time> {
-        self.agenda.peek().map(|next| next.0.at)
+    fn next_due(&self) -> Option<Time> {
+        self.queue.peek().map(|next| next.0.due)
     }
 
-    fn schedule(&mut self, at: Time, pending: Pending) {
-        self.scheduled += 1;
-        self.agenda.push(Reverse(Scheduled { at, number: self.scheduled, pending }));
+    fn schedule(&mut self, due: Time, pending: PendingEvent) {
+        self.last_sequence += 1;
+        self.queue.push(Reverse(ScheduledEvent { due, sequence: self.last_sequence, pending }));
     }
 
-    /// Gathers what falls due within a round.
-    fn take_batch(&mut self) {
-        let Some(first) = self.next_at() else { return };
+    /// Moves the events that are due within one round into the batch.
+    fn collect_batch(&mut self) {
+        let Some(first) = self.next_due() else { return };
         self.now = self.now.max(first + ROUND);
-        while self.next_at().is_some_and(|at| at <= self.now) {
-            let Some(Reverse(next)) = self.agenda.pop() else { break };
-            let event = self.event(next.at, next.pending);
+        while self.next_due().is_some_and(|due| due <= self.now) {
+            let Some(Reverse(next)) = self.queue.pop() else { break };
+            let event = self.event_for(next.due, next.pending);
             self.batch.extend(event);
         }
     }
 
-    /// Hands the batch over, with the meters on, and carries out what comes back.
-    fn hand_over(&mut self) {
+    /// Passes the batch to the call path, measures its costs and executes the resulting actions.
+    fn process_batch(&mut self) {
         let (now, events) = (self.now, self.batch.len() as u64);
         let heap = INSTRUMENTED_SYSTEM.stats();
         let meter = ProcessorMeter::start();
         for event in self.batch.drain(..) {
-            self.path.handle(now, event, &mut self.actions);
+            self.call_path.handle(now, event, &mut self.actions);
         }
-        let processor_us = meter.microseconds() - self.reading_us;
+        let processor_us = meter.microseconds() - self.meter_overhead_us;
         let heap = INSTRUMENTED_SYSTEM.stats() - heap;
         self.costs.events += events;
         self.costs.processor_us += processor_us.max(0.0);
         self.costs.allocations += (heap.allocations + heap.reallocations) as u64;
         self.costs.allocated_bytes += heap.bytes_allocated as u64;
         let mut actions = std::mem::take(&mut self.actions);
-        actions.drain(..).for_each(|action| self.carry_out(action));
+        actions.drain(..).for_each(|action| self.execute(action));
         self.actions = actions;
     }
 
-    fn event(&mut self, due: Time, pending: Pending) -> Option<Event> {
+    /// Converts a pending event into an event for the call path, if it causes one.
+    fn event_for(&mut self, due: Time, pending: PendingEvent) -> Option<Event> {
         match pending {
-            Pending::Arrival => Some(self.arrival(due)),
-            Pending::Burst { function, pause, until } => Some(self.burst(due, function, pause, until)),
-            Pending::Answer { call, attempt, reply } => self.answer(call, attempt, reply),
-            Pending::Loaded { worker, function, sent, copies } => Some(Event::Loaded {
+            PendingEvent::Arrival => Some(self.on_arrival(due)),
+            PendingEvent::BurstArrival { function, interval, until } => {
+                Some(self.on_burst_arrival(due, function, interval, until))
+            }
+            PendingEvent::Answer { call, attempt, reply } => self.on_answer(call, attempt, reply),
+            PendingEvent::Loaded { worker, function, sent, copies } => Some(Event::Loaded {
                 worker,
-                function: function_name(function),
+                function: function_id(function),
                 outcome: Outcome::Ok,
                 copies,
                 lag: self.now - sent,
             }),
-            Pending::Alarm { name } => Some(Event::Alarm { name }),
+            PendingEvent::Alarm { name } => Some(Event::Alarm { name }),
         }
     }
 
-    /// A call that arrived at this time; the next one is planned from there, whatever else happens meanwhile.
-    fn arrival(&mut self, due: Time) -> Event {
-        let pause = self.pause.sample(&mut self.rng) * SECOND as f64;
-        let function = self.ranks.sample(&mut self.rng) as u64;
-        self.schedule(due.saturating_add(pause as Micros), Pending::Arrival);
-        self.request(function)
+    /// Schedules the next call and returns the request of this one. Arrivals are scheduled from the
+    /// previous due time, so that the arrival process does not depend on the batches.
+    fn on_arrival(&mut self, due: Time) -> Event {
+        let interval = self.arrival_interval.sample(&mut self.rng) * SECOND as f64;
+        let function = self.function_ranks.sample(&mut self.rng) as u64;
+        self.schedule(due.saturating_add(interval as Micros), PendingEvent::Arrival);
+        self.new_request(function)
     }
 
-    fn burst(&mut self, due: Time, function: u64, pause: Exp<f64>, until: Time) -> Event {
-        let next = due.saturating_add((pause.sample(&mut self.rng) * SECOND as f64) as Micros);
+    fn on_burst_arrival(&mut self, due: Time, function: u64, interval: Exp<f64>, until: Time) -> Event {
+        let next = due.saturating_add((interval.sample(&mut self.rng) * SECOND as f64) as Micros);
         if next < until {
-            self.schedule(next, Pending::Burst { function, pause, until });
+            self.schedule(next, PendingEvent::BurstArrival { function, interval, until });
         }
-        self.request(function)
+        self.new_request(function)
     }
 
-    /// A call for a function arrives now.
-    fn request(&mut self, function: u64) -> Event {
-        let number = self.arrived;
-        self.arrived += 1;
+    /// Creates a call that arrives now and returns its request.
+    fn new_request(&mut self, function: u64) -> Event {
+        let number = self.arrived_calls;
+        self.arrived_calls += 1;
         self.costs.calls += 1;
-        self.called.insert(function);
-        let call = Call { function, arrived: self.now, attempts: Vec::new(), cold: false, over: false };
+        self.called_functions.insert(function);
+        let call = Call { function, arrived: self.now, attempts: Vec::new(), cold: false, finished: false };
         self.calls.insert(number, call);
         self.first_workers.push(None);
         Event::Request(Request {
-            id: call_name(number),
+            id: request_id(number),
             retry: false,
             tenant: 0,
             hint: None,
-            function: function_name(function),
+            function: function_id(function),
             memory_mb: FUNCTION_MEMORY_MB,
             lanes: LANES,
             class: 0,
             due: self.now + DEADLINE,
-            load_time: Some(USUAL_LOAD),
+            load_time: Some(EXPECTED_LOAD_TIME),
         })
     }
 
-    fn answer(&mut self, number: u64, place: usize, reply: CallReply) -> Option<Event> {
+    /// Records the end of an attempt and returns its event; `None` if the attempt is unknown or has already
+    /// ended.
+    fn on_answer(&mut self, number: u64, attempt_number: usize, reply: CallReply) -> Option<Event> {
         let call = self.calls.get_mut(&number)?;
-        let attempt = call.attempts.get_mut(place).filter(|attempt| attempt.out)?;
-        attempt.out = false;
+        let attempt = call.attempts.get_mut(attempt_number).filter(|attempt| attempt.in_flight)?;
+        attempt.in_flight = false;
         let (worker, lag) = (attempt.worker, self.now - attempt.sent);
-        let last = reply.outcome == Outcome::Ok && !call.over;
+        let last = reply.outcome == Outcome::Ok && !call.finished;
         call.cold |= reply.outcome == Outcome::Miss;
         call.cold |= matches!(reply.mark, CopyMark::BeganLoad | CopyMark::WaitedForLoad);
         if last {
-            call.over = true;
-            let time = self.now - call.arrived;
+            call.finished = true;
+            let answer_time = self.now - call.arrived;
             self.costs.served += 1;
-            self.costs.answer_us += time;
-            self.costs.cold += u64::from(call.cold);
-            self.costs.cold_in_time += u64::from(call.cold && time <= COLD_AIM);
+            self.costs.total_answer_us += answer_time;
+            self.costs.cold_calls += u64::from(call.cold);
+            self.costs.cold_calls_on_time += u64::from(call.cold && answer_time <= COLD_START_TARGET);
         }
         if reply.outcome == Outcome::Miss {
             self.costs.misses += 1;
         }
-        self.forget_ended(number);
+        self.remove_if_finished(number);
         Some(Event::Answer {
-            id: call_name(number),
-            attempt: place as u32,
+            id: request_id(number),
+            attempt: attempt_number as u32,
             worker,
             outcome: reply.outcome,
             last,
@@ -506,14 +520,16 @@
         })
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, worker, .. } => self.send(call_number(&id), worker),
             Action::Cancel { id, attempt } => self.cancel(call_number(&id), attempt as usize),
-            Action::Refuse { id, .. } | Action::Fail { id } => self.end(call_number(&id)),
-            Action::Load { worker, function, copies } => self.order(worker, function_rank(&function), copies),
+            Action::Refuse { id, .. } | Action::Fail { id } => self.fail_call(call_number(&id)),
+            Action::Load { worker, function, copies } => {
+                self.send_load_order(worker, function_rank(&function), copies)
+            }
             Action::Drop { worker, function } => self.workers.unload(worker, function_rank(&function)),
-            Action::SetAlarm { after, name } => self.schedule(self.now + after, Pending::Alarm { name }),
+            Action::SetAlarm { after, name } => self.schedule(self.now + after, PendingEvent::Alarm { name }),
             Action::Probe { .. }
             | Action::CloseIdle { .. }
             | Action::SendMessage { .. }
@@ -527,13 +543,13 @@
         let now = self.now;
         let Some(call) = self.calls.get_mut(&number) else { return };
         let attempt = call.attempts.len();
-        call.attempts.push(Attempt { worker, sent: now, out: true });
+        call.attempts.push(Attempt { worker, sent: now, in_flight: true });
         self.costs.sends += 1;
         let reply = self.workers.call(now, worker, call.function, number);
         if let Some(first) = self.first_workers.get_mut(number as usize) {
             first.get_or_insert(worker);
         }
-        self.schedule(reply.received_at, Pending::Answer { call: number, attempt, reply });
+        self.schedule(reply.received_at, PendingEvent::Answer { call: number, attempt, reply });
     }
 
     fn cancel(&mut self, number: u64, attempt: usize) {
@@ -543,62 +559,66 @@
             mark: CopyMark::Untold,
             crowd: 0,
         };
-        self.schedule(self.now, Pending::Answer { call: number, attempt, reply });
+        self.schedule(self.now, PendingEvent::Answer { call: number, attempt, reply });
     }
 
-    fn order(&mut self, worker: WorkerId, function: u64, copies: u32) {
+    fn send_load_order(&mut self, worker: WorkerId, function: u64, copies: u32) {
         let sent = self.now;
-        self.costs.orders += 1;
+        self.costs.load_orders += 1;
         let reply = self.workers.load(sent, worker, function, copies);
-        self.schedule(reply.received_at, Pending::Loaded { worker, function, sent, copies: reply.copies });
+        self.schedule(
+            reply.received_at,
+            PendingEvent::Loaded { worker, function, sent, copies: reply.copies },
+        );
     }
 
-    /// The call path gave its final answer: the call could not be served.
-    fn end(&mut self, number: u64) {
+    /// Finishes a call that the call path refused or failed.
+    fn fail_call(&mut self, number: u64) {
         let Some(call) = self.calls.get_mut(&number) else { return };
-        call.over = true;
+        call.finished = true;
         self.costs.refused += 1;
-        self.costs.cold += u64::from(call.cold);
-        self.forget_ended(number);
+        self.costs.cold_calls += u64::from(call.cold);
+        self.remove_if_finished(number);
     }
 
-    fn forget_ended(&mut self, number: u64) {
-        let ended = |call: &Call| call.over && call.attempts.iter().all(|attempt| !attempt.out);
-        if self.calls.get(&number).is_some_and(ended) {
+    /// Removes a call once it is finished and none of its attempts is in flight.
+    fn remove_if_finished(&mut self, number: u64) {
+        let removable = |call: &Call| call.finished && call.attempts.iter().all(|attempt| !attempt.in_flight);
+        if self.calls.get(&number).is_some_and(removable) {
             self.calls.remove(&number);
         }
     }
 
-    /// What surrounds it.
+    /// The workload and the simulated workers.
     pub fn surroundings(&self) -> &Surroundings {
         &self.surroundings
     }
 }
 
-fn call_name(number: u64) -> RequestId {
+fn request_id(number: u64) -> RequestId {
     format!("call-{number:012}").into()
 }
 
-fn call_number(name: &str) -> u64 {
-    name.trim_start_matches("call-").parse().unwrap_or(u64::MAX)
+fn call_number(id: &str) -> u64 {
+    id.trim_start_matches("call-").parse().unwrap_or(u64::MAX)
 }
 
-fn function_name(rank: u64) -> FunctionId {
+fn function_id(rank: u64) -> FunctionId {
     format!("function-{rank:08}").into()
 }
 
-fn function_rank(name: &str) -> u64 {
-    name.trim_start_matches("function-").parse().unwrap_or(u64::MAX)
+fn function_rank(id: &str) -> u64 {
+    id.trim_start_matches("function-").parse().unwrap_or(u64::MAX)
 }
 
-/// Bytes on the heap now, over the whole process; 0 where the allocator is not the counting one.
-fn live_bytes() -> u64 {
+/// Number of heap bytes that the process holds; 0 if the counting allocator is not the global allocator.
+fn live_heap_bytes() -> u64 {
     let Stats { bytes_allocated, bytes_deallocated, .. } = INSTRUMENTED_SYSTEM.stats();
     bytes_allocated.saturating_sub(bytes_deallocated) as u64
 }
 
-/// Processor time that the meter itself takes between its start and its reading.
-fn reading_us() -> f64 {
-    let total: f64 = (0..CALIBRATIONS).map(|_| ProcessorMeter::start().microseconds()).sum();
-    total / f64::from(CALIBRATIONS)
+/// Mean processor time between the start of a meter and its reading, in microseconds.
+fn measure_meter_overhead() -> f64 {
+    let total: f64 = (0..CALIBRATION_READINGS).map(|_| ProcessorMeter::start().microseconds()).sum();
+    total / f64::from(CALIBRATION_READINGS)
 }
--- a/crates/badgerwind-scale/src/rows/hard_cases.rs
+++ b/crates/badgerwind-scale/src/rows/hard_cases.rs
@@ -2,7 +2,7 @@
 //! thousandfold in a second, a lost cell, and a front end that has just restarted.
 
 use super::cold_starts::{Demand, FLEET_CALLS_PER_SECOND};
-use super::front_end::{Costs, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, CELL_WORKERS, SECOND};
+use super::front_end::{Costs, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND, WORKERS_PER_CELL};
 use super::router::{CORE_SHARE_BOUND, MEMORY_BOUND};
 use super::workers::ForeignCalls;
 use crate::error::ScaleError;
@@ -102,12 +102,12 @@
 }
 
 fn cold(costs: &Costs) -> f64 {
-    1e3 * costs.per_call(costs.cold as f64)
+    1e3 * costs.per_call(costs.cold_calls as f64)
 }
 
 /// Calls are spread evenly over 400,000 functions: hardly one is called twice.
 fn functions_called_once(workers: u32, seed: u64) -> Vec<Measurement> {
-    let surroundings = Surroundings { exponent: 0.0, ..Surroundings::new(workers, MANY_FUNCTIONS) };
+    let surroundings = Surroundings { zipf_exponent: 0.0, ..Surroundings::new(workers, MANY_FUNCTIONS) };
     let list = HollowFrontEnd::new(surroundings, seed).into_heap_bytes() as f64;
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
     front_end.run(MEASURED);
@@ -122,7 +122,7 @@
     let mut front_end = HollowFrontEnd::new(Surroundings::new(workers, FUNCTIONS), seed);
     front_end.run(WARM_UP);
     front_end.take_costs();
-    front_end.begin_burst(GROWN, GROWN_RATE, MEASURED);
+    front_end.start_burst(GROWN, GROWN_RATE, MEASURED);
     front_end.run(FIRST);
     let first = front_end.take_costs();
     front_end.run(MEASURED - FIRST);
@@ -132,7 +132,7 @@
         figure(GROWN_TIME, (first.processor_us + rest.processor_us) / calls),
         figure(GROWN_FIRST, first.processor_us / (FIRST / SECOND) as f64),
         figure(GROWN_REFUSED, 1e3 * (first.refused + rest.refused) as f64 / calls),
-        figure(GROWN_ORDERS, (first.orders + rest.orders) as f64),
+        figure(GROWN_ORDERS, (first.load_orders + rest.load_orders) as f64),
     ]
 }
 
@@ -140,15 +140,15 @@
     let surroundings = Surroundings::new(workers, FUNCTIONS);
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
     front_end.run(WARM_UP);
-    let cell = surroundings.entries().into_iter().filter(|e| e.worker / CELL_WORKERS == LOST_CELL);
+    let cell = surroundings.worker_entries().into_iter().filter(|e| e.worker / WORKERS_PER_CELL == LOST_CELL);
     let gone = cell.map(|e| WorkerEntry { availability: Availability::Removed, ..e }).collect();
     front_end.take_costs();
-    front_end.list(ListKind::Changes, gone);
+    front_end.apply_list(ListKind::Changes, gone);
     front_end.run(SECOND);
     let first = front_end.take_costs();
     front_end.run(MEASURED - SECOND);
     let rest = front_end.take_costs();
-    let cold_calls = (first.cold + rest.cold) as f64 / (first.calls + rest.calls).max(1) as f64;
+    let cold_calls = (first.cold_calls + rest.cold_calls) as f64 / (first.calls + rest.calls).max(1) as f64;
     vec![figure(CELL_TIME, a_second(&first)), figure(CELL_COLD, 1e3 * cold_calls)]
 }
 
@@ -156,7 +156,7 @@
 fn restarted(workers: u32, seed: u64) -> Vec<Measurement> {
     let most_called = Demand::new(MANY_FUNCTIONS, 1.0, FLEET_CALLS_PER_SECOND).top_function_rate();
     let others = Some(ForeignCalls { top_function_rate: most_called, exponent: 1.0 });
-    let surroundings = Surroundings { others, ..Surroundings::new(workers, MANY_FUNCTIONS) };
+    let surroundings = Surroundings { foreign_calls: others, ..Surroundings::new(workers, MANY_FUNCTIONS) };
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
     front_end.run(MEASURED);
     let costs = front_end.take_costs();
--- a/crates/badgerwind-scale/src/rows/lists.rs
+++ b/crates/badgerwind-scale/src/rows/lists.rs
@@ -1,6 +1,6 @@
 //! Rows of the list of workers: what a change, a lost zone and a whole list cost a front end, and what moves.
 
-use super::front_end::{entry, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND, ZONES};
+use super::front_end::{worker_entry, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND, ZONES};
 use super::list_frames::{frame, frame_bytes};
 use super::router::{CORE_SHARE_BOUND, MEMORY_BOUND};
 use crate::cost::ProcessorMeter;
@@ -48,12 +48,12 @@
 }
 
 fn listed(worker: WorkerId, availability: Availability) -> Vec<WorkerEntry> {
-    vec![entry(worker, availability)]
+    vec![worker_entry(worker, availability)]
 }
 
 /// Workers of the lost zone, as gone.
 fn lost_zone(surroundings: &Surroundings) -> Vec<WorkerEntry> {
-    let entries = surroundings.entries().into_iter().filter(|e| e.zone == LOST_ZONE);
+    let entries = surroundings.worker_entries().into_iter().filter(|e| e.zone == LOST_ZONE);
     entries.map(|e| WorkerEntry { availability: Availability::Removed, ..e }).collect()
 }
 
@@ -127,11 +127,11 @@
     let mut taken_in = 0.0;
     for change in 0..CHANGES {
         let worker = 1 + change * (workers / CHANGES).max(1) % workers;
-        taken_in += front_end.list(ListKind::Changes, listed(worker, Availability::Draining));
+        taken_in += front_end.apply_list(ListKind::Changes, listed(worker, Availability::Draining));
         front_end.run(DRAIN);
-        taken_in += front_end.list(ListKind::Changes, listed(worker, Availability::Removed));
+        taken_in += front_end.apply_list(ListKind::Changes, listed(worker, Availability::Removed));
         front_end.run(DRAIN);
-        taken_in += front_end.list(ListKind::Changes, listed(worker, Availability::Ready));
+        taken_in += front_end.apply_list(ListKind::Changes, listed(worker, Availability::Ready));
         front_end.run(SECOND);
     }
     let changed = front_end.take_costs();
@@ -151,19 +151,19 @@
 fn zone_loss(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
     let gone = lost_zone(front_end.surroundings());
     let back = |e: &WorkerEntry| WorkerEntry { availability: Availability::Ready, ..e.clone() };
-    let at_once = front_end.list(ListKind::Changes, gone.clone());
+    let at_once = front_end.apply_list(ListKind::Changes, gone.clone());
     front_end.run(2 * SECOND);
-    front_end.list(ListKind::Changes, gone.iter().map(back).collect());
+    front_end.apply_list(ListKind::Changes, gone.iter().map(back).collect());
     front_end.run(2 * SECOND);
     front_end.take_costs();
     let step = gone.len().div_ceil(ZONE_STEPS).max(1);
     for part in gone.chunks(step) {
-        front_end.list(ListKind::Changes, part.to_vec());
+        front_end.apply_list(ListKind::Changes, part.to_vec());
         front_end.run(ZONE_LOSS / ZONE_STEPS as Micros);
     }
     let seconds = ZONE_LOSS as f64 / SECOND as f64 * gone.chunks(step).count() as f64 / ZONE_STEPS as f64;
     let costs = front_end.take_costs();
-    front_end.list(ListKind::Changes, gone.iter().map(back).collect());
+    front_end.apply_list(ListKind::Changes, gone.iter().map(back).collect());
     front_end.run(2 * SECOND);
     vec![
         Measurement { metric: ZONE_AT_ONCE, value: at_once },
@@ -181,7 +181,7 @@
         for availability in [Availability::Draining, Availability::Removed, Availability::Ready] {
             let born = (availability == Availability::Ready).then(|| front_end.now());
             let change = WorkerEntry { availability, born, ..worker.clone() };
-            front_end.list(ListKind::Changes, vec![change]);
+            front_end.apply_list(ListKind::Changes, vec![change]);
             front_end.run(pause);
         }
     }
@@ -192,10 +192,10 @@
 
 /// The list comes whole, as after a cut.
 fn whole_list(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
-    let entries = front_end.surroundings().entries();
+    let entries = front_end.surroundings().worker_entries();
     let bytes = frame(1, ListKind::Whole, &entries);
     front_end.take_costs();
-    let taken_in = front_end.list(ListKind::Whole, entries);
+    let taken_in = front_end.apply_list(ListKind::Whole, entries);
     front_end.take_costs();
     front_end.run(SECOND);
     let after = front_end.take_costs();
@@ -290,9 +290,9 @@
 ) -> Vec<Option<WorkerId>> {
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
     front_end.run(warm_up);
-    let from = front_end.arrived() as usize;
+    let from = front_end.arrived_calls() as usize;
     if !change.is_empty() {
-        front_end.list(ListKind::Changes, change.to_vec());
+        front_end.apply_list(ListKind::Changes, change.to_vec());
     }
     front_end.run(compared);
     front_end.first_workers()[from..].to_vec()
@@ -415,7 +415,7 @@
 
     /// Lets time pass; the share of calls that arrived in it whose first workers differ.
     fn run(&mut self, span: Micros) -> f64 {
-        let from = self.one.arrived() as usize;
+        let from = self.one.arrived_calls() as usize;
         self.one.run(span);
         self.other.run(span);
         differing(&self.one.first_workers()[from..], &self.other.first_workers()[from..])
@@ -423,9 +423,9 @@
 
     /// Tells one of a change and the other later; the share of calls that differ in between.
     fn change(&mut self, entries: Vec<WorkerEntry>) -> f64 {
-        self.one.list(ListKind::Changes, entries.clone());
+        self.one.apply_list(ListKind::Changes, entries.clone());
         let differ = self.run(PROPAGATION);
-        self.other.list(ListKind::Changes, entries);
+        self.other.apply_list(ListKind::Changes, entries);
         differ
     }
 }
--- a/crates/badgerwind-scale/src/rows/router.rs
+++ b/crates/badgerwind-scale/src/rows/router.rs
@@ -83,11 +83,14 @@
         share(ALLOCATED, costs.allocated_bytes),
         share(SENDS, costs.sends),
         share(MISSED, costs.misses),
-        share(ORDERS, costs.orders),
+        share(ORDERS, costs.load_orders),
         share(REFUSED, 1_000 * costs.refused),
-        figure(ANSWER, costs.answer_us as f64 / 1e3 / costs.served.max(1) as f64),
-        share(COLD, 1_000 * costs.cold),
-        figure(COLD_LATE, 1e3 * (costs.cold - costs.cold_in_time) as f64 / costs.cold.max(1) as f64),
+        figure(ANSWER, costs.total_answer_us as f64 / 1e3 / costs.served.max(1) as f64),
+        share(COLD, 1_000 * costs.cold_calls),
+        figure(
+            COLD_LATE,
+            1e3 * (costs.cold_calls - costs.cold_calls_on_time) as f64 / costs.cold_calls.max(1) as f64,
+        ),
     ]
 }
 
@@ -239,13 +242,13 @@
             let most_called = Demand::new(size, 1.0, FLEET_CALLS_PER_SECOND).top_function_rate();
             ForeignCalls { top_function_rate: most_called, exponent: 1.0 }
         });
-        let surroundings = Surroundings { others, ..Surroundings::new(self.workers, size) };
+        let surroundings = Surroundings { foreign_calls: others, ..Surroundings::new(self.workers, size) };
         let list = HollowFrontEnd::new(surroundings, seed).into_heap_bytes() as f64;
         let mut front_end = HollowFrontEnd::new(surroundings, seed);
         front_end.run(WARM_UP);
         front_end.take_costs();
         front_end.run(HEAP_AFTER - WARM_UP);
-        let in_use = front_end.functions_called() as f64;
+        let in_use = front_end.called_functions() as f64;
         let costs = front_end.take_costs();
         let heap = front_end.into_heap_bytes();
         let of_function = (heap as f64 - list) / in_use.max(1.0);
--- a/crates/badgerwind-scale/tests/lists.rs
+++ b/crates/badgerwind-scale/tests/lists.rs
@@ -3,7 +3,7 @@
 use badgerwind::interface::{Availability, ListKind, WorkerEntry};
 use badgerwind_platform::config::NameCounts;
 use badgerwind_platform::discovery::Follower;
-use badgerwind_scale::rows::front_end::{entry, Surroundings, SECOND, ZONES};
+use badgerwind_scale::rows::front_end::{worker_entry, Surroundings, SECOND, ZONES};
 use badgerwind_scale::rows::list_frames::{frame, frame_bytes};
 use badgerwind_scale::rows::lists::{differing, first_workers, sent_to};
 
@@ -23,12 +23,12 @@
 }
 
 fn gone(workers: impl Iterator<Item = u32>) -> Vec<WorkerEntry> {
-    workers.map(|worker| entry(worker, Availability::Removed)).collect()
+    workers.map(|worker| worker_entry(worker, Availability::Removed)).collect()
 }
 
 #[test]
 fn the_product_reads_the_frames() {
-    let entries = surroundings().entries();
+    let entries = surroundings().worker_entries();
     let bytes = frame(1, ListKind::Whole, &entries);
     assert_eq!(bytes.len(), frame_bytes(entries.len()));
     let (mut follower, mut news) = (Follower::new(0), Vec::new());
@@ -45,7 +45,7 @@
 #[test]
 fn a_whole_list_of_over_20_000_workers_is_refused() {
     let read = |workers| {
-        let bytes = frame(1, ListKind::Whole, &Surroundings::new(workers, 1).entries());
+        let bytes = frame(1, ListKind::Whole, &Surroundings::new(workers, 1).worker_entries());
         Follower::new(0).on_bytes(&places(), &bytes, &mut Vec::new())
     };
     assert!(read(20_000).is_ok());
