--- a/crates/badgerwind-scale/src/rows/hard_cases.rs
+++ b/crates/badgerwind-scale/src/rows/hard_cases.rs
@@ -1,9 +1,9 @@
-//! Rows of hard cases on the path of a call: functions that are called once, a function that grows a
-//! thousandfold in a second, a lost cell, and a front end that has just restarted.
+//! Row of demanding cases on a call's path: functions that are called once, a function whose rate of calls
+//! increases a thousandfold within a second, a lost cell, and a front end after its restart.
 
 use super::cold_starts::{Demand, FLEET_CALLS_PER_SECOND};
 use super::front_end::{Costs, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND, WORKERS_PER_CELL};
-use super::router::{CORE_SHARE_BOUND, MEMORY_BOUND};
+use super::router::{HEAP_BOUND, PROCESSOR_TIME_BOUND};
 use super::workers::ForeignCalls;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
@@ -12,38 +12,43 @@
 const FUNCTIONS: u64 = 1_000;
 const MANY_FUNCTIONS: u64 = 400_000;
 const WARM_UP: Micros = 10 * SECOND;
-const MEASURED: Micros = 10 * SECOND;
-/// The beginning of a growth, while no further copy is loaded.
-const FIRST: Micros = 2 * SECOND;
-/// The function that grows, among the rarely called ones, and its calls a second once it has grown.
-const GROWN: u64 = 900;
-const GROWN_RATE: f64 = CALLS_PER_SECOND;
+const MEASURED_TIME: Micros = 10 * SECOND;
+/// Duration of the start of a burst, in which no additional copies are loaded yet.
+const BURST_START_DURATION: Micros = 2 * SECOND;
+/// Rank of the function that receives the burst, one of the rarely called functions.
+const BURST_FUNCTION: u64 = 900;
+/// Additional calls per second to this function.
+const BURST_RATE: f64 = CALLS_PER_SECOND;
 const LOST_CELL: u32 = 0;
 
-const ONCE_TIME: Metric = Metric { name: "functions called once: processor time a second", unit: "us/s" };
-const ONCE_HEAP: Metric = Metric { name: "functions called once: heap a call", unit: "B" };
-const ONCE_HEAP_SETTLED: Metric =
+const ONCE_PROCESSOR_TIME: Metric =
+    Metric { name: "functions called once: processor time a second", unit: "us/s" };
+const ONCE_HEAP_PER_CALL: Metric = Metric { name: "functions called once: heap a call", unit: "B" };
+const ONCE_STEADY_STATE_HEAP: Metric =
     Metric { name: "functions called once: heap after eight keep-alives, arithmetic", unit: "B" };
-const GROWN_TIME: Metric = Metric { name: "a function grows a thousandfold: time of a call", unit: "us" };
-const GROWN_FIRST: Metric =
+const BURST_TIME_PER_CALL: Metric =
+    Metric { name: "a function grows a thousandfold: time of a call", unit: "us" };
+const BURST_START_PROCESSOR_TIME: Metric =
     Metric { name: "a function grows a thousandfold: processor time in the first two seconds", unit: "us/s" };
-const GROWN_REFUSED: Metric =
+const BURST_REFUSED_CALLS: Metric =
     Metric { name: "a function grows a thousandfold: calls refused", unit: "of 1,000" };
-const GROWN_ORDERS: Metric = Metric { name: "a function grows a thousandfold: load orders", unit: "orders" };
-const CELL_TIME: Metric =
+const BURST_LOAD_ORDERS: Metric =
+    Metric { name: "a function grows a thousandfold: load orders", unit: "orders" };
+const CELL_LOSS_PROCESSOR_TIME: Metric =
     Metric { name: "a cell of 100 is lost: processor time in the next second", unit: "us/s" };
-const CELL_COLD: Metric =
+const CELL_LOSS_COLD_CALLS: Metric =
     Metric { name: "a cell of 100 is lost: cold calls in the next 10 s", unit: "of 1,000" };
-const RESTART_TIME: Metric =
+const RESTART_PROCESSOR_TIME: Metric =
     Metric { name: "front end restarted, 400,000 functions: processor time a second", unit: "us/s" };
-const RESTART_COLD: Metric =
+const RESTART_COLD_CALLS: Metric =
     Metric { name: "front end restarted, 400,000 functions: cold calls in the first 10 s", unit: "of 1,000" };
 
-/// All rows of this part.
+/// All rows of this module.
 pub fn rows() -> Vec<Box<dyn Row>> {
     vec![Box::new(HardCases)]
 }
 
+/// Costs of demanding cases by the number of listed workers.
 struct HardCases;
 
 impl Row for HardCases {
@@ -56,8 +61,9 @@
     }
 
     fn about(&self) -> &'static str {
-        "one Router at 127 calls a second: functions called once each; a function that grows a thousandfold in a \
-         second; a lost cell; a restart with an empty memory while the fleet's copies stand"
+        "one Router at 127 calls per second: functions called once each; a function whose rate of calls \
+         increases a thousandfold within a second; a lost cell; a restart without state while the fleet's \
+         copies stay loaded"
     }
 
     fn variable(&self) -> &'static str {
@@ -73,92 +79,112 @@
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let core = |metric| Bound { metric, max: CORE_SHARE_BOUND, source: "1% of a core" };
-        let memory = Bound { metric: ONCE_HEAP_SETTLED, max: MEMORY_BOUND, source: "128 MB a front end" };
-        vec![core(ONCE_TIME), core(GROWN_FIRST), core(CELL_TIME), core(RESTART_TIME), memory]
+        let processor = |metric| Bound { metric, max: PROCESSOR_TIME_BOUND, source: "1% of a core" };
+        let heap = Bound { metric: ONCE_STEADY_STATE_HEAP, max: HEAP_BOUND, source: "128 MB a front end" };
+        vec![
+            processor(ONCE_PROCESSOR_TIME),
+            processor(BURST_START_PROCESSOR_TIME),
+            processor(CELL_LOSS_PROCESSOR_TIME),
+            processor(RESTART_PROCESSOR_TIME),
+            heap,
+        ]
     }
 
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        let calls = (2 * (WARM_UP + MEASURED) / SECOND) * CALLS_PER_SECOND as u64;
+        let calls = (2 * (WARM_UP + MEASURED_TIME) / SECOND) * CALLS_PER_SECOND as u64;
         size.saturating_mul(2_000 + 4 * calls).saturating_add(16 * MANY_FUNCTIONS)
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let workers = u32::try_from(size).unwrap_or(u32::MAX);
-        let mut all = functions_called_once(workers, seed);
-        all.extend(grown_function(workers, seed));
-        all.extend(lost_cell(workers, seed));
-        all.extend(restarted(workers, seed));
-        Ok(all)
+        let mut measurements = measure_functions_called_once(workers, seed);
+        measurements.extend(measure_burst(workers, seed));
+        measurements.extend(measure_lost_cell(workers, seed));
+        measurements.extend(measure_restart(workers, seed));
+        Ok(measurements)
     }
 }
 
-fn figure(metric: Metric, value: f64) -> Measurement {
+fn measurement(metric: Metric, value: f64) -> Measurement {
     Measurement { metric, value }
 }
 
-fn a_second(costs: &Costs) -> f64 {
+/// Processor time at the planned rate of calls, in microseconds per second.
+fn time_per_second(costs: &Costs) -> f64 {
     costs.per_call(costs.processor_us) * CALLS_PER_SECOND
 }
 
-fn cold(costs: &Costs) -> f64 {
+/// Cold calls out of 1,000.
+fn cold_per_thousand(costs: &Costs) -> f64 {
     1e3 * costs.per_call(costs.cold_calls as f64)
 }
 
-/// Calls are spread evenly over 400,000 functions: hardly one is called twice.
-fn functions_called_once(workers: u32, seed: u64) -> Vec<Measurement> {
+/// Calls are distributed uniformly over 400,000 functions, so that almost none is called twice.
+fn measure_functions_called_once(workers: u32, seed: u64) -> Vec<Measurement> {
     let surroundings = Surroundings { zipf_exponent: 0.0, ..Surroundings::new(workers, MANY_FUNCTIONS) };
-    let list = HollowFrontEnd::new(surroundings, seed).into_heap_bytes() as f64;
+    let list_heap = HollowFrontEnd::new(surroundings, seed).into_heap_bytes() as f64;
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
-    front_end.run(MEASURED);
+    front_end.run(MEASURED_TIME);
     let costs = front_end.take_costs();
-    let of_call = costs.per_call(front_end.into_heap_bytes() as f64 - list);
-    let remembered = 8.0 * surroundings.keep_alive as f64 / SECOND as f64 * CALLS_PER_SECOND;
-    let settled = list + of_call * remembered;
-    vec![figure(ONCE_TIME, a_second(&costs)), figure(ONCE_HEAP, of_call), figure(ONCE_HEAP_SETTLED, settled)]
+    let heap_per_call = costs.per_call(front_end.into_heap_bytes() as f64 - list_heap);
+    let remembered_functions = 8.0 * surroundings.keep_alive as f64 / SECOND as f64 * CALLS_PER_SECOND;
+    let steady_state_heap = list_heap + heap_per_call * remembered_functions;
+    vec![
+        measurement(ONCE_PROCESSOR_TIME, time_per_second(&costs)),
+        measurement(ONCE_HEAP_PER_CALL, heap_per_call),
+        measurement(ONCE_STEADY_STATE_HEAP, steady_state_heap),
+    ]
 }
 
-fn grown_function(workers: u32, seed: u64) -> Vec<Measurement> {
+/// The rate of calls to one rarely called function increases a thousandfold.
+fn measure_burst(workers: u32, seed: u64) -> Vec<Measurement> {
     let mut front_end = HollowFrontEnd::new(Surroundings::new(workers, FUNCTIONS), seed);
     front_end.run(WARM_UP);
     front_end.take_costs();
-    front_end.start_burst(GROWN, GROWN_RATE, MEASURED);
-    front_end.run(FIRST);
+    front_end.start_burst(BURST_FUNCTION, BURST_RATE, MEASURED_TIME);
+    front_end.run(BURST_START_DURATION);
     let first = front_end.take_costs();
-    front_end.run(MEASURED - FIRST);
+    front_end.run(MEASURED_TIME - BURST_START_DURATION);
     let rest = front_end.take_costs();
     let calls = (first.calls + rest.calls).max(1) as f64;
     vec![
-        figure(GROWN_TIME, (first.processor_us + rest.processor_us) / calls),
-        figure(GROWN_FIRST, first.processor_us / (FIRST / SECOND) as f64),
-        figure(GROWN_REFUSED, 1e3 * (first.refused + rest.refused) as f64 / calls),
-        figure(GROWN_ORDERS, (first.load_orders + rest.load_orders) as f64),
+        measurement(BURST_TIME_PER_CALL, (first.processor_us + rest.processor_us) / calls),
+        measurement(BURST_START_PROCESSOR_TIME, first.processor_us / (BURST_START_DURATION / SECOND) as f64),
+        measurement(BURST_REFUSED_CALLS, 1e3 * (first.refused + rest.refused) as f64 / calls),
+        measurement(BURST_LOAD_ORDERS, (first.load_orders + rest.load_orders) as f64),
     ]
 }
 
-fn lost_cell(workers: u32, seed: u64) -> Vec<Measurement> {
+/// All workers of a cell are removed in one list event.
+fn measure_lost_cell(workers: u32, seed: u64) -> Vec<Measurement> {
     let surroundings = Surroundings::new(workers, FUNCTIONS);
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
     front_end.run(WARM_UP);
     let cell = surroundings.worker_entries().into_iter().filter(|e| e.worker / WORKERS_PER_CELL == LOST_CELL);
-    let gone = cell.map(|e| WorkerEntry { availability: Availability::Removed, ..e }).collect();
+    let removed = cell.map(|e| WorkerEntry { availability: Availability::Removed, ..e }).collect();
     front_end.take_costs();
-    front_end.apply_list(ListKind::Changes, gone);
+    front_end.apply_list(ListKind::Changes, removed);
     front_end.run(SECOND);
     let first = front_end.take_costs();
-    front_end.run(MEASURED - SECOND);
+    front_end.run(MEASURED_TIME - SECOND);
     let rest = front_end.take_costs();
-    let cold_calls = (first.cold_calls + rest.cold_calls) as f64 / (first.calls + rest.calls).max(1) as f64;
-    vec![figure(CELL_TIME, a_second(&first)), figure(CELL_COLD, 1e3 * cold_calls)]
+    let cold_share = (first.cold_calls + rest.cold_calls) as f64 / (first.calls + rest.calls).max(1) as f64;
+    vec![
+        measurement(CELL_LOSS_PROCESSOR_TIME, time_per_second(&first)),
+        measurement(CELL_LOSS_COLD_CALLS, 1e3 * cold_share),
+    ]
 }
 
-/// Nothing is known but the list, and the copies that the rest of the fleet uses stand.
-fn restarted(workers: u32, seed: u64) -> Vec<Measurement> {
-    let most_called = Demand::new(MANY_FUNCTIONS, 1.0, FLEET_CALLS_PER_SECOND).top_function_rate();
-    let others = Some(ForeignCalls { top_function_rate: most_called, exponent: 1.0 });
-    let surroundings = Surroundings { foreign_calls: others, ..Surroundings::new(workers, MANY_FUNCTIONS) };
+/// A restarted front end knows only the list, while the calls of other front ends keep copies loaded.
+fn measure_restart(workers: u32, seed: u64) -> Vec<Measurement> {
+    let top_function_rate = Demand::new(MANY_FUNCTIONS, 1.0, FLEET_CALLS_PER_SECOND).top_function_rate();
+    let foreign_calls = Some(ForeignCalls { top_function_rate, exponent: 1.0 });
+    let surroundings = Surroundings { foreign_calls, ..Surroundings::new(workers, MANY_FUNCTIONS) };
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
-    front_end.run(MEASURED);
+    front_end.run(MEASURED_TIME);
     let costs = front_end.take_costs();
-    vec![figure(RESTART_TIME, a_second(&costs)), figure(RESTART_COLD, cold(&costs))]
+    vec![
+        measurement(RESTART_PROCESSOR_TIME, time_per_second(&costs)),
+        measurement(RESTART_COLD_CALLS, cold_per_thousand(&costs)),
+    ]
 }
--- a/crates/badgerwind-scale/src/rows/list_frames.rs
+++ b/crates/badgerwind-scale/src/rows/list_frames.rs
@@ -1,32 +1,32 @@
-//! Frames of the platform's service discovery as its server writes them; the product's own reader takes them
-//! in, which the tests check.
+//! Encodes frames of the platform's service discovery as its server does. The tests verify that the
+//! product's reader accepts them.
 
 use badgerwind::interface::{Availability, ListKind, WorkerEntry};
 
-/// Bytes before the payload: length, event number, kind.
-const HEADER: usize = 4 + 8 + 1;
-/// Bytes of a record.
-const RECORD: usize = 27;
-/// What the length counts beside the payload.
-const COUNTED: usize = 9;
+/// Number of bytes before the payload: length, event number and kind.
+const HEADER_BYTES: usize = 4 + 8 + 1;
+/// Number of bytes of a record.
+const RECORD_BYTES: usize = 27;
+/// Number of header bytes that the length field includes: event number and kind.
+const COUNTED_HEADER_BYTES: usize = 9;
 
-/// Bytes of a frame with so many entries.
+/// Number of bytes of a frame with the given number of entries.
 pub fn frame_bytes(entries: usize) -> usize {
-    HEADER + entries * RECORD
+    HEADER_BYTES + entries * RECORD_BYTES
 }
 
-/// A frame with these entries.
-pub fn frame(number: u64, kind: ListKind, entries: &[WorkerEntry]) -> Vec<u8> {
+/// Encodes a frame with the given event number and entries.
+pub fn encode_frame(event_number: u64, kind: ListKind, entries: &[WorkerEntry]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(frame_bytes(entries.len()));
-    let length = (COUNTED + entries.len() * RECORD) as u32;
+    let length = (COUNTED_HEADER_BYTES + entries.len() * RECORD_BYTES) as u32;
     bytes.extend(length.to_be_bytes());
-    bytes.extend(number.to_be_bytes());
+    bytes.extend(event_number.to_be_bytes());
     bytes.push(if kind == ListKind::Changes { 2 } else { 1 });
-    entries.iter().for_each(|entry| record(entry, &mut bytes));
+    entries.iter().for_each(|entry| encode_record(entry, &mut bytes));
     bytes
 }
 
-fn record(entry: &WorkerEntry, bytes: &mut Vec<u8>) {
+fn encode_record(entry: &WorkerEntry, bytes: &mut Vec<u8>) {
     let availability = match entry.availability {
         Availability::Ready => 0,
         Availability::Draining => 1,
--- a/crates/badgerwind-scale/src/rows/lists.rs
+++ b/crates/badgerwind-scale/src/rows/lists.rs
@@ -1,66 +1,73 @@
-//! Rows of the list of workers: what a change, a lost zone and a whole list cost a front end, and what moves.
+//! Rows of the list of workers: costs of a changed worker, a lost zone and a whole list at a front end, and
+//! the calls that go to other workers as a result.
 
 use super::front_end::{worker_entry, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND, ZONES};
-use super::list_frames::{frame, frame_bytes};
-use super::router::{CORE_SHARE_BOUND, MEMORY_BOUND};
+use super::list_frames::{encode_frame, frame_bytes};
+use super::router::{HEAP_BOUND, PROCESSOR_TIME_BOUND};
 use crate::cost::ProcessorMeter;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use badgerwind::interface::{Availability, ListKind, Micros, WorkerEntry, WorkerId};
 use badgerwind_platform::config::NameCounts;
 use badgerwind_platform::discovery::Follower;
+use std::collections::BTreeMap;
 
 const FUNCTIONS: u64 = 1_000;
 const WARM_UP: Micros = 10 * SECOND;
-/// Changes of single workers, each followed by a second of calls.
-const CHANGES: u32 = 10;
-/// A worker drains; that it is gone follows after this.
-const DRAIN: Micros = SECOND / 2;
-/// A lost zone's workers go one by one within this time.
-const ZONE_LOSS: Micros = 2 * SECOND;
-const ZONE_STEPS: usize = 20;
+/// Number of workers that change one after the other; two seconds of calls pass for each.
+const CHANGED_WORKERS: u32 = 10;
+/// Time from the draining of a worker to its removal.
+const DRAIN_TIME: Micros = SECOND / 2;
+/// Time within which the workers of a lost zone are removed.
+const ZONE_LOSS_DURATION: Micros = 2 * SECOND;
+/// Number of list events by which they are removed.
+const ZONE_LOSS_EVENTS: usize = 20;
 const LOST_ZONE: u32 = 1;
-/// The part of a zone that restarts at once, and the time within which its workers do.
-const RESTARTED_PART: usize = 10;
-const RESTART_WAVE: Micros = 10 * SECOND;
-
-const CHANGE: Metric = Metric { name: "change of one worker, taken in", unit: "us" };
-const CALL_BEFORE: Metric = Metric { name: "time of a call with a quiet list", unit: "us" };
-const CALL_AFTER: Metric = Metric { name: "time of a call in the second after a change", unit: "us" };
-const CHANGE_WHOLE_COST: Metric =
+/// One in this many workers of a zone is restarted.
+const RESTART_DIVISOR: usize = 10;
+/// Time within which these workers are restarted.
+const RESTART_DURATION: Micros = 10 * SECOND;
+
+const CHANGE_TIME: Metric = Metric { name: "change of one worker, taken in", unit: "us" };
+const CALL_TIME_UNCHANGED: Metric = Metric { name: "time of a call with a quiet list", unit: "us" };
+const CALL_TIME_AFTER_CHANGE: Metric =
+    Metric { name: "time of a call in the second after a change", unit: "us" };
+const CHANGE_TOTAL_TIME: Metric =
     Metric { name: "change of one worker with what it adds to calls", unit: "us" };
-const ZONE_AT_ONCE: Metric = Metric { name: "lost zone in one list event, taken in", unit: "us" };
-const ZONE_SECONDS: Metric =
+const ZONE_LOSS_EVENT_TIME: Metric = Metric { name: "lost zone in one list event, taken in", unit: "us" };
+const ZONE_LOSS_PROCESSOR_TIME: Metric =
     Metric { name: "processor time a second while a zone goes in 20 list events", unit: "us/s" };
-const RESTART_SECONDS: Metric =
+const RESTART_PROCESSOR_TIME: Metric =
     Metric { name: "processor time a second while a tenth of a zone restarts within 10 s", unit: "us/s" };
-const WHOLE: Metric = Metric { name: "whole list after a cut, taken in", unit: "us" };
-const WHOLE_READ: Metric = Metric { name: "whole list after a cut, read from its frame", unit: "us" };
-const AFTER_WHOLE: Metric = Metric { name: "processor time in the second after a whole list", unit: "us/s" };
+const WHOLE_LIST_TIME: Metric = Metric { name: "whole list after a cut, taken in", unit: "us" };
+const WHOLE_LIST_READ_TIME: Metric =
+    Metric { name: "whole list after a cut, read from its frame", unit: "us" };
+const TIME_AFTER_WHOLE_LIST: Metric =
+    Metric { name: "processor time in the second after a whole list", unit: "us/s" };
 const CHANGE_BYTES: Metric = Metric { name: "bytes of a change of one worker", unit: "B" };
-const ZONE_BYTES: Metric = Metric { name: "bytes of a lost zone, one frame a worker", unit: "B" };
-const WHOLE_BYTES: Metric = Metric { name: "bytes of a whole list", unit: "B" };
+const ZONE_LOSS_BYTES: Metric = Metric { name: "bytes of a lost zone, one frame a worker", unit: "B" };
+const WHOLE_LIST_BYTES: Metric = Metric { name: "bytes of a whole list", unit: "B" };
 const HEAP: Metric = Metric { name: "heap after all changes", unit: "B" };
 
-/// All rows of this part.
+/// All rows of this module.
 pub fn rows() -> Vec<Box<dyn Row>> {
-    vec![Box::new(Lists), Box::new(Moves), Box::new(ListAges)]
+    vec![Box::new(ListChanges), Box::new(MovedCalls), Box::new(ListAges)]
 }
 
-fn listed(worker: WorkerId, availability: Availability) -> Vec<WorkerEntry> {
+fn single_entry(worker: WorkerId, availability: Availability) -> Vec<WorkerEntry> {
     vec![worker_entry(worker, availability)]
 }
 
-/// Workers of the lost zone, as gone.
-fn lost_zone(surroundings: &Surroundings) -> Vec<WorkerEntry> {
+/// The entries of the workers in the lost zone, as removed.
+fn lost_zone_entries(surroundings: &Surroundings) -> Vec<WorkerEntry> {
     let entries = surroundings.worker_entries().into_iter().filter(|e| e.zone == LOST_ZONE);
     entries.map(|e| WorkerEntry { availability: Availability::Removed, ..e }).collect()
 }
 
-/// What changes of the list cost the call path.
-struct Lists;
+/// Costs of list changes for the call path.
+struct ListChanges;
 
-impl Row for Lists {
+impl Row for ListChanges {
     fn name(&self) -> &'static str {
         "router-lists"
     }
@@ -70,8 +77,9 @@
     }
 
     fn about(&self) -> &'static str {
-        "one Router with 1,000 functions at 127 calls a second: workers drain, go and come; a zone of 21 is lost; \
-         the list comes whole after a cut (platform frames of 27 bytes an entry)"
+        "one Router with 1,000 functions at 127 calls per second: workers drain, are removed and return; \
+         one of 21 zones is lost; the whole list is received after a disconnection (platform frames of 27 \
+         bytes per entry)"
     }
 
     fn variable(&self) -> &'static str {
@@ -87,13 +95,17 @@
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let core = "1% of a core";
+        let processor_source = "1% of a core";
         vec![
-            Bound { metric: ZONE_SECONDS, max: CORE_SHARE_BOUND, source: core },
-            Bound { metric: RESTART_SECONDS, max: CORE_SHARE_BOUND, source: core },
-            Bound { metric: AFTER_WHOLE, max: CORE_SHARE_BOUND, source: core },
-            Bound { metric: WHOLE_BYTES, max: 6_144.0, source: "6 KB a second, were it sent each second" },
-            Bound { metric: HEAP, max: MEMORY_BOUND, source: "128 MB a front end" },
+            Bound { metric: ZONE_LOSS_PROCESSOR_TIME, max: PROCESSOR_TIME_BOUND, source: processor_source },
+            Bound { metric: RESTART_PROCESSOR_TIME, max: PROCESSOR_TIME_BOUND, source: processor_source },
+            Bound { metric: TIME_AFTER_WHOLE_LIST, max: PROCESSOR_TIME_BOUND, source: processor_source },
+            Bound {
+                metric: WHOLE_LIST_BYTES,
+                max: 6_144.0,
+                source: "6 KB a second, were it sent each second",
+            },
+            Bound { metric: HEAP, max: HEAP_BOUND, source: "128 MB a front end" },
         ]
     }
 
@@ -105,129 +117,134 @@
         let surroundings = Surroundings::new(size.min(u64::from(u32::MAX)) as u32, FUNCTIONS);
         let mut front_end = HollowFrontEnd::new(surroundings, seed);
         front_end.run(WARM_UP);
-        let mut all = single_changes(&mut front_end);
-        all.extend(zone_loss(&mut front_end));
-        all.push(restart_wave(&mut front_end));
-        all.extend(whole_list(&mut front_end));
-        let figure = |metric, bytes: usize| Measurement { metric, value: bytes as f64 };
-        all.push(figure(CHANGE_BYTES, frame_bytes(1)));
-        all.push(figure(ZONE_BYTES, lost_zone(&surroundings).len() * frame_bytes(1)));
-        all.push(figure(WHOLE_BYTES, frame_bytes(size as usize)));
-        all.push(figure(HEAP, front_end.into_heap_bytes() as usize));
-        Ok(all)
+        let mut measurements = measure_single_changes(&mut front_end);
+        measurements.extend(measure_zone_loss(&mut front_end));
+        measurements.push(measure_rolling_restart(&mut front_end));
+        measurements.extend(measure_whole_list(&mut front_end));
+        let measurement = |metric, bytes: usize| Measurement { metric, value: bytes as f64 };
+        measurements.push(measurement(CHANGE_BYTES, frame_bytes(1)));
+        let zone_loss_bytes = lost_zone_entries(&surroundings).len() * frame_bytes(1);
+        measurements.push(measurement(ZONE_LOSS_BYTES, zone_loss_bytes));
+        measurements.push(measurement(WHOLE_LIST_BYTES, frame_bytes(size as usize)));
+        measurements.push(measurement(HEAP, front_end.into_heap_bytes() as usize));
+        Ok(measurements)
     }
 }
 
-/// Workers drain, go and come back, one at a time.
-fn single_changes(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
+/// Workers drain, are removed and become ready again, one at a time.
+fn measure_single_changes(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
     front_end.take_costs();
     front_end.run(2 * SECOND);
-    let quiet = front_end.take_costs();
+    let unchanged = front_end.take_costs();
     let workers = front_end.surroundings().workers;
-    let mut taken_in = 0.0;
-    for change in 0..CHANGES {
-        let worker = 1 + change * (workers / CHANGES).max(1) % workers;
-        taken_in += front_end.apply_list(ListKind::Changes, listed(worker, Availability::Draining));
-        front_end.run(DRAIN);
-        taken_in += front_end.apply_list(ListKind::Changes, listed(worker, Availability::Removed));
-        front_end.run(DRAIN);
-        taken_in += front_end.apply_list(ListKind::Changes, listed(worker, Availability::Ready));
+    let mut list_us = 0.0;
+    for change in 0..CHANGED_WORKERS {
+        let worker = 1 + change * (workers / CHANGED_WORKERS).max(1) % workers;
+        list_us += front_end.apply_list(ListKind::Changes, single_entry(worker, Availability::Draining));
+        front_end.run(DRAIN_TIME);
+        list_us += front_end.apply_list(ListKind::Changes, single_entry(worker, Availability::Removed));
+        front_end.run(DRAIN_TIME);
+        list_us += front_end.apply_list(ListKind::Changes, single_entry(worker, Availability::Ready));
         front_end.run(SECOND);
     }
     let changed = front_end.take_costs();
-    let events = f64::from(3 * CHANGES);
-    let before = quiet.per_call(quiet.processor_us);
-    let calls = changed.processor_us - taken_in;
-    let added = (calls - before * changed.calls as f64) / events;
+    let events = f64::from(3 * CHANGED_WORKERS);
+    let unchanged_call_us = unchanged.per_call(unchanged.processor_us);
+    let calls_us = changed.processor_us - list_us;
+    let added_us = (calls_us - unchanged_call_us * changed.calls as f64) / events;
     vec![
-        Measurement { metric: CHANGE, value: taken_in / events },
-        Measurement { metric: CALL_BEFORE, value: before },
-        Measurement { metric: CALL_AFTER, value: changed.per_call(calls) },
-        Measurement { metric: CHANGE_WHOLE_COST, value: taken_in / events + added },
+        Measurement { metric: CHANGE_TIME, value: list_us / events },
+        Measurement { metric: CALL_TIME_UNCHANGED, value: unchanged_call_us },
+        Measurement { metric: CALL_TIME_AFTER_CHANGE, value: changed.per_call(calls_us) },
+        Measurement { metric: CHANGE_TOTAL_TIME, value: list_us / events + added_us },
     ]
 }
 
-/// A zone is lost: in one list event, and, after it came back, in several.
-fn zone_loss(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
-    let gone = lost_zone(front_end.surroundings());
-    let back = |e: &WorkerEntry| WorkerEntry { availability: Availability::Ready, ..e.clone() };
-    let at_once = front_end.apply_list(ListKind::Changes, gone.clone());
+/// A zone is lost in one list event and, after its return, in several.
+fn measure_zone_loss(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
+    let removed = lost_zone_entries(front_end.surroundings());
+    let ready = |e: &WorkerEntry| WorkerEntry { availability: Availability::Ready, ..e.clone() };
+    let single_event_us = front_end.apply_list(ListKind::Changes, removed.clone());
     front_end.run(2 * SECOND);
-    front_end.apply_list(ListKind::Changes, gone.iter().map(back).collect());
+    front_end.apply_list(ListKind::Changes, removed.iter().map(ready).collect());
     front_end.run(2 * SECOND);
     front_end.take_costs();
-    let step = gone.len().div_ceil(ZONE_STEPS).max(1);
-    for part in gone.chunks(step) {
-        front_end.apply_list(ListKind::Changes, part.to_vec());
-        front_end.run(ZONE_LOSS / ZONE_STEPS as Micros);
+    let chunk_size = removed.len().div_ceil(ZONE_LOSS_EVENTS).max(1);
+    for chunk in removed.chunks(chunk_size) {
+        front_end.apply_list(ListKind::Changes, chunk.to_vec());
+        front_end.run(ZONE_LOSS_DURATION / ZONE_LOSS_EVENTS as Micros);
     }
-    let seconds = ZONE_LOSS as f64 / SECOND as f64 * gone.chunks(step).count() as f64 / ZONE_STEPS as f64;
+    let seconds = ZONE_LOSS_DURATION as f64 / SECOND as f64 * removed.chunks(chunk_size).count() as f64
+        / ZONE_LOSS_EVENTS as f64;
     let costs = front_end.take_costs();
-    front_end.apply_list(ListKind::Changes, gone.iter().map(back).collect());
+    front_end.apply_list(ListKind::Changes, removed.iter().map(ready).collect());
     front_end.run(2 * SECOND);
     vec![
-        Measurement { metric: ZONE_AT_ONCE, value: at_once },
-        Measurement { metric: ZONE_SECONDS, value: costs.processor_us / seconds.max(1e-9) },
+        Measurement { metric: ZONE_LOSS_EVENT_TIME, value: single_event_us },
+        Measurement { metric: ZONE_LOSS_PROCESSOR_TIME, value: costs.processor_us / seconds.max(1e-9) },
     ]
 }
 
-/// Workers drain, go and come back with a new process, which is cold, one after the other.
-fn restart_wave(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Measurement {
-    let zone = lost_zone(front_end.surroundings());
-    let restarted = &zone[..zone.len().div_ceil(RESTARTED_PART)];
-    let pause = RESTART_WAVE / (3 * restarted.len().max(1)) as Micros;
+/// A part of a zone restarts: one after the other, workers drain, are removed and return with a new
+/// process, which is cold.
+fn measure_rolling_restart(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Measurement {
+    let zone = lost_zone_entries(front_end.surroundings());
+    let restarted = &zone[..zone.len().div_ceil(RESTART_DIVISOR)];
+    let interval = RESTART_DURATION / (3 * restarted.len().max(1)) as Micros;
     front_end.take_costs();
     for worker in restarted {
         for availability in [Availability::Draining, Availability::Removed, Availability::Ready] {
             let born = (availability == Availability::Ready).then(|| front_end.now());
             let change = WorkerEntry { availability, born, ..worker.clone() };
             front_end.apply_list(ListKind::Changes, vec![change]);
-            front_end.run(pause);
+            front_end.run(interval);
         }
     }
     let costs = front_end.take_costs();
-    let seconds = RESTART_WAVE as f64 / SECOND as f64;
-    Measurement { metric: RESTART_SECONDS, value: costs.processor_us / seconds }
+    let seconds = RESTART_DURATION as f64 / SECOND as f64;
+    Measurement { metric: RESTART_PROCESSOR_TIME, value: costs.processor_us / seconds }
 }
 
-/// The list comes whole, as after a cut.
-fn whole_list(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
+/// The whole list is received, as after a disconnection.
+fn measure_whole_list(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
     let entries = front_end.surroundings().worker_entries();
-    let bytes = frame(1, ListKind::Whole, &entries);
+    let bytes = encode_frame(1, ListKind::Whole, &entries);
     front_end.take_costs();
-    let taken_in = front_end.apply_list(ListKind::Whole, entries);
+    let list_us = front_end.apply_list(ListKind::Whole, entries);
     front_end.take_costs();
     front_end.run(SECOND);
     let after = front_end.take_costs();
-    let mut all = vec![
-        Measurement { metric: WHOLE, value: taken_in },
-        Measurement { metric: AFTER_WHOLE, value: after.per_call(after.processor_us) * CALLS_PER_SECOND },
+    let after_us = after.per_call(after.processor_us) * CALLS_PER_SECOND;
+    let mut measurements = vec![
+        Measurement { metric: WHOLE_LIST_TIME, value: list_us },
+        Measurement { metric: TIME_AFTER_WHOLE_LIST, value: after_us },
     ];
-    all.extend(read_time(&bytes).map(|value| Measurement { metric: WHOLE_READ, value }));
-    all
+    measurements
+        .extend(frame_read_time(&bytes).map(|value| Measurement { metric: WHOLE_LIST_READ_TIME, value }));
+    measurements
 }
 
-/// Processor time to read a whole list; none where the reader refuses it as too long.
-fn read_time(bytes: &[u8]) -> Option<f64> {
-    let places = NameCounts { zones: ZONES as usize, kinds: 1 };
-    let (mut follower, mut news) = (Follower::new(0), Vec::new());
+/// Processor time to read a frame, in microseconds; `None` if the reader rejects it as too long.
+fn frame_read_time(bytes: &[u8]) -> Option<f64> {
+    let counts = NameCounts { zones: ZONES as usize, kinds: 1 };
+    let (mut follower, mut changes) = (Follower::new(0), Vec::new());
     let meter = ProcessorMeter::start();
-    let read = follower.on_bytes(&places, bytes, &mut news);
+    let read = follower.on_bytes(&counts, bytes, &mut changes);
     read.ok().map(|()| meter.microseconds())
 }
 
 const MOVED_BY_WORKER: Metric = Metric { name: "calls moved when one worker goes", unit: "of 1,000" };
-const MUST_BY_WORKER: Metric = Metric { name: "calls that had to move: one worker", unit: "of 1,000" };
+const HAD_TO_MOVE_BY_WORKER: Metric = Metric { name: "calls that had to move: one worker", unit: "of 1,000" };
 const MOVED_BY_ZONE: Metric = Metric { name: "calls moved when a zone goes", unit: "of 1,000" };
-const MUST_BY_ZONE: Metric = Metric { name: "calls that had to move: a zone", unit: "of 1,000" };
-const MOVED_BY_NONE: Metric = Metric { name: "calls moved when nothing changes", unit: "of 1,000" };
-/// Time over which moved calls are counted.
-const COMPARED: Micros = 30 * SECOND;
+const HAD_TO_MOVE_BY_ZONE: Metric = Metric { name: "calls that had to move: a zone", unit: "of 1,000" };
+const MOVED_WITHOUT_CHANGE: Metric = Metric { name: "calls moved when nothing changes", unit: "of 1,000" };
+/// Simulated time over which moved calls are counted.
+const COMPARED_TIME: Micros = 30 * SECOND;
 
-/// Which calls go to another worker when the list changes.
-struct Moves;
+/// Share of calls that go to another worker when the list changes.
+struct MovedCalls;
 
-impl Row for Moves {
+impl Row for MovedCalls {
     fn name(&self) -> &'static str {
         "router-moves"
     }
@@ -237,8 +254,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "first worker of each call over 30 s after a change of the list, against the same front end with the list \
-         unchanged; those whose worker went had to move"
+        "first worker of each call in the 30 s after a change of the list, compared with the same front \
+         end without the change; calls had to move if their worker was removed"
     }
 
     fn variable(&self) -> &'static str {
@@ -263,81 +280,84 @@
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let surroundings = Surroundings::new(size.min(u64::from(u32::MAX)) as u32, FUNCTIONS);
-        let after = |change: &[WorkerEntry]| first_workers(surroundings, seed, WARM_UP, COMPARED, change);
-        let (unchanged, same) = (after(&[]), after(&[]));
-        let worker = most_used(&unchanged);
-        let one = listed(worker, Availability::Removed);
-        let zone = lost_zone(&surroundings);
-        let (by_worker, by_zone) = (after(&one), after(&zone));
-        let figure = |metric, share| Measurement { metric, value: of_thousand(share) };
+        let after =
+            |change: &[WorkerEntry]| first_workers(surroundings, seed, WARM_UP, COMPARED_TIME, change);
+        let (unchanged, repeated) = (after(&[]), after(&[]));
+        let worker = median_worker(&unchanged);
+        let removed_worker = single_entry(worker, Availability::Removed);
+        let removed_zone = lost_zone_entries(&surroundings);
+        let (without_worker, without_zone) = (after(&removed_worker), after(&removed_zone));
+        let measurement = |metric, share| Measurement { metric, value: per_thousand(share) };
         Ok(vec![
-            figure(MOVED_BY_WORKER, differing(&unchanged, &by_worker)),
-            figure(MUST_BY_WORKER, sent_to(&unchanged, &one)),
-            figure(MOVED_BY_ZONE, differing(&unchanged, &by_zone)),
-            figure(MUST_BY_ZONE, sent_to(&unchanged, &zone)),
-            figure(MOVED_BY_NONE, differing(&unchanged, &same)),
+            measurement(MOVED_BY_WORKER, differing_share(&unchanged, &without_worker)),
+            measurement(HAD_TO_MOVE_BY_WORKER, share_sent_to(&unchanged, &removed_worker)),
+            measurement(MOVED_BY_ZONE, differing_share(&unchanged, &without_zone)),
+            measurement(HAD_TO_MOVE_BY_ZONE, share_sent_to(&unchanged, &removed_zone)),
+            measurement(MOVED_WITHOUT_CHANGE, differing_share(&unchanged, &repeated)),
         ])
     }
 }
 
-/// First workers of the calls that arrive within a span after this change of the list.
+/// The first worker of each call that arrives within `compared_time` after a change of the list. The front
+/// end runs for `warm_up` before the change; without entries, the list stays unchanged.
 pub fn first_workers(
     surroundings: Surroundings,
     seed: u64,
     warm_up: Micros,
-    compared: Micros,
+    compared_time: Micros,
     change: &[WorkerEntry],
 ) -> Vec<Option<WorkerId>> {
     let mut front_end = HollowFrontEnd::new(surroundings, seed);
     front_end.run(warm_up);
-    let from = front_end.arrived_calls() as usize;
+    let first_call = front_end.arrived_calls() as usize;
     if !change.is_empty() {
         front_end.apply_list(ListKind::Changes, change.to_vec());
     }
-    front_end.run(compared);
-    front_end.first_workers()[from..].to_vec()
+    front_end.run(compared_time);
+    front_end.first_workers()[first_call..].to_vec()
 }
 
-/// A share, as so many of a thousand.
-fn of_thousand(share: f64) -> f64 {
+/// Converts a share to the unit "of 1,000".
+fn per_thousand(share: f64) -> f64 {
     share * 1e3
 }
 
-/// Share of calls whose workers differ.
-pub fn differing(one: &[Option<WorkerId>], other: &[Option<WorkerId>]) -> f64 {
-    let differ = one.iter().zip(other).filter(|(a, b)| a != b).count();
-    differ as f64 / one.len().max(1) as f64
+/// Share of calls whose first workers differ.
+pub fn differing_share(first: &[Option<WorkerId>], second: &[Option<WorkerId>]) -> f64 {
+    let differing = first.iter().zip(second).filter(|(a, b)| a != b).count();
+    differing as f64 / first.len().max(1) as f64
 }
 
-/// Share of calls that went to one of these workers.
-pub fn sent_to(calls: &[Option<WorkerId>], workers: &[WorkerEntry]) -> f64 {
-    let among = |worker: &Option<WorkerId>| worker.is_some_and(|w| workers.iter().any(|e| e.worker == w));
-    calls.iter().filter(|worker| among(worker)).count() as f64 / calls.len().max(1) as f64
+/// Share of calls whose first worker is one of `workers`.
+pub fn share_sent_to(calls: &[Option<WorkerId>], workers: &[WorkerEntry]) -> f64 {
+    let is_listed = |worker: &Option<WorkerId>| worker.is_some_and(|w| workers.iter().any(|e| e.worker == w));
+    calls.iter().filter(|worker| is_listed(worker)).count() as f64 / calls.len().max(1) as f64
 }
 
-/// The worker with the median number of calls among those that had any.
-fn most_used(calls: &[Option<WorkerId>]) -> WorkerId {
-    let mut counts = std::collections::BTreeMap::<WorkerId, u32>::new();
+/// The worker with the median number of calls among those with any calls.
+fn median_worker(calls: &[Option<WorkerId>]) -> WorkerId {
+    let mut counts = BTreeMap::<WorkerId, u32>::new();
     calls.iter().flatten().for_each(|worker| *counts.entry(*worker).or_default() += 1);
-    let mut order: Vec<(u32, WorkerId)> = counts.into_iter().map(|(worker, n)| (n, worker)).collect();
-    order.sort_unstable();
-    order.get(order.len() / 2).map_or(1, |(_, worker)| *worker)
+    let mut by_count: Vec<(u32, WorkerId)> =
+        counts.into_iter().map(|(worker, count)| (count, worker)).collect();
+    by_count.sort_unstable();
+    by_count.get(by_count.len() / 2).map_or(1, |(_, worker)| *worker)
 }
 
-const PEERS_BEFORE: Metric =
+const PEERS_EQUAL_LISTS: Metric =
     Metric { name: "calls that go elsewhere at a peer: lists alike", unit: "of 1,000" };
-const PEERS_WORKER: Metric =
+const PEERS_WORKER_REMOVED: Metric =
     Metric { name: "calls that go elsewhere at a peer: one worker gone, told 3 s later", unit: "of 1,000" };
-const PEERS_ZONE: Metric =
+const PEERS_ZONE_REMOVED: Metric =
     Metric { name: "calls that go elsewhere at a peer: a zone gone, told 3 s later", unit: "of 1,000" };
-const PEERS_ZONE_10: Metric =
+const PEERS_FIRST_10_S: Metric =
     Metric { name: "the same in the 10 s after both lists are alike", unit: "of 1,000" };
-const PEERS_ZONE_30: Metric =
+const PEERS_20_TO_30_S: Metric =
     Metric { name: "the same from 20 to 30 s after both lists are alike", unit: "of 1,000" };
-/// A change reaches all front ends within this.
-const PROPAGATION: Micros = 3 * SECOND;
+/// Time within which a change reaches all front ends.
+const PROPAGATION_DELAY: Micros = 3 * SECOND;
 
-/// Two front ends with lists of different age.
+/// Agreement of two front ends that receive list changes at different times.
 struct ListAges;
 
 impl Row for ListAges {
@@ -350,8 +370,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "two front ends with the same calls; one is told of a change 3 s after the other: share of calls whose \
-         first worker differs, while the lists differ and after"
+        "two front ends with the same calls; one receives a change 3 s after the other: share of calls \
+         whose first worker differs, while the lists differ and afterwards"
     }
 
     fn variable(&self) -> &'static str {
@@ -378,54 +398,55 @@
         let surroundings = Surroundings::new(size.min(u64::from(u32::MAX)) as u32, FUNCTIONS);
         let mut peers = Peers::new(surroundings, seed);
         peers.run(WARM_UP);
-        let alike = peers.run(20 * SECOND);
-        let worker = most_used(peers.one.first_workers());
-        let by_worker = peers.change(listed(worker, Availability::Removed));
+        let equal_lists = peers.run(20 * SECOND);
+        let worker = median_worker(peers.first.first_workers());
+        let worker_removed = peers.apply_change(single_entry(worker, Availability::Removed));
         peers.run(10 * SECOND);
-        let by_zone = peers.change(lost_zone(&surroundings));
+        let zone_removed = peers.apply_change(lost_zone_entries(&surroundings));
         let after_10 = peers.run(10 * SECOND);
         peers.run(10 * SECOND);
         let after_30 = peers.run(10 * SECOND);
-        let figure = |metric, share| Measurement { metric, value: of_thousand(share) };
+        let measurement = |metric, share| Measurement { metric, value: per_thousand(share) };
         Ok(vec![
-            figure(PEERS_BEFORE, alike),
-            figure(PEERS_WORKER, by_worker),
-            figure(PEERS_ZONE, by_zone),
-            figure(PEERS_ZONE_10, after_10),
-            figure(PEERS_ZONE_30, after_30),
+            measurement(PEERS_EQUAL_LISTS, equal_lists),
+            measurement(PEERS_WORKER_REMOVED, worker_removed),
+            measurement(PEERS_ZONE_REMOVED, zone_removed),
+            measurement(PEERS_FIRST_10_S, after_10),
+            measurement(PEERS_20_TO_30_S, after_30),
         ])
     }
 }
 
-/// Two front ends to which the same calls come at the same time.
+/// Two front ends that receive the same calls at the same times.
 struct Peers {
-    one: HollowFrontEnd<badgerwind::Router>,
-    other: HollowFrontEnd<badgerwind::Router>,
+    first: HollowFrontEnd<badgerwind::Router>,
+    second: HollowFrontEnd<badgerwind::Router>,
 }
 
 impl Peers {
     fn new(surroundings: Surroundings, seed: u64) -> Self {
-        let own = badgerwind::interface::Settings { my_number: 1, ..surroundings.settings() };
-        let router = badgerwind::Router::new(seed + 1, own);
+        let settings = badgerwind::interface::Settings { my_number: 1, ..surroundings.settings() };
+        let router = badgerwind::Router::new(seed + 1, settings);
         Peers {
-            one: HollowFrontEnd::new(surroundings, seed),
-            other: HollowFrontEnd::with_path(router, surroundings, seed),
+            first: HollowFrontEnd::new(surroundings, seed),
+            second: HollowFrontEnd::with_path(router, surroundings, seed),
         }
     }
 
-    /// Lets time pass; the share of calls that arrived in it whose first workers differ.
-    fn run(&mut self, span: Micros) -> f64 {
-        let from = self.one.arrived_calls() as usize;
-        self.one.run(span);
-        self.other.run(span);
-        differing(&self.one.first_workers()[from..], &self.other.first_workers()[from..])
+    /// Advances simulated time and returns the share of calls in this time whose first workers differ.
+    fn run(&mut self, duration: Micros) -> f64 {
+        let first_call = self.first.arrived_calls() as usize;
+        self.first.run(duration);
+        self.second.run(duration);
+        differing_share(&self.first.first_workers()[first_call..], &self.second.first_workers()[first_call..])
     }
 
-    /// Tells one of a change and the other later; the share of calls that differ in between.
-    fn change(&mut self, entries: Vec<WorkerEntry>) -> f64 {
-        self.one.apply_list(ListKind::Changes, entries.clone());
-        let differ = self.run(PROPAGATION);
-        self.other.apply_list(ListKind::Changes, entries);
-        differ
+    /// Applies a change to the first front end and, after the propagation delay, to the second one. Returns
+    /// the share of calls in between whose first workers differ.
+    fn apply_change(&mut self, entries: Vec<WorkerEntry>) -> f64 {
+        self.first.apply_list(ListKind::Changes, entries.clone());
+        let differing = self.run(PROPAGATION_DELAY);
+        self.second.apply_list(ListKind::Changes, entries);
+        differing
     }
 }
--- a/crates/badgerwind-scale/src/rows/outages.rs
+++ b/crates/badgerwind-scale/src/rows/outages.rs
@@ -1,8 +1,8 @@
-//! What a front end's own evidence costs while service discovery is out of reach: the real state machine, asked before
-//! each call, and hollow executors that answer after a fixed time.
+//! Row of the costs of a front end's own evidence while service discovery is unreachable. The real state
+//! machine decides on each call; simulated executors answer after a fixed time.
 
 use super::front_end::{CALLS_PER_SECOND, SECOND};
-use super::router::{CORE_SHARE_BOUND, MEMORY_BOUND};
+use super::router::{HEAP_BOUND, PROCESSOR_TIME_BOUND};
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
@@ -13,38 +13,42 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Time of the outage.
-const MEASURED: Micros = 60 * SECOND;
-const GRACE: Micros = SECOND / 2;
-/// From a question's first byte to its answer, and the same of a call.
+/// Duration of the outage.
+const OUTAGE_DURATION: Micros = 60 * SECOND;
+/// Grace period of a drain, for which a confirmation is valid.
+const DRAIN_GRACE: Micros = SECOND / 2;
+/// Time from the first byte of a question to its answer.
 const QUESTION_TIME: Micros = 1_000;
+/// Time from the first byte of a call to its answer.
 const CALL_TIME: Micros = 100_000;
-/// A question and its answer, with a function's name of 16 digits and a tag of 10.
+/// Number of bytes of a question and its answer, with a function name of 16 characters and a request id of
+/// 10.
 const QUESTION_BYTES: usize =
     r#"{"type":"SPAWN","req":"ask-123456","meta":{"obj":"7f3a9c21e0b4d655","slots_up":0}}"#.len()
         + r#"{"type":"HIT","req":"ask-123456","meta":{"slots_up":1}}"#.len()
         + 2;
 
 const QUESTIONS: Metric = Metric { name: "questions", unit: "questions/s" };
-const BYTES: Metric = Metric { name: "bytes of questions and answers", unit: "B/s" };
-const ASKED: Metric =
+const BYTES_PER_SECOND: Metric = Metric { name: "bytes of questions and answers", unit: "B/s" };
+const QUESTIONS_PER_EXECUTOR: Metric =
     Metric { name: "questions at one executor, from 1,570 front ends", unit: "questions/s" };
-const TIME: Metric = Metric { name: "processor time a second", unit: "us/s" };
+const PROCESSOR_TIME: Metric = Metric { name: "processor time a second", unit: "us/s" };
 const HEAP: Metric = Metric { name: "heap", unit: "B" };
 
-/// Front ends of a region.
-const REGION: f64 = 1_570.0;
-/// What a front end may send and receive for control.
-const BYTES_BOUND: f64 = 6_144.0;
+/// Number of front ends in a region.
+const FRONT_ENDS_PER_REGION: f64 = 1_570.0;
+/// Maximum number of control bytes that a front end sends and receives per second.
+const BYTES_PER_SECOND_BOUND: f64 = 6_144.0;
 
-/// All rows of this part.
+/// All rows of this module.
 pub fn rows() -> Vec<Box<dyn Row>> {
-    vec![Box::new(Outage)]
+    vec![Box::new(OutageQuestions)]
 }
 
-struct Outage;
+/// Costs of the questions to executors by the number of executors in use.
+struct OutageQuestions;
 
-impl Row for Outage {
+impl Row for OutageQuestions {
     fn name(&self) -> &'static str {
         "outage-questions"
     }
@@ -54,8 +58,9 @@
     }
 
     fn about(&self) -> &'static str {
-        "one front end's evidence of executors through an outage of service discovery of 60 s: 127 calls a second to \
-         executors drawn evenly, which is the worst for questions; answers after 1 ms, calls of 100 ms, a grace of 0.5 s"
+        "one front end's evidence about executors during a 60 s outage of service discovery: 127 calls \
+         per second to uniformly drawn executors, the worst case for questions; answers after 1 ms, calls \
+         of 100 ms, a grace period of 0.5 s"
     }
 
     fn variable(&self) -> &'static str {
@@ -72,9 +77,13 @@
 
     fn bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: TIME, max: CORE_SHARE_BOUND, source: "1% of a core" },
-            Bound { metric: HEAP, max: MEMORY_BOUND, source: "128 MB a front end" },
-            Bound { metric: BYTES, max: BYTES_BOUND, source: "6 KB a second a front end" },
+            Bound { metric: PROCESSOR_TIME, max: PROCESSOR_TIME_BOUND, source: "1% of a core" },
+            Bound { metric: HEAP, max: HEAP_BOUND, source: "128 MB a front end" },
+            Bound {
+                metric: BYTES_PER_SECOND,
+                max: BYTES_PER_SECOND_BOUND,
+                source: "6 KB a second a front end",
+            },
         ]
     }
 
@@ -84,49 +93,50 @@
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
         let heap = HeapMeter::start();
-        let mut outage = HollowOutage::new(size as u32, seed);
+        let mut outage = SimulatedOutage::new(size as u32, seed);
         let meter = ProcessorMeter::start();
-        outage.play();
-        let seconds = MEASURED as f64 / SECOND as f64;
-        let time = meter.microseconds() / seconds;
-        let kept = (heap.net_bytes() as f64 - outage.pending_bytes()).max(0.0);
+        outage.run();
+        let seconds = OUTAGE_DURATION as f64 / SECOND as f64;
+        let processor_time = meter.microseconds() / seconds;
+        let heap_bytes = (heap.net_bytes() as f64 - outage.answer_queue_bytes()).max(0.0);
         let questions = outage.freshness.counters().questions as f64 / seconds;
-        let of = |metric, value| Measurement { metric, value };
+        let measurement = |metric, value| Measurement { metric, value };
         Ok(vec![
-            of(QUESTIONS, questions),
-            of(BYTES, questions * QUESTION_BYTES as f64),
-            of(ASKED, questions * REGION / size as f64),
-            of(TIME, time),
-            of(HEAP, kept),
+            measurement(QUESTIONS, questions),
+            measurement(BYTES_PER_SECOND, questions * QUESTION_BYTES as f64),
+            measurement(QUESTIONS_PER_EXECUTOR, questions * FRONT_ENDS_PER_REGION / size as f64),
+            measurement(PROCESSOR_TIME, processor_time),
+            measurement(HEAP, heap_bytes),
         ])
     }
 }
 
-/// An answer on its way: when it comes, whose, what was sent when, and whether it answers a question.
-type Answer = Reverse<(Time, WorkerId, Time, bool)>;
+/// A pending answer: time of receipt, executor, time of sending, and whether it answers a question.
+type PendingAnswer = Reverse<(Time, WorkerId, Time, bool)>;
 
-struct HollowOutage {
+/// A front end's evidence about executors during an outage of service discovery.
+struct SimulatedOutage {
     freshness: Freshness,
     workers: u32,
     rng: StdRng,
-    answers: BinaryHeap<Answer>,
+    answers: BinaryHeap<PendingAnswer>,
     function: FunctionId,
 }
 
-impl HollowOutage {
-    /// A front end that has never heard of discovery.
+impl SimulatedOutage {
+    /// Creates a front end whose list discovery has never confirmed.
     fn new(workers: u32, seed: u64) -> Self {
-        let terms = FreshnessSettings {
-            drain_grace: GRACE,
+        let settings = FreshnessSettings {
+            drain_grace: DRAIN_GRACE,
             answer_timeout: SECOND / 4,
             may_probe: true,
             may_order: true,
             front_ends: 1,
             jitter: 0.0,
         };
-        let mut freshness = Freshness::new(0, terms);
+        let mut freshness = Freshness::new(0, settings);
         (0..workers).for_each(|worker| freshness.on_listed(worker, false));
-        HollowOutage {
+        SimulatedOutage {
             freshness,
             workers,
             rng: StdRng::seed_from_u64(seed),
@@ -135,11 +145,12 @@
         }
     }
 
-    fn play(&mut self) {
-        let apart = (SECOND as f64 / CALLS_PER_SECOND) as Micros;
-        for call in 0..MEASURED / apart {
-            let now = call * apart;
-            self.take_answers(now);
+    /// Sends calls at regular intervals for the duration of the outage.
+    fn run(&mut self) {
+        let interval = (SECOND as f64 / CALLS_PER_SECOND) as Micros;
+        for call in 0..OUTAGE_DURATION / interval {
+            let now = call * interval;
+            self.process_answers(now);
             let worker = self.rng.random_range(0..self.workers);
             match self.freshness.permit(now, worker) {
                 Permit::Granted => self.answers.push(Reverse((now + CALL_TIME, worker, now, false))),
@@ -152,25 +163,27 @@
         }
     }
 
-    /// Takes what has come by now. A question's answer lets its call go.
-    fn take_answers(&mut self, now: Time) {
-        while let Some(Reverse((at, worker, since, question))) =
+    /// Processes the answers received until now. After the answer to a question, the call that waited for
+    /// it is sent.
+    fn process_answers(&mut self, now: Time) {
+        while let Some(Reverse((received_at, worker, sent_at, is_question))) =
             self.answers.peek().copied().filter(|answer| answer.0 .0 <= now)
         {
             self.answers.pop();
-            if !question {
-                self.freshness.on_evidence(at, worker, Evidence::Served, true);
+            if !is_question {
+                self.freshness.on_evidence(received_at, worker, Evidence::Served, true);
             } else {
                 for copies in [Some(1), None] {
-                    self.freshness.on_evidence(at, worker, Evidence::Confirmed { since, copies }, true);
+                    let evidence = Evidence::Confirmed { since: sent_at, copies };
+                    self.freshness.on_evidence(received_at, worker, evidence, true);
                 }
-                self.answers.push(Reverse((at + CALL_TIME, worker, at, false)));
+                self.answers.push(Reverse((received_at + CALL_TIME, worker, received_at, false)));
             }
         }
     }
 
-    /// Heap of what is only the measurement's.
-    fn pending_bytes(&self) -> f64 {
-        (self.answers.capacity() * std::mem::size_of::<Answer>()) as f64
+    /// Heap bytes of the queue of answers, which belongs to the simulation and not to the front end.
+    fn answer_queue_bytes(&self) -> f64 {
+        (self.answers.capacity() * std::mem::size_of::<PendingAnswer>()) as f64
     }
 }
--- a/crates/badgerwind-scale/tests/lists.rs
+++ b/crates/badgerwind-scale/tests/lists.rs
@@ -1,16 +1,16 @@
-//! Lists of workers: frames that the product's own reader takes in, and calls that move when the list changes.
+//! Tests of the list rows: the product's reader accepts the frames, and calls move when the list changes.
 
 use badgerwind::interface::{Availability, ListKind, WorkerEntry};
 use badgerwind_platform::config::NameCounts;
 use badgerwind_platform::discovery::Follower;
 use badgerwind_scale::rows::front_end::{worker_entry, Surroundings, SECOND, ZONES};
-use badgerwind_scale::rows::list_frames::{frame, frame_bytes};
-use badgerwind_scale::rows::lists::{differing, first_workers, sent_to};
+use badgerwind_scale::rows::list_frames::{encode_frame, frame_bytes};
+use badgerwind_scale::rows::lists::{differing_share, first_workers, share_sent_to};
 
 const WARM_UP: u64 = 2 * SECOND;
-const COMPARED: u64 = 4 * SECOND;
+const COMPARED_TIME: u64 = 4 * SECOND;
 
-fn places() -> NameCounts {
+fn name_counts() -> NameCounts {
     NameCounts { zones: ZONES as usize, kinds: 1 }
 }
 
@@ -18,54 +18,55 @@
     Surroundings { calls_per_second: 40.0, ..Surroundings::new(42, 30) }
 }
 
+/// The first worker of each call after a change of the list.
 fn calls(change: &[WorkerEntry]) -> Vec<Option<u32>> {
-    first_workers(surroundings(), 1, WARM_UP, COMPARED, change)
+    first_workers(surroundings(), 1, WARM_UP, COMPARED_TIME, change)
 }
 
-fn gone(workers: impl Iterator<Item = u32>) -> Vec<WorkerEntry> {
+fn removed(workers: impl Iterator<Item = u32>) -> Vec<WorkerEntry> {
     workers.map(|worker| worker_entry(worker, Availability::Removed)).collect()
 }
 
 #[test]
-fn the_product_reads_the_frames() {
+fn discovery_reader_decodes_the_frames() {
     let entries = surroundings().worker_entries();
-    let bytes = frame(1, ListKind::Whole, &entries);
+    let bytes = encode_frame(1, ListKind::Whole, &entries);
     assert_eq!(bytes.len(), frame_bytes(entries.len()));
-    let (mut follower, mut news) = (Follower::new(0), Vec::new());
-    follower.on_bytes(&places(), &bytes, &mut news).unwrap();
-    assert_eq!(news.len(), 1);
-    let read = news[0].entries.iter().map(|listed| &listed.entry);
+    let (mut follower, mut changes) = (Follower::new(0), Vec::new());
+    follower.on_bytes(&name_counts(), &bytes, &mut changes).unwrap();
+    assert_eq!(changes.len(), 1);
+    let decoded = changes[0].entries.iter().map(|listed| &listed.entry);
     let same = |(a, b): (&WorkerEntry, &WorkerEntry)| {
         (a.worker, a.zone, a.cell, a.kind, a.size, a.availability, a.born)
             == (b.worker, b.zone, b.cell, b.kind, b.size, b.availability, b.born)
     };
-    assert!(read.zip(&entries).all(same));
+    assert!(decoded.zip(&entries).all(same));
 }
 
 #[test]
-fn a_whole_list_of_over_20_000_workers_is_refused() {
+fn whole_list_of_more_than_20_000_workers_is_rejected() {
     let read = |workers| {
-        let bytes = frame(1, ListKind::Whole, &Surroundings::new(workers, 1).worker_entries());
-        Follower::new(0).on_bytes(&places(), &bytes, &mut Vec::new())
+        let bytes = encode_frame(1, ListKind::Whole, &Surroundings::new(workers, 1).worker_entries());
+        Follower::new(0).on_bytes(&name_counts(), &bytes, &mut Vec::new())
     };
     assert!(read(20_000).is_ok());
     assert!(read(20_001).is_err());
 }
 
 #[test]
-fn no_call_moves_where_nothing_changes() {
-    let (one, again) = (calls(&[]), calls(&[]));
-    assert!(one.len() > 100, "{} calls", one.len());
-    assert_eq!(differing(&one, &again), 0.0);
+fn no_call_moves_without_a_change() {
+    let (first, second) = (calls(&[]), calls(&[]));
+    assert!(first.len() > 100, "{} calls", first.len());
+    assert_eq!(differing_share(&first, &second), 0.0);
 }
 
 #[test]
-fn calls_of_a_lost_worker_move_and_few_others() {
+fn calls_of_a_removed_worker_move() {
     let unchanged = calls(&[]);
     let worker = unchanged.iter().flatten().next().copied().unwrap();
-    let lost = gone(std::iter::once(worker));
-    let changed = calls(&lost);
-    let (moved, had_to) = (differing(&unchanged, &changed), sent_to(&unchanged, &lost));
-    assert_eq!(sent_to(&changed, &lost), 0.0);
-    assert!(had_to > 0.0 && moved >= had_to, "{moved} moved, {had_to} had to");
+    let change = removed(std::iter::once(worker));
+    let changed = calls(&change);
+    let (moved, had_to_move) = (differing_share(&unchanged, &changed), share_sent_to(&unchanged, &change));
+    assert_eq!(share_sent_to(&changed, &change), 0.0);
+    assert!(had_to_move > 0.0 && moved >= had_to_move, "{moved} moved, {had_to_move} had to move");
 }
--- a/crates/badgerwind-scale/tests/router.rs
+++ b/crates/badgerwind-scale/tests/router.rs
@@ -1,5 +1,5 @@
-//! Counts of a call on the real router and on hollow call paths. One test only: the counting allocator counts for the
-//! whole process, so nothing may run beside what is measured.
+//! Counts per call of the real router and of substitute call paths. All checks are in one test, because the
+//! counting allocator counts for the whole process and nothing else may run during a measurement.
 
 use badgerwind::interface::{Action, Event, RequestId, Settings, Time, WorkerId};
 use badgerwind::Router;
@@ -11,84 +11,84 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-const FEW: u32 = 120;
-const MANY: u32 = 4_000;
+const FEW_WORKERS: u32 = 120;
+const MANY_WORKERS: u32 = 4_000;
 const FUNCTIONS: u64 = 200;
 const SEED: u64 = 1;
-/// Growth that a call path may have whose cost does not depend on the list.
-const FLAT: f64 = 1.5;
+/// Maximum growth of a call path whose costs do not depend on the size of the list.
+const MAX_GROWTH: f64 = 1.5;
 
-/// A call path that sends each call to a worker drawn from its id, with or without a look at all workers.
-struct HollowPath {
+/// A call path that sends each call to a worker derived from its id, with or without a scan of all workers.
+struct SubstitutePath {
     workers: u32,
     scans: bool,
 }
 
-impl CallPath for HollowPath {
+impl CallPath for SubstitutePath {
     fn handle(&mut self, _now: Time, event: Event, out: &mut Vec<Action>) {
         let Event::Request(request) = event else { return };
-        let worker = if self.scans { self.first_by_scan(&request.id) } else { self.drawn(&request.id) };
+        let worker = if self.scans { self.scan_for_worker(&request.id) } else { self.worker_of(&request.id) };
         out.push(Action::Send { id: request.id, worker, timeout: None });
     }
 }
 
-impl HollowPath {
-    fn drawn(&self, id: &RequestId) -> WorkerId {
+impl SubstitutePath {
+    fn worker_of(&self, id: &RequestId) -> WorkerId {
         1 + id.bytes().fold(0u32, |sum, byte| sum.wrapping_mul(31).wrapping_add(u32::from(byte)))
             % self.workers
     }
 
-    /// The deliberately linear variant: all workers are gathered to find one.
-    fn first_by_scan(&self, id: &RequestId) -> WorkerId {
-        let wanted = self.drawn(id);
+    /// The deliberately linear variant, which collects all workers to find one.
+    fn scan_for_worker(&self, id: &RequestId) -> WorkerId {
+        let wanted = self.worker_of(id);
         let candidates: Vec<WorkerId> = (1..=self.workers).collect();
         let nearest = candidates.into_iter().min_by_key(|worker| worker.abs_diff(wanted));
         nearest.unwrap_or(wanted)
     }
 }
 
-fn hollow(workers: u32, scans: bool) -> CallCounts {
-    call_counts(HollowPath { workers, scans }, Surroundings::new(workers, FUNCTIONS), SEED)
+fn substitute_counts(workers: u32, scans: bool) -> CallCounts {
+    call_counts(SubstitutePath { workers, scans }, Surroundings::new(workers, FUNCTIONS), SEED)
 }
 
-fn real(workers: u32) -> CallCounts {
+fn router_counts(workers: u32) -> CallCounts {
     let surroundings = Surroundings::new(workers, FUNCTIONS);
     let settings: Settings = surroundings.settings();
     call_counts(Router::new(SEED, settings), surroundings, SEED)
 }
 
 #[test]
-fn counts_of_a_call() {
-    a_path_that_does_not_grow_passes_the_check();
-    a_path_that_scans_all_workers_fails_the_check();
-    the_router_s_counts_are_the_same_for_the_same_seed();
-    the_router_s_counts_do_not_grow_with_the_list();
+fn counts_per_call_do_not_grow_with_the_list() {
+    path_without_growth_passes_the_check();
+    path_that_scans_all_workers_fails_the_check();
+    router_counts_are_equal_for_equal_seeds();
+    router_counts_do_not_grow_with_the_list();
 }
 
-fn a_path_that_does_not_grow_passes_the_check() {
-    let (few, many) = (hollow(FEW, false), hollow(MANY, false));
-    let (allocations, bytes) = check_growth(&few, &many, FLAT).unwrap();
-    assert!(allocations <= FLAT && bytes <= FLAT, "{allocations} {bytes}");
+fn path_without_growth_passes_the_check() {
+    let (few, many) = (substitute_counts(FEW_WORKERS, false), substitute_counts(MANY_WORKERS, false));
+    let (allocations, bytes) = check_growth(&few, &many, MAX_GROWTH).unwrap();
+    assert!(allocations <= MAX_GROWTH && bytes <= MAX_GROWTH, "{allocations} {bytes}");
 }
 
-fn a_path_that_scans_all_workers_fails_the_check() {
-    let (few, many) = (hollow(FEW, true), hollow(MANY, true));
-    let failed = check_growth(&few, &many, FLAT).unwrap_err();
-    assert_eq!(failed.count, "bytes allocated a call");
-    let linear = f64::from(MANY / FEW);
-    assert!(failed.factor > linear / 2.0 && failed.factor < linear * 2.0, "{failed}");
+fn path_that_scans_all_workers_fails_the_check() {
+    let (few, many) = (substitute_counts(FEW_WORKERS, true), substitute_counts(MANY_WORKERS, true));
+    let error = check_growth(&few, &many, MAX_GROWTH).unwrap_err();
+    assert_eq!(error.count, "bytes allocated a call");
+    let linear = f64::from(MANY_WORKERS / FEW_WORKERS);
+    assert!(error.factor > linear / 2.0 && error.factor < linear * 2.0, "{error}");
 }
 
-fn the_router_s_counts_are_the_same_for_the_same_seed() {
-    let (one, again) = (real(FEW), real(FEW));
-    assert_eq!(one, again);
-    assert!(one.sends >= 1.0 && one.allocations > 0.0 && one.allocated_bytes > 0.0, "{one:?}");
+fn router_counts_are_equal_for_equal_seeds() {
+    let (first, second) = (router_counts(FEW_WORKERS), router_counts(FEW_WORKERS));
+    assert_eq!(first, second);
+    assert!(first.sends >= 1.0 && first.allocations > 0.0 && first.allocated_bytes > 0.0, "{first:?}");
 }
 
-/// With one cell for all workers, as before, bytes grow sixfold from 120 to 4,000, and this fails.
-fn the_router_s_counts_do_not_grow_with_the_list() {
-    let (few, many) = (real(FEW), real(MANY));
-    check_growth(&few, &many, FLAT).unwrap();
-    assert!(many.sends <= few.sends * FLAT, "{} and {} attempts a call", few.sends, many.sends);
-    assert!(many.events <= few.events * FLAT, "{} and {} events a call", few.events, many.events);
+/// Fails if all workers are in one cell: the allocated bytes then grow sixfold from 120 to 4,000 workers.
+fn router_counts_do_not_grow_with_the_list() {
+    let (few, many) = (router_counts(FEW_WORKERS), router_counts(MANY_WORKERS));
+    check_growth(&few, &many, MAX_GROWTH).unwrap();
+    assert!(many.sends <= few.sends * MAX_GROWTH, "{} and {} attempts per call", few.sends, many.sends);
+    assert!(many.events <= few.events * MAX_GROWTH, "{} and {} events per call", few.events, many.events);
 }
