--- a/crates/badgerwind-cli/tests/scale_processes.rs
+++ b/crates/badgerwind-cli/tests/scale_processes.rs
@@ -5,7 +5,7 @@
 mod rig;
 
 use badgerwind_cli::fleet::{query_budgets, BudgetsReport};
-use badgerwind_scale::rows::members::{Fleet as HollowMembers, ENVELOPE};
+use badgerwind_scale::rows::members::{Fleet as HollowMembers, ENVELOPE_BYTES};
 use badgerwind_scale::rows::network::{Conditions, SECOND};
 use badgerwind_scale::rows::zones::Fleet as HollowZones;
 use badgerwind_standins::reserved::unused_address;
@@ -182,18 +182,18 @@
     let real_voters = rate(&before, &after, 1, 0..VOTERS);
 
     let span = COUNT_TIME.as_secs() * SECOND;
-    let mut hollow = HollowMembers::under(Conditions::loopback(), (members, members), true, 1);
+    let mut hollow = HollowMembers::with_conditions(Conditions::loopback(), (members, members), true, 1);
     hollow.run(2 * SECOND);
-    hollow.network.begin_counts();
+    hollow.network.reset_counts();
     hollow.run(span);
     let hollow_members = hollow.traffic(span);
-    let mut hollow = HollowZones::under(Conditions::loopback(), members, 1);
+    let mut hollow = HollowZones::with_conditions(Conditions::loopback(), members, 1);
     hollow.run(2 * SECOND);
-    hollow.network.begin_counts();
+    hollow.network.reset_counts();
     hollow.run(span);
     let hollow_zones = hollow.traffic(span);
     let voter = (0..VOTERS).map(|v| hollow.network.traffic(v));
-    let voter_bytes: u64 = voter.map(|c| c.bytes + c.messages * ENVELOPE).sum();
+    let voter_bytes: u64 = voter.map(|c| c.bytes + c.messages * ENVELOPE_BYTES).sum();
     let hollow_voter = voter_bytes as f64 / VOTERS as f64 / COUNT_TIME.as_secs_f64();
 
     let compare = |real: f64, hollow: f64| format!("{real:.1} | {hollow:.1} | {:.3}", hollow / real);
@@ -202,7 +202,10 @@
             "| {members} | membership, messages/s | {} |",
             compare(real_members.0, hollow_members.messages)
         ),
-        format!("| {members} | membership, B/s | {} |", compare(real_members.1, hollow_members.on_wire)),
+        format!(
+            "| {members} | membership, B/s | {} |",
+            compare(real_members.1, hollow_members.bytes_on_wire)
+        ),
         format!("| {members} | zones, messages/s | {} |", compare(real_zones.0, hollow_zones.0)),
         format!("| {members} | zones, B/s | {} |", compare(real_zones.1, hollow_zones.1)),
         format!("| {members} | zones, a voter, B/s | {} |", compare(real_voters.1, hollow_voter)),
--- a/crates/badgerwind-gateway/src/platform/executors.rs
+++ b/crates/badgerwind-gateway/src/platform/executors.rs
@@ -295,7 +295,7 @@
         }
         let accepting = executor.connections.iter().filter(|connection| connection.accepts(task)).count();
         let all_in_use = trusted && accepting > 0;
-        tracing::debug!(worker, accepting, trusted, all_in_use, "opening a connection");
+        tracing::debug!(worker, standing = accepting, trusted, all_in_use, "opening a connection");
         Some(self.open_connection(runtime, worker, executor))
     }
 
