--- a/crates/badgerwind-forecast/src/fit.rs
+++ b/crates/badgerwind-forecast/src/fit.rs
@@ -4,8 +4,8 @@
 pub fn fit(series: &[f64], shape: impl Fn(f64) -> f64) -> (f64, f64) {
     let (mut dot, mut norm) = (0.0, 0.0);
     for (i, y) in series.iter().enumerate() {
-        let b = shape(i as f64);
-        (dot, norm) = (dot + y * b, norm + b * b);
+        let x = shape(i as f64);
+        (dot, norm) = (dot + y * x, norm + x * x);
     }
     if norm > 0.0 {
         (dot / norm, dot * dot / norm / series.len() as f64)
--- a/crates/badgerwind-forecast/src/lib.rs
+++ b/crates/badgerwind-forecast/src/lib.rs
@@ -28,8 +28,8 @@
     let mut ahead: Vec<f64> = vec![mean; steps];
     for degree in [1, 2] {
         let (coefficient, power) = fit(&error, |i| trend(degree, i));
-        let left = error.iter().map(|y| y * y).sum::<f64>() / size - power;
-        if power > SIGNIFICANT * left.max(0.0) / size {
+        let residual = error.iter().map(|y| y * y).sum::<f64>() / size - power;
+        if power > SIGNIFICANT * residual.max(0.0) / size {
             error.iter_mut().enumerate().for_each(|(i, y)| *y -= coefficient * trend(degree, i as f64));
             ahead.iter_mut().enumerate().for_each(|(i, y)| *y += coefficient * trend(degree, (n + i) as f64));
         }
--- a/crates/badgerwind-horizon/src/horizon.rs
+++ b/crates/badgerwind-horizon/src/horizon.rs
@@ -1,6 +1,7 @@
 //! The input of a plan.
 
-/// The state and the forecast of a function over the horizon. Times are in steps; Greek letters are those of the paper.
+/// The state and the forecast of a function over the horizon. Times are in steps. The symbols are those of
+/// the paper, see badgerwind-forecast.
 #[derive(Clone, Debug, Default)]
 pub struct Horizon {
     /// λ: expected own arrivals in each step.
@@ -27,7 +28,7 @@
     pub load_cost: f64,
     /// η: reward of a drop.
     pub drop_reward: f64,
-    /// wmax: most copies.
+    /// wmax: limit on the copies of the function.
     pub max_copies: f64,
     /// x of the previous step: loads ordered then.
     pub last_loads: f64,
--- a/crates/badgerwind-horizon/src/lib.rs
+++ b/crates/badgerwind-horizon/src/lib.rs
@@ -1,5 +1,5 @@
 //! Search for the loads and drops of least cost over a short horizon, of which the first step is carried out.
-//! After the same paper as the forecast; see docs/design/module.md. No I/O, no clock.
+//! After "Taming Cold Starts", the paper named in badgerwind-forecast; see docs/design/module.md. No I/O.
 #![forbid(unsafe_code)]
 
 mod horizon;
--- a/crates/badgerwind/src/dispatch.rs
+++ b/crates/badgerwind/src/dispatch.rs
@@ -66,9 +66,9 @@
             let open = &self.state.open[&id];
             // Late traffic and traffic over its share yields under overload. A request without an attempt
             // after half of its time is answered, so that its client may try another front end.
-            let half = || 2 * (self.now + self.interval) >= open.since + open.due;
+            let half_over = || 2 * (self.now + self.interval) >= open.arrived_at + open.due;
             let yields = overloaded && (self.misses_aim(open) || self.over_share(open));
-            let yields = yields && self.may_refuse(open) || open.attempts.is_empty() && half();
+            let yields = yields && self.may_refuse(open) || open.attempts.is_empty() && half_over();
             let one_in_flight = || self.state.functions[slot].copies.values().any(|c| c.in_flight > 0);
             // Rule 1: the last maintenance run before the client gives up answers.
             let hopeless = self.too_late(open) || self.is_doubtful(slot) && one_in_flight();
@@ -94,7 +94,7 @@
     /// Whether a request can no longer meet its aim; it yields to those that can.
     pub(crate) fn misses_aim(&self, open: &OpenRequest) -> bool {
         let aim = self.settings.classes[open.class].aim;
-        self.now as f64 + self.service(open.slot) > (open.since + aim) as f64
+        self.now as f64 + self.service(open.slot) > (open.arrived_at + aim) as f64
     }
 
     pub(crate) fn worth(&self, open: &OpenRequest) -> f64 {
--- a/crates/badgerwind/src/eligibility.rs
+++ b/crates/badgerwind/src/eligibility.rs
@@ -3,12 +3,12 @@
 use crate::{interface::*, records::*, router::Router, shares::LOAD_SPAN};
 use badgerwind_placement::unit_hash;
 
-pub(crate) const CELL_SIZE: usize = 128; // Most workers in a cell: bounds what one call looks at in any list.
-const ENOUGH: usize = 16; // Ready workers that the cells of a function hold at the least.
-const MANY: u32 = 8; // Front ends above which each sees too few calls of a function to go by its own counts.
-const USES: f64 = 3.0; // Uses by other front ends in a keep-alive from which they keep a copy loaded too.
-const BUSY_LANES: f64 = 4.0; // Own requests that load a worker of size 1 about once over.
-pub(crate) const COLD_NEWS: u64 = 4; // How long a report that a worker holds no copy is valid, in load times.
+pub(crate) const CELL_SIZE: usize = 128; // Most workers in a cell: bounds the cost of a call in any list.
+const ENOUGH: usize = 16; // Least number of ready workers in the cells of a function, if there are that many.
+const MANY: u32 = 8; // With more front ends, each sees too few calls of a function to rely on its own counts.
+const USES: f64 = 3.0; // Uses by other front ends in a keep-alive, above which these keep a copy loaded too.
+const BUSY_LANES: f64 = 4.0; // Own requests that double the expected service time at a worker of size 1.
+pub(crate) const ABSENCE_VALID: u64 = 4; // Validity of a report that a worker holds no copy, in load times.
 const PRIOR_MASS: f64 = 0.1; // Mass of the prior that a worker has the usual load, in answers.
 const COLD_SHARE: f64 = 0.4; // Share of a cold worker's budget that all front ends together plan to use.
 
@@ -30,7 +30,7 @@
     /// Copies to rely on: those believed warm, and one where a shared function is not known to be absent.
     pub(crate) fn expected_copies(&self, slot: usize, worker: WorkerId) -> u32 {
         let (function, warm) = (&self.state.functions[slot], self.warm_copies(slot, worker));
-        let recent = |copies: &Copies| copies.known_at + COLD_NEWS * function.load_time as u64 > self.now;
+        let recent = |copies: &Copies| copies.known_at + ABSENCE_VALID * function.load_time as u64 > self.now;
         let cold = |copies: &Copies| copies.known_at > 0 && copies.count == 0 && recent(copies);
         u32::from(function.copies.get(&worker).is_some_and(|c| c.shared && !cold(c))).max(warm)
     }
@@ -53,17 +53,17 @@
     pub(crate) fn within_cold_budget(&self, worker: &Worker) -> bool {
         let (capacity, totals) = (self.capacity(worker), &self.state.totals);
         // Guards against demand beyond capacity: only rates that were once served show what workers can take.
-        let asked = self.state.arrival_rate.get(self.now, self.keep_alive()) / totals.size.max(worker.size);
+        let demand = self.state.arrival_rate.get(self.now, self.keep_alive()) / totals.size.max(worker.size);
         let mean = totals.peak_rate / totals.served.max(1) as f64;
-        let full_rate = worker.size * if totals.served > 0 { asked.min(mean) } else { asked };
+        let full_rate = worker.size * if totals.served > 0 { demand.min(mean) } else { demand };
         let window = self.settings.fall_window;
         let budget = full_rate * capacity * window as f64 / 1e6 * self.settings.fall_multiple * COLD_SHARE;
         let sent = worker.sends.count_since(self.now.saturating_sub(window));
-        // Less than one send per front end: accumulated from a hashed start, so that sends do not coincide.
+        // A budget below one send accumulates from a hashed start, so that front ends do not send at once.
         let age = self.now.saturating_sub(worker.warming_since.unwrap_or(0)) as f64 / window.max(1) as f64;
-        let saved = budget / capacity * age * (self.settings.cold_from + capacity) / 2.0;
+        let accumulated = budget / capacity * age * (self.settings.cold_from + capacity) / 2.0;
         let start = unit_hash(&self.settings.my_number.to_string(), worker.born.unwrap_or(0) as u32);
-        sent < budget.floor() || sent < 1.0 && f64::from(worker.cold_sends) < (start + saved).floor()
+        sent < budget.floor() || sent < 1.0 && f64::from(worker.cold_sends) < (start + accumulated).floor()
     }
 
     /// More than half of the fleet is tripped: the cause is not single workers, so all are used.
@@ -83,11 +83,11 @@
         worker.ready && healthy && room && warm && open.kinds().into_iter().all(kind)
     }
 
-    /// Factor on the service time: a worker's slowness, or load, and own attempts and loads by its size.
+    /// Factor on the service time: a worker's slowness or load, raised by attempts and loads for its size.
     pub(crate) fn load_factor(&self, worker: &Worker) -> f64 {
-        let alike = self.settings.front_ends.clamp(1, MANY); // the other front ends send there as well
-        let own = f64::from((worker.in_flight + worker.pending_loads) * alike);
-        worker.slowness.max(self.relative_load(worker)) * (1.0 + own / (BUSY_LANES * worker.size))
+        let front_ends = self.settings.front_ends.clamp(1, MANY); // each is assumed to send as much there
+        let in_progress = f64::from((worker.in_flight + worker.pending_loads) * front_ends);
+        worker.slowness.max(self.relative_load(worker)) * (1.0 + in_progress / (BUSY_LANES * worker.size))
     }
 
     /// A worker's load as all front ends see it; 1 is usual, and also the value without messages.
--- a/crates/badgerwind/src/events.rs
+++ b/crates/badgerwind/src/events.rs
@@ -83,7 +83,7 @@
     /// Applies a message from another front end.
     pub(crate) fn on_message(&mut self, from: u32, bytes: &[u8]) {
         let from_peer = from < self.settings.front_ends && from != self.settings.my_number;
-        let Some(message) = message::read(bytes, MAX_TENANTS).filter(|_| from_peer) else { return };
+        let Some(message) = message::decode(bytes, MAX_TENANTS).filter(|_| from_peer) else { return };
         self.state.peer_rates.insert(from, (self.now, message.rates));
         let span = self.keep_alive() * LOAD_SPAN;
         for (name, load) in message.loads {
--- a/crates/badgerwind/src/feedback.rs
+++ b/crates/badgerwind/src/feedback.rs
@@ -2,8 +2,8 @@
 
 use crate::{interface::*, records::*, router::Router, router::OVERDUE, shares::LOAD_SPAN};
 
-const CROWD: f64 = 0.7; // Others' requests per shared worker of a function; above it the function takes more.
-const REACH_GAIN: f64 = 0.2; // Weight of one crowd mark in that; it at most doubles the number of workers.
+const CROWD: f64 = 0.7; // Other front ends' requests per worker of a function, above which its reach grows.
+const REACH_GAIN: f64 = 0.2; // Weight of one crowd mark in the reach; one mark at most doubles it.
 const GAIN: f64 = 0.1; // Weight of a new sample in running means of service times and slowness.
 const FAST_GAIN: f64 = 0.3; // The same for crowd marks, load times, and a low quantile that decreases.
 const MISPREDICTIONS: usize = 3; // Mispredictions at several workers after which older beliefs are dropped.
@@ -18,8 +18,8 @@
 impl Router {
     pub(crate) fn on_answer(&mut self, request: &RequestId, n: u32, answer: Answer, actions: &mut Actions) {
         let (outcome, slow) = (answer.outcome, answer.lag > self.interval);
-        let few = self.settings.marks_crowd && slow && answer.crowd.is_some_and(|crowd| crowd < QUEUED);
-        let exempt = outcome == Outcome::Miss || outcome == Outcome::Full && few;
+        let no_queue = self.settings.marks_crowd && slow && answer.crowd.is_some_and(|crowd| crowd < QUEUED);
+        let exempt = outcome == Outcome::Miss || outcome == Outcome::Full && no_queue;
         let Some(attempt) = self.state.end_attempt(request, n, outcome, exempt) else { return };
         let id = attempt.worker;
         let answer = Answer { own: attempt.own, waited: self.now - attempt.sent, ..answer };
@@ -79,7 +79,7 @@
         if !matches!(outcome, Timeout | Cancelled | Moot | ConnectFailed) {
             worker.health.last_seen = now;
         }
-        let wrong = believed && (outcome == Miss || mark == CopyMark::BeganLoad && copies.in_flight == 0);
+        let mistaken = believed && (outcome == Miss || mark == CopyMark::BeganLoad && copies.in_flight == 0);
         if let Some(others) = others.filter(|_| function.spread > 0) {
             function.reach *= 1.0 + (REACH_GAIN * (others / CROWD - 1.0)).min(1.0);
         }
@@ -146,7 +146,7 @@
             Timeout | Cancelled | Moot => {}
         }
         self.state.workers.get(&id).iter().for_each(|worker| self.state.totals.include(worker));
-        if wrong {
+        if mistaken {
             // Several mispredictions together, as after a release: older beliefs are not trusted either.
             let from = now.saturating_sub(self.state.functions[slot].load_time as u64 * 2);
             let (recent, several) = self.state.record_misprediction(now, id, from);
--- a/crates/badgerwind/src/interface.rs
+++ b/crates/badgerwind/src/interface.rs
@@ -59,7 +59,7 @@
     pub streaming: bool,
 }
 
-/// A tenant's share over all front ends.
+/// A tenant, with its quota over all front ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Requests a second within the share; `None` when there is no quota.
@@ -70,7 +70,7 @@
 /// front ends in the settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalQuotas {
-    /// Load orders in the window of their limit; `None` when the fleet has no common limit.
+    /// Load orders allowed in [`Settings::load_window`]; `None` when the fleet has no common limit.
     pub orders: Option<f64>,
     /// Requests a second within each tenant's share, by tenant index.
     pub tenants: Vec<Option<f64>>,
@@ -187,9 +187,10 @@
     pub cold_from: f64,
     /// Time after which a worker has its full capacity.
     pub warm_after: Micros,
-    /// A cold worker fails when it is sent more than this multiple of its current capacity...
+    /// A cold worker fails when it is sent more than this multiple of its current capacity for as long as
+    /// [`Settings::fall_window`].
     pub fall_multiple: f64,
-    /// ...for this time.
+    /// Time for which a cold worker bears more than [`Settings::fall_multiple`].
     pub fall_window: Micros,
     /// Shortest time between two batches of events.
     pub round: Micros,
--- a/crates/badgerwind/src/load_orders.rs
+++ b/crates/badgerwind/src/load_orders.rs
@@ -3,7 +3,7 @@
 use crate::{interface::*, records::*, router::Router, selection::CANDIDATES};
 use badgerwind_placement::unit_hash;
 
-pub(crate) const MAX_COPIES: u32 = 16; // Most copies in one order; a plan has at most this at every worker.
+pub(crate) const MAX_COPIES: u32 = 16; // Most copies in one order; a plan has at most this many per worker.
 const MAX_LOADS: u32 = 3; // Own loads pending at one worker: workers run a few and refuse the rest.
 const LOAD_CAPACITY: f64 = 0.5; // Share of its capacity from which a warming worker is given loads.
 
@@ -25,7 +25,7 @@
         let count = |id: &WorkerId| self.warm_copies(slot, *id).max(pending(id));
         let lanes = |id: &WorkerId| self.warm_copies(slot, *id) * function.lanes;
         let free = |id: &WorkerId| function.copies.get(id).is_some_and(|copies| lanes(id) > copies.in_flight);
-        // A worker with the most copies that one order may ask for would answer another order at once.
+        // A worker with MAX_COPIES would answer another order at once, without loading anything.
         fitting.filter(|id| count(id) < MAX_COPIES && !(waits && free(id))).min_by_key(count)
     }
 
@@ -33,9 +33,9 @@
     pub(crate) fn within_order_limit(&self, share: f64) -> bool {
         let from = self.now.saturating_sub(self.settings.load_window);
         let requests = self.state.arrivals.count_since(from + 1);
-        let most = share * (self.settings.load_free + self.settings.load_share * requests);
-        let most = most.min(self.state.quotas.orders.unwrap_or(f64::INFINITY));
-        self.settings.load_window == 0 || self.state.orders.count_since(from) + 1.0 <= most
+        let limit = share * (self.settings.load_free + self.settings.load_share * requests);
+        let limit = limit.min(self.state.quotas.orders.unwrap_or(f64::INFINITY));
+        self.settings.load_window == 0 || self.state.orders.count_since(from) + 1.0 <= limit
     }
 
     /// Orders `more` copies beyond those known or pending; 0 renews those. The worker itself frees memory.
--- a/crates/badgerwind/src/maintenance.rs
+++ b/crates/badgerwind/src/maintenance.rs
@@ -7,7 +7,7 @@
 
 const BEYOND: usize = 8; // Steps of the horizon beyond the load delay.
 const MAX_DELAY: usize = 12; // Longest load delay in steps; longer load times are planned as if this long.
-const LOAD_COST: f64 = 1.6; // δ besides the fetch price, in requests' worth: memory and cores of others.
+const LOAD_COST: f64 = 1.6; // δ without the fetch price, in requests' worth: a load takes memory and CPU.
 const DROP_REWARD: f64 = 0.2; // η for each point of the memory price, in requests' worth.
 const AHEAD_SHARE: f64 = 0.6; // Share of the order limit for loads ahead; the rest is for misses.
 const RENEW_USES: f64 = 0.4; // Uses expected in another keep-alive from which a copy is renewed.
@@ -30,7 +30,7 @@
         let window = ago(self.settings.load_window);
         let (sends, starts) = (ago(self.settings.fall_window), ago(self.settings.warm_after));
         let (unused, fade) = (ago(UNUSED * self.keep_alive() as Micros), self.keep_alive() * SLOW_SPAN);
-        let limits = MaintenanceLimits { most: MAINTAINED, now, window, sends, starts, unused, fade };
+        let limits = MaintenanceLimits { max_items: MAINTAINED, now, window, sends, starts, unused, fade };
         let (visited, pass_ends) = self.state.maintain(&limits);
         let ready = visited.iter().filter_map(|id| self.state.workers.get(id)).filter(|worker| worker.ready);
         self.state.average_loads(&ready.map(|w| self.relative_load(w)).collect::<Vec<f64>>(), pass_ends);
@@ -67,9 +67,9 @@
                     }
                 }
                 self.state.totals.exclude(worker);
-                let newly = worker.health.last_seen <= *sent && worker.health.fail(1.0, now, pause);
+                let newly_tripped = worker.health.last_seen <= *sent && worker.health.fail(1.0, now, pause);
                 self.state.totals.include(worker);
-                if newly && now > self.state.logged_at + self.settings.keep_alive / 4 {
+                if newly_tripped && now > self.state.logged_at + self.settings.keep_alive / 4 {
                     self.state.logged_at = now;
                     actions.push(Action::Log { text: format!("worker {id} answers nothing: taken out") });
                 }
--- a/crates/badgerwind/src/message.rs
+++ b/crates/badgerwind/src/message.rs
@@ -6,11 +6,11 @@
 
 use crate::interface::WorkerId;
 
-/// Bytes in a message: the platform's limit of a datagram.
-const MESSAGE: usize = 256;
+/// Most bytes in a message: the platform's limit for a datagram.
+const MAX_BYTES: usize = 256;
 
 /// Most workers for which a message has space.
-pub(crate) const MAX_WORKERS: usize = MESSAGE / 4;
+pub(crate) const MAX_WORKERS: usize = MAX_BYTES / 4;
 /// A mass below this is encoded as none.
 pub(crate) const MIN_MASS: f64 = 1.0 / 256.0;
 
@@ -27,24 +27,25 @@
     ((worker ^ (worker >> 16)) as u16).to_be_bytes()
 }
 
-/// Encodes the rates, and as many of the loads as have space. `encode` is called for these only.
-pub(crate) fn write<L>(
+/// Encodes the rates, and as many of the loads as there is space for. `encode_load` is called for these only.
+pub(crate) fn encode<L>(
     rates: &[f64],
     loads: impl Iterator<Item = (WorkerId, L)>,
-    mut encode: impl FnMut(L) -> [u8; 2],
+    mut encode_load: impl FnMut(L) -> [u8; 2],
 ) -> Vec<u8> {
     let mut bytes = vec![rates.len() as u8];
     bytes.extend(rates.iter().flat_map(|rate| (*rate as f32).to_be_bytes()));
-    let space = MESSAGE.saturating_sub(bytes.len()) / 4;
+    let space = MAX_BYTES.saturating_sub(bytes.len()) / 4;
     for (id, load) in loads.take(space) {
-        bytes.extend(short_name(id).into_iter().chain(encode(load)));
+        bytes.extend(short_name(id).into_iter().chain(encode_load(load)));
     }
     bytes
 }
 
-/// Decodes a message with at most `most` tenants. A rate that is not finite counts as 0.
-pub(crate) fn read(bytes: &[u8], most: usize) -> Option<Message> {
-    let (count, rest) = bytes.split_first().filter(|bytes| usize::from(*bytes.0) <= most)?;
+/// Decodes a message; `None` if it is truncated or has more than `max_tenants` tenants. A rate that is not
+/// finite or is negative counts as 0.
+pub(crate) fn decode(bytes: &[u8], max_tenants: usize) -> Option<Message> {
+    let (count, rest) = bytes.split_first().filter(|bytes| usize::from(*bytes.0) <= max_tenants)?;
     let (rates, loads) = rest.split_at_checked(usize::from(*count) * 4)?;
     let rates = rates.chunks_exact(4).map(|b| f64::from(f32::from_be_bytes([b[0], b[1], b[2], b[3]])));
     let rates = rates.map(|rate| if rate.is_finite() { rate.max(0.0) } else { 0.0 }).collect();
--- a/crates/badgerwind/src/records.rs
+++ b/crates/badgerwind/src/records.rs
@@ -8,7 +8,7 @@
 /// The list to which event handlers append what the front end must do.
 pub(crate) type Actions = Vec<Action>;
 
-/// A sum with exponential decay.
+/// A sum with exponential decay. All methods take the time constant of the decay as `span`.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct DecayingSum {
     value: f64,
@@ -19,7 +19,7 @@
     pub(crate) fn add(&mut self, now: Time, span: f64, amount: f64) {
         (self.value, self.at) = (self.get(now, span) + amount, now);
     }
-    /// The sum now; `span` is the time constant of the decay.
+    /// The sum now.
     pub(crate) fn get(&self, now: Time, span: f64) -> f64 {
         self.value * (-(now.saturating_sub(self.at) as f64) / span).exp()
     }
@@ -99,6 +99,7 @@
     pub ready: bool,
     /// It is no longer listed.
     pub removed: bool,
+    /// When its process last started, as listed; `None`: so long ago that it is warm.
     pub born: Option<Time>,
     /// Start of its warm-up, as listed or as presumed.
     pub warming_since: Option<Time>,
@@ -115,7 +116,9 @@
     pub health: Health,
     /// Boxed: most workers have two entries, while a node of the map reserves space for eleven.
     pub kind_health: BTreeMap<TrafficKind, Box<Health>>,
+    /// After it answered `full`, it gets no calls until this time.
     pub full_until: Time,
+    /// After it refused or failed a load, it gets no further loads until this time.
     pub no_load_until: Time,
     /// Most own attempts in flight, and when this limit was last cut.
     pub attempt_limit: f64,
@@ -130,6 +133,7 @@
     pub sends: SlidingWindow,
     /// Changes whenever all copies are lost at once, which voids the beliefs on copies of an earlier epoch.
     pub epoch: u64,
+    /// When it last lost all its copies at once.
     pub emptied_at: Time,
     /// Time of its last periodic maintenance.
     pub maintained_at: Time,
@@ -227,7 +231,7 @@
 pub(crate) struct Copies {
     /// The worker's epoch to which the beliefs apply.
     pub epoch: u64,
-    /// The worker is one of the preferred ones that share the function.
+    /// The worker is one of those that serve the function for all front ends.
     pub shared: bool,
     /// Copies last known to be loaded.
     pub count: u32,
@@ -272,13 +276,15 @@
     pub step: Micros,
     pub bins: VecDeque<f64>,
     pub bin_number: u64,
-    /// Uses with slow decay, and the time of the last one.
+    /// Calls in a keep-alive, averaged over about two of these, and the time of the last call.
     pub uses: DecayingSum,
     pub used_at: Time,
     /// Errors before anything was served, and the time of the last one.
     pub errors: u32,
     pub failed_at: Time,
+    /// Loads in the first step of the last plan.
     pub last_loads: f64,
+    /// Requests that wait for a lane.
     pub held: Vec<RequestId>,
     /// Boxed: most functions have one entry, while a node of the map reserves space for eleven.
     pub copies: BTreeMap<WorkerId, Box<Copies>>,
@@ -290,11 +296,11 @@
     /// checked.
     pub index_version: u64,
     pub epoch: u64,
-    /// How many of the preferred workers share the function's calls among front ends; the same when last
-    /// marked.
+    /// How many of the preferred workers serve the function for all front ends (0: it is not shared); and
+    /// the value according to which [`Copies::shared`] is set.
     pub spread: usize,
     pub marked_spread: usize,
-    /// How many workers crowd marks ask for.
+    /// Number of workers that the function needs, estimated from crowd marks.
     pub reach: f64,
     /// When its next step is planned; 0 while it rests.
     pub plan_at: Time,
@@ -349,10 +355,11 @@
     pub called_off: bool,
 }
 
-/// What the end of an attempt tells.
+/// What is known from the end of an attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct Answer {
     pub outcome: Outcome,
+    /// The request has its final answer.
     pub last: bool,
     pub lag: Micros,
     pub mark: CopyMark,
@@ -362,7 +369,7 @@
     pub waited: Micros,
 }
 
-/// What the end of a load order tells.
+/// What is known from the end of a load order.
 #[derive(Clone, Copy)]
 pub(crate) struct LoadResult {
     pub outcome: Outcome,
@@ -372,8 +379,11 @@
 
 /// What to do with a request now.
 pub(crate) enum Choice {
+    /// Send it to this worker.
     Send(WorkerId),
+    /// Hold it, and order another copy at this worker.
     Load(WorkerId),
+    /// Hold it until a lane is free.
     Wait,
 }
 
@@ -386,7 +396,7 @@
     pub class: usize,
     pub tenant: usize,
     pub due: Time,
-    pub since: Time,
+    pub arrived_at: Time,
     /// It has its final answer.
     pub ended: bool,
     /// A streamed answer has begun.
@@ -397,14 +407,14 @@
 }
 
 impl OpenRequest {
-    pub(crate) fn new(slot: usize, request: &Request, since: Time) -> Self {
+    pub(crate) fn new(slot: usize, request: &Request, arrived_at: Time) -> Self {
         OpenRequest {
             id: request.id.clone(),
             slot,
             class: request.class,
             tenant: request.tenant,
             due: request.due,
-            since,
+            arrived_at,
             ended: false,
             stream: false,
             retry: request.retry,
--- a/crates/badgerwind/src/router.rs
+++ b/crates/badgerwind/src/router.rs
@@ -3,11 +3,11 @@
 use crate::{eligibility::CELL_SIZE, interface::*, records::*, router_state::RouterState};
 use badgerwind_cells::CellIndex;
 
-pub(crate) const MAX_HOLD: f64 = 2.0; // Longest wait for a warm lane, in load times; then a load or queue.
+pub(crate) const MAX_HOLD: f64 = 2.0; // Longest wait for a warm lane, in load times; then a load or a queue.
 pub(crate) const OVERDUE: f64 = 6.0; // Initial overdue factor, in mean service times; see OVERDUE_SHARE.
-const RUNS_PER_AIM: u64 = 16; // Maintenance runs in the shortest aim: how fast silence is seen, plans made.
+const RUNS_PER_AIM: u64 = 16; // Maintenance runs in the shortest aim: bounds delays of detection and plans.
 pub(crate) const MAX_RETRIES: f64 = 10.0; // Upper bound of the accumulated retry budget, in attempts.
-const MIN_ERRORS: u32 = 2; // Errors of a never served function from which it is doubtful.
+const MIN_ERRORS: u32 = 2; // Errors after which a function that was never served is doubtful.
 
 /// Makes the decisions of one front end.
 #[derive(Debug)]
--- a/crates/badgerwind/src/router_state.rs
+++ b/crates/badgerwind/src/router_state.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(crate) struct MaintenanceLimits {
     /// Most workers, and most functions, in one run.
-    pub most: usize,
+    pub max_items: usize,
     pub now: Time,
     /// Arrivals and orders, sends, and starts before these times are forgotten.
     pub window: Time,
@@ -184,7 +184,7 @@
         self.arrivals.forget_before(limits.window);
         self.orders.forget_before(limits.window);
         self.maintain_functions(limits);
-        let (workers, pass_ends) = self.workers_in_turn(limits.most);
+        let (workers, pass_ends) = self.workers_in_turn(limits.max_items);
         workers.iter().for_each(|id| self.maintain_worker(*id, limits));
         (workers, pass_ends)
     }
@@ -221,9 +221,9 @@
     /// Forgets functions that have not been called for long, and copies at removed workers, unless attempts
     /// or orders are pending.
     fn maintain_functions(&mut self, limits: &MaintenanceLimits) {
-        let (from, all) = (self.next_function, self.functions.len());
-        let to = all.min(from + limits.most);
-        self.next_function = if to < all { to } else { 0 };
+        let (from, count) = (self.next_function, self.functions.len());
+        let to = count.min(from + limits.max_items);
+        self.next_function = if to < count { to } else { 0 };
         let idle = |copies: &Copies| copies.in_flight == 0 && copies.orders.is_empty();
         for slot in from..to {
             let (function, workers) = (&mut self.functions[slot], &self.workers);
@@ -280,19 +280,19 @@
     pub(crate) fn preferred_workers(&self, slot: usize) -> impl Iterator<Item = &Worker> {
         self.functions[slot].preferred.iter().filter_map(|id| self.workers.get(id))
     }
-    /// Copies of a function. If there are more than `most`, only that many, beginning at a worker drawn by
-    /// `chance`.
+    /// Copies of a function. If there are more than `max`, only that many, beginning at a worker that
+    /// `chance`, from 0 to 1, selects.
     pub(crate) fn some_copies(
         &self,
         slot: usize,
-        most: usize,
+        max: usize,
         chance: f64,
     ) -> impl Iterator<Item = (&WorkerId, &Copies)> {
         let function = &self.functions[slot];
         let drawn = function.preferred.get((chance * function.preferred.len() as f64) as usize).copied();
-        let from = drawn.filter(|_| function.copies.len() > most).unwrap_or(0);
+        let from = drawn.filter(|_| function.copies.len() > max).unwrap_or(0);
         let copies = function.copies.range(from..).chain(function.copies.range(..from));
-        copies.map(|(id, copies)| (id, &**copies)).take(most)
+        copies.map(|(id, copies)| (id, &**copies)).take(max)
     }
     /// Sum of a tenant's rates that other front ends announced since `from`, and the number of those front
     /// ends.
@@ -359,21 +359,21 @@
         let Some(open) = self.open.get_mut(id) else { return Vec::new() };
         open.ended = true;
         let attempts = open.attempts.iter_mut().enumerate().filter(|(_, a)| a.in_flight && !a.called_off);
-        let off = attempts.map(|(n, attempt)| (attempt.called_off = true, n as u32).1).collect();
-        let (slot, forgotten) = (open.slot, open.attempts.iter().all(|attempt| !attempt.in_flight));
+        let newly_called_off = attempts.map(|(n, attempt)| (attempt.called_off = true, n as u32).1).collect();
+        let (slot, all_ended) = (open.slot, open.attempts.iter().all(|attempt| !attempt.in_flight));
         self.functions[slot].held.retain(|held| held != id);
         self.count_held(slot);
-        if forgotten {
+        if all_ended {
             self.open.remove(id);
         }
-        off
+        newly_called_off
     }
     /// Forgets rates that other front ends announced before this time.
     pub(crate) fn forget_peer_rates(&mut self, before: Time) {
         self.peer_rates.retain(|_, (at, _)| *at >= before);
     }
     /// Ready workers for a message, at most as many as it has space for: first those whose load is best
-    /// known, then others. Each id comes twice, as `message::write` takes it.
+    /// known, then others. Each id comes twice, as `message::encode` takes it.
     pub(crate) fn best_known_loads(&mut self, now: Time, span: f64) -> Vec<(WorkerId, WorkerId)> {
         let workers = &self.workers;
         let known = |id: &WorkerId| {
@@ -411,13 +411,14 @@
             function.copies.values_mut().for_each(|copies| copies.shared = false);
         }
     }
-    /// Sets how many of a function's preferred workers share it among front ends.
+    /// Sets how many of a function's preferred workers serve its calls for all front ends, and updates
+    /// [`Copies::shared`].
     pub(crate) fn set_spread(&mut self, slot: usize, spread: usize) {
         let function = &mut self.functions[slot];
         function.spread = spread;
         let marked = std::mem::replace(&mut function.marked_spread, spread);
-        let most = function.preferred.len();
-        for place in spread.min(marked)..spread.max(marked).min(most) {
+        let count = function.preferred.len();
+        for place in spread.min(marked)..spread.max(marked).min(count) {
             let id = self.functions[slot].preferred[place];
             self.copies_at(slot, id).shared = place < spread;
         }
--- a/crates/badgerwind/src/selection.rs
+++ b/crates/badgerwind/src/selection.rs
@@ -1,11 +1,11 @@
 //! Selection of a worker for a request, and the rules on further attempts.
 
-use crate::{eligibility::COLD_NEWS, interface::*, records::*, router::Router, router::MAX_HOLD};
+use crate::{eligibility::ABSENCE_VALID, interface::*, records::*, router::Router, router::MAX_HOLD};
 use badgerwind_placement::unit_hash;
 
 const CROWDING: f64 = 0.3; // Expected time added by each request of another front end, in service times.
 const RETRY_PENALTY: f64 = 0.3; // Cost of a failure as a share of the aim, where the request can be repeated.
-pub(crate) const CANDIDATES: usize = 128; // Most workers that one decision compares; of more, a random part.
+pub(crate) const CANDIDATES: usize = 128; // Most workers compared in one decision; of more, a random part.
 const NEXT_PREFERRED: usize = 8; // Further preferred workers that relieve one loaded above the mean.
 
 impl Router {
@@ -14,8 +14,8 @@
         open.attempts.last().map_or(open.retry, |attempt| !attempt.exempt)
     }
 
-    /// A warm lane that is believed free; else waiting, where a lane frees before a load ends; else the first
-    /// preferred worker not known to be cold; else a load order. `ahead` requests of the function come first.
+    /// Prefers a warm lane believed to be free; else waits if a lane frees before a load ends; else the first
+    /// preferred worker not known to be cold; else a load order. `ahead` requests are served before this one.
     pub(crate) fn choose(&self, slot: usize, open: &OpenRequest, ahead: usize) -> Choice {
         let (function, now) = (&self.state.functions[slot], self.now);
         let class = &self.settings.classes[open.class];
@@ -70,13 +70,13 @@
         }
         // Each lane that frees serves one of the requests ahead first, then frees again.
         let wait = wait_for_turn(lanes_free_in, ahead, mean);
-        let waited = now.saturating_sub(open.since) as f64 / function.load_time;
+        let waited = now.saturating_sub(open.arrived_at) as f64 / function.load_time;
         if wait <= function.load_time && waited <= MAX_HOLD {
             return Choice::Wait;
         }
         // No warm lane frees soon: take the first preferred worker, unless it is known to be cold.
         let pick = function.preferred.iter().find(|id| may(**id) && !tried(**id)).copied();
-        let cold_until = |copies: &Copies| copies.known_at + COLD_NEWS * function.load_time as u64;
+        let cold_until = |copies: &Copies| copies.known_at + ABSENCE_VALID * function.load_time as u64;
         let known = |copies: &Copies| copies.in_flight > 0 || copies.count == 0 && cold_until(copies) > now;
         let spare = self.settings.max_attempts as usize > open.attempts.len() + 1 || !self.settings.may_order;
         let unknown = |id: &WorkerId| spare && !function.copies.get(id).is_some_and(|copies| known(copies));
@@ -104,9 +104,9 @@
     pub(crate) fn may_send(&self, open: &OpenRequest, worker: &Worker) -> bool {
         let class = &self.settings.classes[open.class];
         let in_flight = open.attempts.iter().filter(|attempt| attempt.in_flight).count();
-        let most = usize::from(self.settings.may_duplicate);
-        let spent = open.attempts.len() >= self.settings.max_attempts.max(1) as usize;
-        if !worker.ready || open.ended || open.stream || spent || in_flight > most {
+        let others_allowed = usize::from(self.settings.may_duplicate);
+        let exhausted = open.attempts.len() >= self.settings.max_attempts.max(1) as usize;
+        if !worker.ready || open.ended || open.stream || exhausted || in_flight > others_allowed {
             return false;
         }
         let Some(first) = open.attempts.iter().find(|attempt| !attempt.never_ran) else { return true };
@@ -114,9 +114,9 @@
             Effect::Repeatable => true,
             Effect::Once => false,
             Effect::ByKey => {
-                let open = self.now < first.sent + class.window.saturating_sub(2 * self.settings.round);
+                let in_window = self.now < first.sent + class.window.saturating_sub(2 * self.settings.round);
                 let first = self.state.workers.get(&first.worker);
-                open && first.is_some_and(|first| first.drops_repeats(worker, class.group))
+                in_window && first.is_some_and(|first| first.drops_repeats(worker, class.group))
             }
         }
     }
--- a/crates/badgerwind/src/shares.rs
+++ b/crates/badgerwind/src/shares.rs
@@ -49,7 +49,7 @@
         let rates: Vec<f64> = tenants.map(|tenant| self.local_rate(tenant).unwrap_or(0.0)).collect();
         self.state.forget_peer_rates(now.saturating_sub((self.keep_alive() * PEER_RATES_VALID) as Micros));
         let loads = self.state.best_known_loads(now, span).into_iter();
-        let bytes = message::write(&rates, loads, |id| self.state.split_load(id, now, span));
+        let bytes = message::encode(&rates, loads, |id| self.state.split_load(id, now, span));
         let to = (self.settings.my_number + 1 + self.rng.u32(0..others)) % self.settings.front_ends;
         actions.push(Action::SendMessage { to: Some(to), bytes });
     }
