--- a/crates/badgerwind/tests/cells.rs
+++ b/crates/badgerwind/tests/cells.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn candidates_stay_few_however_long_the_list_and_the_check_sees_one_that_grows() {
+fn the_number_of_candidates_does_not_grow_with_the_list_and_the_check_detects_growth() {
     let candidates = |most: usize, workers: u32| {
         let mut index = CellIndex::new(most);
         (0..workers).for_each(|id| index.set(id, WEIGHT));
--- a/crates/badgerwind/tests/many.rs
+++ b/crates/badgerwind/tests/many.rs
@@ -122,9 +122,9 @@
     );
 }
 
-/// Clients that retried at once, many times, used the capacity of all others.
+/// Clients that retried many times without a pause used the capacity of all others.
 #[test]
-fn repeats_by_clients_are_held_to_a_share_of_first_tries() {
+fn client_retries_are_limited_to_a_share_of_first_attempts() {
     let mut checked = CheckedRouter::new(many(100), 6);
     for n in 0..100 {
         request_as(&mut checked, &format!("first{n}"), &format!("f{n}"), (0, 0, false));
@@ -133,7 +133,7 @@
     let sent = |kind: &str| checked.attempts.iter().filter(|(id, _)| id.starts_with(kind)).count();
     assert_eq!(sent("first"), 100);
     let again = sent("again");
-    assert!((10..=31).contains(&again), "{again} repeats sent at 100 first tries");
+    assert!((10..=31).contains(&again), "{again} retries sent at 100 first attempts");
 }
 
 /// One send a window by each of 200 front ends overloaded a cold worker. With hashed starts they stay within
@@ -195,7 +195,7 @@
 /// The stored order of preferred workers was older than the list: a load went to a worker after it was listed
 /// as draining.
 #[test]
-fn no_load_goes_to_a_worker_that_drains_though_its_function_is_still_placed_there() {
+fn no_load_is_ordered_at_a_draining_worker_that_its_function_still_prefers() {
     let mut checked = CheckedRouter::new(many(2), 8);
     for n in 0..30 {
         request_as(&mut checked, &format!("{n}"), "f", (0, 0, false));
@@ -224,7 +224,7 @@
 /// because that executor was still too cold for a call; from then on it ordered sixteen again every 2 ms,
 /// since each order was answered at once.
 #[test]
-fn no_further_copy_is_ordered_where_a_free_one_stands_that_may_not_be_used() {
+fn no_further_copy_is_ordered_where_a_free_one_is_loaded_but_may_not_be_used() {
     let mut held = 0;
     for n in 0..8 {
         let mut set = many(100);
--- a/crates/badgerwind/tests/module.rs
+++ b/crates/badgerwind/tests/module.rs
@@ -7,7 +7,7 @@
 use common::*;
 
 #[test]
-fn a_miss_orders_one_copy_there_and_resends_when_it_stands() {
+fn a_miss_orders_one_copy_there_and_resends_once_it_is_loaded() {
     let mut checked = CheckedRouter::new(settings(Effect::Once), 4);
     checked.request("a", "f", 3000 * MS);
     let worker = checked.sends("a")[0];
@@ -54,17 +54,17 @@
 }
 
 #[test]
-fn the_time_out_at_the_deadline_is_answered_and_the_clients_end_in_the_same_batch_ignored() {
+fn a_timeout_at_the_deadline_is_answered_and_a_disconnect_in_the_same_batch_is_ignored() {
     let (mut checked, _) = warmed(Effect::Once);
     checked.request("a", "f", 500 * MS);
     checked.now += 500 * MS;
-    let acts = checked.answer("a", 0, Outcome::Timeout, CopyMark::Untold);
-    assert!(acts.contains(&Action::Fail { id: "a".into() }));
+    let actions = checked.answer("a", 0, Outcome::Timeout, CopyMark::Untold);
+    assert!(actions.contains(&Action::Fail { id: "a".into() }));
     assert!(checked.event(Event::ClientDisconnected { id: "a".into() }).is_empty());
 }
 
 #[test]
-fn outcomes_that_prove_nothing_end_a_once_request_and_others_let_it_go_on() {
+fn a_once_request_is_resent_only_after_outcomes_that_prove_it_never_ran() {
     for (outcome, again) in [
         (Outcome::Error, false),
         (Outcome::Timeout, false),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_worker_that_drains_until_it_is_back() {
+fn nothing_is_sent_to_a_draining_worker_until_it_is_ready_again() {
     let (mut checked, worker) = warmed(Effect::Repeatable);
     let entries = vec![entry(worker, Availability::Draining, None)];
     checked.event(Event::List { kind: ListKind::Changes, entries });
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_silent_worker_is_noticed_and_what_may_be_repeated_goes_elsewhere() {
+fn a_silent_worker_is_detected_and_repeatable_requests_go_elsewhere() {
     let (mut checked, worker) = warmed(Effect::Repeatable);
     checked.request("a", "f", 3000 * MS);
     checked.request("b", "f", 3000 * MS);
--- a/crates/badgerwind/tests/ramps.rs
+++ b/crates/badgerwind/tests/ramps.rs
@@ -18,13 +18,14 @@
 /// The front ends that restart while executors are cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Restarts {
-    Nobody,
+    None,
     /// Seven in ten at once, this long after the start of the executors.
     Together(Time),
     /// A tenth at a time, at this interval.
     Rolling(Time),
 }
 
+/// The randomly drawn parameters of a fleet.
 #[derive(Clone, Debug)]
 struct Draw {
     seed: u64,
@@ -52,23 +53,24 @@
         load: 0.4 + 0.5 * rng.f64(),
         cold: [1, 1, 3, 5][rng.usize(0..4)],
         lost: [0, 2, 4][rng.usize(0..3)],
-        restarts: [Restarts::Nobody, Restarts::Together(after), Restarts::Rolling(after / 6)]
-            [rng.usize(0..3)],
+        restarts: [Restarts::None, Restarts::Together(after), Restarts::Rolling(after / 6)][rng.usize(0..3)],
     }
 }
 
 struct Front {
     router: Router,
-    /// Events that are due for an earlier incarnation are dropped.
+    /// Number of restarts. Events that were scheduled before the last restart are dropped.
     incarnation: u64,
     share: f64,
 }
 
+/// What is scheduled for a front end.
 enum Due {
     Event(Event),
     Restart,
 }
 
+/// A simulated fleet of front ends and executors.
 struct Fleet {
     draw: Draw,
     set: Settings,
@@ -226,7 +228,7 @@
             let tenth = (n as u64 * 10) / self.fronts.len() as u64;
             match self.draw.restarts {
                 Restarts::Together(after) if n % 10 < 7 => self.at(self.born + after, n, Due::Restart),
-                Restarts::Rolling(each) => self.at(self.born + each * (tenth + 1), n, Due::Restart),
+                Restarts::Rolling(interval) => self.at(self.born + interval * (tenth + 1), n, Due::Restart),
                 _ => {}
             }
         }
@@ -260,7 +262,7 @@
 
 /// Above the budget of N calls, 2 times the square root of N, and 2 more, count as random variation.
 #[test]
-fn whole_fleets_keep_the_ramp_of_cold_executors_also_while_front_ends_start_again() {
+fn fleets_keep_the_budgets_of_cold_executors_also_while_front_ends_restart() {
     let more = std::env::var("RAMPS").ok().and_then(|n| n.parse().ok());
     let (mut used, mut violations, fleets) = (0.0, Vec::new(), more.unwrap_or(FLEETS));
     for seed in 1..=fleets {
--- a/crates/badgerwind/tests/sockets.rs
+++ b/crates/badgerwind/tests/sockets.rs
@@ -40,7 +40,7 @@
 
 /// The broken connection of an order made the router forget copies that were loaded.
 #[test]
-fn an_order_cut_off_says_nothing_of_the_copies() {
+fn an_interrupted_order_proves_nothing_about_the_copies() {
     for (outcome, trusted) in [(Outcome::Reset, true), (Outcome::ConnectFailed, false)] {
         let (mut checked, worker) = warmed();
         // Renewal asks for the copies before they expire.
@@ -199,7 +199,7 @@
     assert!(at_preferred[0] > 30 && at_preferred[1] < 15, "{at_preferred:?} of 40 at the preferred worker");
 }
 
-/// Estimates of loads are passed on to other front ends, and no sample counts twice on its way.
+/// Estimates of loads are passed on to other front ends, and no sample is counted twice.
 #[test]
 fn received_loads_are_passed_on() {
     let mut set = settings(Effect::Repeatable);
@@ -321,7 +321,7 @@
     assert_eq!((tried, over), (1, 199));
 }
 
-/// Names and workers come and go: the size of the state follows the current ones.
+/// Names and workers change: the size of the state depends on the current ones only.
 #[test]
 fn ten_thousand_workers_and_names_leave_no_state_behind() {
     let mut set = settings(Effect::Repeatable);
