--- a/crates/badgerwind-attempts/src/fence.rs
+++ b/crates/badgerwind-attempts/src/fence.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Orders the attempts of one call: by the time at which a front end received the try, then by that front
-/// end's number, then by the attempt. The clocks of front ends may differ. That is safe: if the order is
+/// Orders the attempts of one call: by the time at which a front end received the call or a repeat of it,
+/// then by that front end's number, then by the attempt. The clocks of front ends may differ. That is safe: if the order is
 /// wrong, a runner rejects an attempt that it could have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fence {
-    /// When the front end received the try, in microseconds since the Unix epoch by its own clock.
+    /// When the front end received the call or its repeat, in microseconds since the Unix epoch by its own clock.
     pub taken: u64,
     /// The front end's number.
     pub front: u32,
--- a/crates/badgerwind-attempts/src/ledger.rs
+++ b/crates/badgerwind-attempts/src/ledger.rs
@@ -40,11 +40,13 @@
 
 #[derive(Clone, Debug)]
 enum State<A> {
-    /// An attempt was admitted and is running; with the end of its lease.
+    /// An attempt was admitted and is running, until the end of its lease at the latest.
     Running(Time),
     /// The last admitted attempt provably did not run. A newer one may be admitted.
     NotRun,
+    /// An attempt ran, with this answer.
     Ran(A),
+    /// An attempt may have run.
     InDoubt,
 }
 
@@ -83,6 +85,7 @@
         self.calls.is_empty()
     }
 
+    /// Marks calls whose lease has expired as in doubt, and removes those whose retention has ended.
     fn expire(&mut self, now: Time) {
         while self.expiries.front().is_some_and(|(at, _)| *at <= now) {
             let Some((_, key)) = self.expiries.pop_front() else { break };
--- a/crates/badgerwind-attempts/src/proof.rs
+++ b/crates/badgerwind-attempts/src/proof.rs
@@ -13,8 +13,8 @@
 enum Reason {
     NeverSent,
     NoConnection,
-    TurnedAway,
-    Absent,
+    Rejected,
+    NotLoaded,
 }
 
 impl NeverRan {
@@ -24,8 +24,8 @@
         let reason = match outcome {
             Outcome::Moot => Reason::NeverSent,
             Outcome::ConnectFailed => Reason::NoConnection,
-            Outcome::Full => Reason::TurnedAway,
-            Outcome::Miss => Reason::Absent,
+            Outcome::Full => Reason::Rejected,
+            Outcome::Miss => Reason::NotLoaded,
             Outcome::Ok | Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
                 return None
             }
@@ -38,8 +38,8 @@
         match self.reason {
             Reason::NeverSent => "it was never sent",
             Reason::NoConnection => "no connection was made",
-            Reason::TurnedAway => "the runner rejected it before it ran",
-            Reason::Absent => "the runner had not loaded the function",
+            Reason::Rejected => "the runner rejected it before it ran",
+            Reason::NotLoaded => "the runner had not loaded the function",
         }
     }
 }
--- a/crates/badgerwind-cells/src/trie.rs
+++ b/crates/badgerwind-cells/src/trie.rs
@@ -36,14 +36,17 @@
 }
 
 #[derive(Debug)]
-enum Kind {
+enum NodeKind {
+    /// A cell: its members, ordered by id, and the number of the change that last modified it.
     Leaf { members: Vec<Member>, changed: u64 },
+    /// Indexes of the nodes for the next bit 0 and 1 of a position.
     Fork { children: [usize; 2] },
 }
 
 #[derive(Debug)]
 struct Node {
-    kind: Kind,
+    kind: NodeKind,
+    /// Number and total weight of the members below the node.
     count: usize,
     weight: u64,
 }
@@ -51,7 +54,7 @@
 impl Node {
     fn leaf(members: Vec<Member>, changed: u64) -> Self {
         let weight = members.iter().map(|m| m.weight).sum();
-        Node { count: members.len(), weight, kind: Kind::Leaf { members, changed } }
+        Node { count: members.len(), weight, kind: NodeKind::Leaf { members, changed } }
     }
 }
 
@@ -60,8 +63,11 @@
 pub struct CellIndex {
     max_members: usize,
     nodes: Vec<Node>,
+    /// Indexes of unused entries of `nodes`.
     free: Vec<usize>,
+    /// Number of leaves.
     cells: usize,
+    /// Number of changes so far.
     changes: u64,
 }
 
@@ -110,8 +116,8 @@
         let (mut bits, mut node) = (position(id), ROOT);
         loop {
             match &self.nodes[node].kind {
-                Kind::Fork { children } => node = children[(bits >> 63) as usize],
-                Kind::Leaf { members, .. } => {
+                NodeKind::Fork { children } => node = children[(bits >> 63) as usize],
+                NodeKind::Leaf { members, .. } => {
                     let place = members.binary_search_by_key(&id, |m| m.id).ok()?;
                     return Some(members[place].weight);
                 }
@@ -127,7 +133,7 @@
         }
         let (path, leaf) = self.path_to(id);
         let (changed, depth) = (self.changes + 1, path.len() as u32);
-        let Kind::Leaf { members, changed: stamp } = &mut self.nodes[leaf].kind else { return };
+        let NodeKind::Leaf { members, changed: last_changed } = &mut self.nodes[leaf].kind else { return };
         let (added, before) = match members.binary_search_by_key(&id, |m| m.id) {
             Ok(place) => (0, std::mem::replace(&mut members[place].weight, weight)),
             Err(place) => {
@@ -135,7 +141,7 @@
                 (1, 0)
             }
         };
-        *stamp = changed;
+        *last_changed = changed;
         self.changes = changed;
         for node in path.into_iter().chain([leaf]) {
             self.nodes[node].count += added;
@@ -148,18 +154,19 @@
     pub fn remove(&mut self, id: u32) {
         let (path, leaf) = self.path_to(id);
         let changed = self.changes + 1;
-        let Kind::Leaf { members, changed: stamp } = &mut self.nodes[leaf].kind else { return };
+        let NodeKind::Leaf { members, changed: last_changed } = &mut self.nodes[leaf].kind else { return };
         let Ok(place) = members.binary_search_by_key(&id, |m| m.id) else { return };
         let removed = members.remove(place);
-        *stamp = changed;
+        *last_changed = changed;
         self.changes = changed;
         for &node in path.iter().chain([&leaf]) {
             self.nodes[node].count -= 1;
             self.nodes[node].weight -= removed.weight;
         }
-        let joined = path.into_iter().find(|&node| self.nodes[node].count <= self.max_members);
-        if let Some(fork) = joined {
-            self.join(fork);
+        // The first fork from the root whose members fit into one leaf.
+        let mergeable = path.into_iter().find(|&node| self.nodes[node].count <= self.max_members);
+        if let Some(fork) = mergeable {
+            self.merge(fork);
         }
     }
 
@@ -172,8 +179,10 @@
                 return None;
             }
             let children = match &self.nodes[node].kind {
-                Kind::Leaf { members, changed } => return Some(Cell { path, changed: *changed, members }),
-                Kind::Fork { children } => children,
+                NodeKind::Leaf { members, changed } => {
+                    return Some(Cell { path, changed: *changed, members })
+                }
+                NodeKind::Fork { children } => children,
             };
             // Uniform in 0..total: the upper half of the product.
             let drawn = (u128::from(mix(key ^ mix(path))) * u128::from(total)) >> 64;
@@ -203,7 +212,7 @@
     fn path_to(&self, id: u32) -> (Vec<usize>, usize) {
         let mut bits = position(id);
         let (mut forks, mut node) = (Vec::new(), ROOT);
-        while let Kind::Fork { children } = &self.nodes[node].kind {
+        while let NodeKind::Fork { children } = &self.nodes[node].kind {
             forks.push(node);
             node = children[(bits >> 63) as usize];
             bits <<= 1;
@@ -218,17 +227,17 @@
             return;
         }
         let changed = self.changes;
-        let Kind::Leaf { members, .. } = &mut self.nodes[leaf].kind else { return };
+        let NodeKind::Leaf { members, .. } = &mut self.nodes[leaf].kind else { return };
         let (right, left): (Vec<Member>, Vec<Member>) =
             std::mem::take(members).into_iter().partition(|m| position(m.id) << depth >> 63 == 1);
         let children = [left, right].map(|members| self.allocate(Node::leaf(members, changed)));
-        self.nodes[leaf].kind = Kind::Fork { children };
+        self.nodes[leaf].kind = NodeKind::Fork { children };
         self.cells += 1;
         children.into_iter().for_each(|child| self.split(child, depth + 1));
     }
 
     /// Replaces a fork and all nodes below it with one leaf.
-    fn join(&mut self, fork: usize) {
+    fn merge(&mut self, fork: usize) {
         let mut members = Vec::with_capacity(self.nodes[fork].count);
         self.gather(fork, &mut members);
         members.sort_unstable_by_key(|m| m.id);
@@ -237,10 +246,10 @@
 
     /// Moves all members below a node to `members`, and frees the nodes below it.
     fn gather(&mut self, node: usize, members: &mut Vec<Member>) {
-        let emptied = Kind::Leaf { members: Vec::new(), changed: self.changes };
+        let emptied = NodeKind::Leaf { members: Vec::new(), changed: self.changes };
         match std::mem::replace(&mut self.nodes[node].kind, emptied) {
-            Kind::Leaf { members: of_leaf, .. } => members.extend(of_leaf),
-            Kind::Fork { children } => {
+            NodeKind::Leaf { members: leaf_members, .. } => members.extend(leaf_members),
+            NodeKind::Fork { children } => {
                 self.cells -= 1;
                 for child in children {
                     self.gather(child, members);
--- a/crates/badgerwind-driver/src/driver.rs
+++ b/crates/badgerwind-driver/src/driver.rs
@@ -8,7 +8,7 @@
 /// Longest message between front ends, in bytes; longer ones are truncated.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// Owns a decision module and does its bookkeeping; see the crate documentation.
+/// Owns a decision module and tracks its calls, orders, probes and timers; see the crate documentation.
 ///
 /// `O` is the origin of a call, to which its answer goes; `C` is the content sent to a runner; `R` is a
 /// runner's reply.
--- a/crates/badgerwind-driver/src/ledger.rs
+++ b/crates/badgerwind-driver/src/ledger.rs
@@ -87,7 +87,9 @@
     CallDue(RequestId),
     /// The driver fails the call if the module has not answered it.
     AnswerOverdue(RequestId),
+    /// The order was not answered in time.
     OrderTimeout(OrderId),
+    /// The probe with this number was not answered in time.
     ProbeTimeout(u64),
     /// Reports an attempt that was never sent.
     AttemptNotSent(RequestId, u32, WorkerId),
--- a/crates/badgerwind-freshness/src/confirmation.rs
+++ b/crates/badgerwind-freshness/src/confirmation.rs
@@ -23,17 +23,17 @@
 use badgerwind::interface::{FunctionId, Micros, Outcome, Time, WorkerId};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// The last part of the grace period, which stays unused to allow for the time between reading the clock and
-/// sending the first byte.
+/// Subtracted from the grace period, to allow for the time between reading the clock and sending the first
+/// byte.
 const SEND_MARGIN: Micros = 10_000;
 /// Minimum validity of a confirmation, for very short grace periods: half of the 50 ms by which the protocol
 /// extends each limit.
 const MIN_VALIDITY: Micros = 25_000;
-/// A process that died is not replaced by another one sooner than this after its connections ended.
+/// Minimum time between the end of a process's connections and the start of another one in its place.
 const MIN_REPLACEMENT_TIME: Micros = 500_000;
 /// Maximum delay before reconnecting to an executor whose last connection ended.
 const MAX_RECONNECT_DELAY: Micros = 200_000;
-/// Time after which discovery has noticed that an executor is unreachable.
+/// Maximum time in which discovery detects that an executor is unreachable.
 const MAX_DETECTION_TIME: Micros = 10_000_000;
 /// Minimum pause after consecutive rejected calls; it doubles with each further one.
 const MIN_REJECTION_PAUSE: Micros = 250_000;
@@ -457,7 +457,7 @@
         record.maybe_replaced |= service == Service::Unidentified;
         // If the list may be older than the process, and its first answer says that it has no copy of a
         // called function, the process may have just started. Shortly after a start of the front end this is
-        // not presumed, because discovery's first frame is on its way and contains restarts.
+        // not presumed, because discovery's first frame has yet to arrive and contains restarts.
         let list_of_unknown_age = !self.source.ever_confirmed() && now >= self.started + MAX_FIRST_LIST_TIME;
         let has_answered = std::mem::replace(&mut record.has_answered, true);
         let mut changes = Vec::new();
--- a/crates/badgerwind-freshness/src/record.rs
+++ b/crates/badgerwind-freshness/src/record.rs
@@ -54,9 +54,9 @@
     pub unresponsive: bool,
     /// Its connections may lead to another process than before.
     pub maybe_replaced: bool,
-    /// The module was told to presume that it has restarted.
+    /// A presumed restart was reported to the decision module.
     pub reported_restarted: bool,
-    /// The module was told that it accepts no work.
+    /// It was reported to the decision module as out of service.
     pub reported_out_of_service: bool,
 }
 
@@ -71,7 +71,7 @@
         self.inquiry.is_some_and(|inquiry| now < inquiry.asked + answer_timeout)
     }
 
-    /// Whether the module was told something else than discovery announced.
+    /// Whether what was reported to the decision module differs from what discovery announced.
     pub fn module_view_differs(&self) -> bool {
         self.reported_out_of_service || self.reported_restarted
     }
--- a/crates/badgerwind-freshness/tests/confirmation.rs
+++ b/crates/badgerwind-freshness/tests/confirmation.rs
@@ -301,7 +301,7 @@
         freshness.on_questions_queued(now, worker, "f".into());
         confirm(&mut freshness, now, worker, (now, copies))
     };
-    assert_eq!(first_answer(SECOND, 9, 0), [], "discovery's first frame is on its way");
+    assert_eq!(first_answer(SECOND, 9, 0), [], "discovery's first frame has yet to arrive");
     assert_eq!(first_answer(2 * SECOND, WORKER, 0), [Change::PresumedRestarted(WORKER)]);
     assert_eq!(first_answer(2 * SECOND, WORKER, 0), [], "only once");
     assert_eq!(first_answer(2 * SECOND, 8, 1), [], "it has copies, so it has not just started");
--- a/crates/badgerwind-guard/src/bucket.rs
+++ b/crates/badgerwind-guard/src/bucket.rs
@@ -32,7 +32,7 @@
         Bucket { tokens: budget.capacity(), refilled_at: now }
     }
 
-    /// Refills the bucket up to now. A clock that stands still or goes back refills nothing.
+    /// Refills the bucket up to now. A clock that stops or goes back refills nothing.
     pub(crate) fn refill(&mut self, budget: &Budget, now: Time) {
         let gained = now.saturating_sub(self.refilled_at).saturating_mul(u64::from(budget.rate));
         self.tokens = self.tokens.saturating_add(gained).min(budget.capacity());
--- a/crates/badgerwind-guard/src/guard.rs
+++ b/crates/badgerwind-guard/src/guard.rs
@@ -11,7 +11,7 @@
     pub source: Budget,
     /// Failed checks of all unknown sources that post as one sender.
     pub sender: Budget,
-    /// Upper bound of the sources with a budget of their own, and of the known pairs of source and sender.
+    /// Upper bound of the sources with their own budget, and of the known pairs of source and sender.
     /// Further sources share one budget.
     pub max_sources: usize,
     /// How long a source is known to a sender after a valid signature, in microseconds.
@@ -29,12 +29,12 @@
     pub sender: usize,
 }
 
-/// Why a message is rejected unread.
+/// Why a message is rejected before its body is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The source's budget is spent; with the minimum time in microseconds before a new attempt can succeed.
+    /// The source's budget is spent. Holds the minimum time in microseconds before a new attempt can succeed.
     Source(Time),
-    /// The sender's budget for unknown sources is spent; with the same time.
+    /// The sender's budget for unknown sources is spent. Holds the same time.
     UnknownSources(Time),
 }
 
@@ -56,7 +56,7 @@
     bytes: u64,
     cost: u64,
     unknown: bool,
-    /// The source has no budget of its own.
+    /// The source pays from the budget that all sources beyond [`Limits::max_sources`] share.
     shared: bool,
 }
 
@@ -124,7 +124,7 @@
         self.unknown_sources.clear();
     }
 
-    /// The number of sources with a budget of their own that is not full.
+    /// The number of sources with their own budget that is not full.
     pub fn tracked_sources(&self) -> usize {
         self.sources.len()
     }
@@ -138,7 +138,7 @@
         TOKEN.saturating_mul(1 + bytes / self.limits.bytes_per_check.max(1))
     }
 
-    /// Decides by the head of a message, before its body is read. `bytes` is the declared length of the body,
+    /// Decides from the header of a message, before its body is read. `bytes` is the declared length of the body,
     /// or the limit on it if none is declared.
     pub fn admit(&mut self, now: Time, claimant: Claimant, bytes: u64) -> Result<Permit, Rejection> {
         let cost = self.cost(bytes);
@@ -203,7 +203,7 @@
         (self.shared, true)
     }
 
-    /// Whether one more source can have a budget of its own. If necessary, removes one whose budget is full
+    /// Whether one more source can have its own budget. If necessary, removes one whose budget is full
     /// again.
     fn make_room(&mut self, now: Time) -> bool {
         if self.sources.len() < self.limits.max_sources {
--- a/crates/badgerwind-guard/src/source.rs
+++ b/crates/badgerwind-guard/src/source.rs
@@ -33,7 +33,7 @@
 /// The client's address behind trusted balancers: the last address in `X-Forwarded-For` that is not one of
 /// theirs. What a trusted balancer appended is reliable; what precedes the first other address is not, since
 /// that client may have written it. Several header lines are one list in their order (RFC 9110 section 5.3),
-/// as a balancer may append a line of its own after one that the client sent. `None` where the connection is
+/// as a balancer may append its own line after one that the client sent. `None` where the connection is
 /// not from a trusted balancer, or the header gives no such address.
 pub fn forwarded_address(peer: IpAddr, trusted: &[IpAddr], lines: &[&str]) -> Option<IpAddr> {
     // A dual-stack listener reports IPv4 peers as IPv4-mapped IPv6 addresses.
--- a/crates/badgerwind-instance/src/lib.rs
+++ b/crates/badgerwind-instance/src/lib.rs
@@ -7,7 +7,7 @@
 use badgerwind::interface::*;
 use serde_json::{Map, Value};
 
-/// Typed access to the fields of a JSON object. Errors name the field.
+/// Typed access to the fields of a JSON object. An error message names the field.
 pub struct Fields<'a>(pub &'a Map<String, Value>);
 
 impl<'a> Fields<'a> {
@@ -73,7 +73,7 @@
 pub fn parse_settings(info: &Fields) -> Settings {
     let empty = Map::new();
     let part = |name: &str| Fields(info.0.get(name).and_then(Value::as_object).unwrap_or(&empty));
-    let (allowed, charges, rules, facts, report) =
+    let (allowed, charges, rules, specifics, report) =
         (part("allowed"), part("charges"), part("rules"), part("specifics"), part("report"));
     let objects = |name: &str| info.array(name).iter().filter_map(Value::as_object).map(Fields);
     Settings {
@@ -107,21 +107,21 @@
         over_share_worth: info.number("overShareWorth"),
         discovery: if info.text("discovery") == "ask" { Discovery::Ask } else { Discovery::Push },
         ask_within: rules.integer("askWithin"),
-        when_absent: if facts.text("whenAbsent") == "miss" { WhenAbsent::Miss } else { WhenAbsent::Load },
-        keep_alive: facts.integer("staysLoaded"),
-        memory_mb: facts
+        when_absent: if specifics.text("whenAbsent") == "miss" { WhenAbsent::Miss } else { WhenAbsent::Load },
+        keep_alive: specifics.integer("staysLoaded"),
+        memory_mb: specifics
             .array("memoryMbByKind")
             .iter()
             .map(|memory| memory.as_f64().unwrap_or(0.0))
             .collect(),
-        order_timeout: facts.integer("orderLimit"),
-        may_order: facts.flag("placementCalls"),
-        marks_warm: facts.flag("marksCold"),
-        marks_crowd: facts.flag("tellsCrowd"),
-        load_window: facts.integer("loadsWithin"),
-        load_free: facts.number("freeLoads"),
-        load_share: facts.number("loadsPerRequest"),
-        idle_price: facts.number("idlePrice"),
+        order_timeout: specifics.integer("orderLimit"),
+        may_order: specifics.flag("placementCalls"),
+        marks_warm: specifics.flag("marksCold"),
+        marks_crowd: specifics.flag("tellsCrowd"),
+        load_window: specifics.integer("loadsWithin"),
+        load_free: specifics.number("freeLoads"),
+        load_share: specifics.number("loadsPerRequest"),
+        idle_price: specifics.number("idlePrice"),
         fetch_price: charges.number("origin"),
         zone_price: charges.number("crossZone"),
         max_attempts: allowed.integer("maxAttempts") as u32,
