--- a/crates/badgerwind-driver/tests/driver.rs
+++ b/crates/badgerwind-driver/tests/driver.rs
@@ -22,7 +22,7 @@
         let mut script = self.script.borrow_mut();
         if !script.is_empty() {
             for action in script.remove(0) {
-                assert!(!matches!(&action, Action::Log { text } if text == "panic"), "asked to");
+                assert!(!matches!(&action, Action::Log { text } if text == "panic"), "scripted panic");
                 out.push(action);
             }
         }
@@ -281,7 +281,9 @@
     driver.on_batch(0, [list(&[7]), call(1, 11, 1_000), call(2, 12, 1_000), call(3, 13, 1_000)], &mut out);
     let failed = FinalAnswer::Failed(Failure::ModuleFailed);
     assert_eq!(final_answers(&out), [(11, &failed), (12, &failed), (13, &failed)]);
-    assert!(out.iter().any(|o| matches!(o, Output::ModuleFailed { text } if text.contains("asked to"))));
+    assert!(out
+        .iter()
+        .any(|o| matches!(o, Output::ModuleFailed { text } if text.contains("scripted panic"))));
     assert!(out.iter().any(|o| matches!(o, Output::Cancel { worker: 7, .. })));
     assert_eq!((module.events.borrow().len(), driver.unanswered()), (3, 0));
 }
--- a/crates/badgerwind-forecast/src/lib.rs
+++ b/crates/badgerwind-forecast/src/lib.rs
@@ -49,6 +49,6 @@
     // Standard deviation of the rates over a load time each: single bins of a rare function are mostly noise.
     let rates = bins.chunks(STEPS_PER_LOAD as usize).map(|b| b.iter().sum::<f64>() / b.len() as f64);
     let spread: Vec<f64> = rates.map(|r| (r - mean).powi(2)).collect();
-    let top = mean + CLIP_SIGMA * (spread.iter().sum::<f64>() / spread.len() as f64).sqrt();
-    ahead.into_iter().map(|y| y.max(0.0).min(top)).collect()
+    let ceiling = mean + CLIP_SIGMA * (spread.iter().sum::<f64>() / spread.len() as f64).sqrt();
+    ahead.into_iter().map(|y| y.max(0.0).min(ceiling)).collect()
 }
--- a/crates/badgerwind/src/events.rs
+++ b/crates/badgerwind/src/events.rs
@@ -1,8 +1,15 @@
 //! Dispatch of events to the parts of the router. The decisions themselves are in the files that
 //! `deploy/balancer.toml` names under `policy`, the public types in `interface.rs`, and the records in
 //! `records.rs`. A [`Router`] forecasts each function's arrivals, plans loads and drops by a short horizon
-//! cost search, holds requests for warm lanes that free soon, and observes the five rules. See
-//! docs/design/module.md.
+//! cost search, holds requests for warm lanes that free soon, and keeps five rules:
+//!
+//! 1. Each request gets its final answer in time.
+//! 2. No further attempt is made where the request must not run again.
+//! 3. A worker that is not ready gets nothing new.
+//! 4. A worker that has just started is not sent more than its cold budget.
+//! 5. Load orders stay within their limit.
+//!
+//! See docs/design/module.md.
 
 use crate::feedback::MAX_LIMIT;
 use crate::interface::*;
--- a/crates/badgerwind/src/interface.rs
+++ b/crates/badgerwind/src/interface.rs
@@ -139,7 +139,7 @@
     pub over_share_worth: f64,
     /// How the list of workers reaches this front end.
     pub discovery: Discovery,
-    /// For [`Discovery::Ask`]: a front end that has not asked for this long counts as informed of all changes.
+    /// For [`Discovery::Ask`]: a front end that did not ask for this time counts as informed of all changes.
     pub ask_within: Micros,
     /// What a worker does with a request for a function that it has not loaded.
     pub when_absent: WhenAbsent,
--- a/crates/badgerwind/tests/common/mod.rs
+++ b/crates/badgerwind/tests/common/mod.rs
@@ -89,7 +89,7 @@
 /// A router whose every event and action is checked against the rules.
 pub struct CheckedRouter {
     pub router: Router,
-    pub set: Settings,
+    pub settings: Settings,
     pub now: Time,
     pub alarms: Vec<Time>,
     pub due: BTreeMap<RequestId, Time>,
@@ -103,11 +103,11 @@
 }
 
 impl CheckedRouter {
-    pub fn new(set: Settings, workers: u32) -> Self {
-        let router = Router::new(7, set.clone());
+    pub fn new(settings: Settings, workers: u32) -> Self {
+        let router = Router::new(7, settings.clone());
         let mut checked = CheckedRouter {
             router,
-            set,
+            settings,
             now: 1_000_000,
             alarms: vec![],
             due: BTreeMap::new(),
@@ -167,15 +167,18 @@
             Action::Send { id, worker, .. } => {
                 assert!(!self.answered.contains_key(id), "sent after its final answer");
                 assert!(self.ready[worker], "sent to a worker that is draining or removed");
-                let class = &self.set.classes[0];
+                let class = &self.settings.classes[0];
                 let tried = self.attempts.entry(id.clone()).or_default();
-                assert!((tried.len() as u32) < self.set.max_attempts, "more attempts than allowed");
-                let out = tried.iter().filter(|t| t.ended.is_none()).count();
-                assert!(out <= usize::from(self.set.may_duplicate), "two attempts in flight at once");
+                assert!((tried.len() as u32) < self.settings.max_attempts, "more attempts than allowed");
+                let in_flight = tried.iter().filter(|t| t.ended.is_none()).count();
+                assert!(
+                    in_flight <= usize::from(self.settings.may_duplicate),
+                    "two attempts in flight at once"
+                );
                 if let Some(first) = tried.iter().find(|t| !proves_never_ran(t.ended)) {
                     match class.effect {
                         Effect::Repeatable => {}
-                        Effect::Once => panic!("a once request sent again"),
+                        Effect::Once => panic!("a once request was sent again"),
                         Effect::ByKey => {
                             assert_eq!(first.worker % 2, worker % 2, "sent again outside its zone");
                             assert!(now < first.at + class.window, "sent again after the window");
@@ -190,11 +193,12 @@
             }
             Action::Refuse { id, .. } | Action::Fail { id } => {
                 assert!(self.answered.insert(id.clone(), now).is_none(), "two final answers");
-                assert!(now <= self.due[id] + self.set.answer_slack, "answered too late");
-                let clean = self.attempts.get(id).is_none_or(|t| t.iter().all(|t| proves_never_ran(t.ended)));
+                assert!(now <= self.due[id] + self.settings.answer_slack, "answered too late");
+                let never_ran =
+                    self.attempts.get(id).is_none_or(|t| t.iter().all(|t| proves_never_ran(t.ended)));
                 if matches!(action, Action::Refuse { .. }) {
                     assert!(
-                        clean || self.set.classes[0].effect == Effect::Repeatable,
+                        never_ran || self.settings.classes[0].effect == Effect::Repeatable,
                         "refused though it may have run"
                     );
                 }
@@ -204,11 +208,11 @@
                 if *copies > 0 {
                     assert!(self.ready[worker], "load ordered at a worker that is draining or removed");
                     self.orders.push(now);
-                    let window = self.set.load_window;
+                    let window = self.settings.load_window;
                     let orders = self.orders.iter().filter(|&&t| t + window >= now).count() as f64;
-                    let taken = self.arrivals.iter().filter(|&&t| t + window > now).count() as f64;
-                    let most = self.set.load_free + self.set.load_share * taken;
-                    assert!(window == 0 || orders <= most, "{orders} orders where {most} are allowed");
+                    let accepted = self.arrivals.iter().filter(|&&t| t + window > now).count() as f64;
+                    let allowed = self.settings.load_free + self.settings.load_share * accepted;
+                    assert!(window == 0 || orders <= allowed, "{orders} orders where {allowed} are allowed");
                 }
             }
             Action::SetAlarm { after, .. } => self.alarms.push(now + after),
