--- a/crates/badgerwind-guard/src/guard.rs
+++ b/crates/badgerwind-guard/src/guard.rs
@@ -29,12 +29,12 @@
     pub sender: usize,
 }
 
-/// Why a message is rejected unread.
+/// Why a message is rejected before its body is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The source's budget is spent; with the minimum time in microseconds before a new attempt can succeed.
+    /// The source's budget is spent. Holds the minimum time in microseconds before a new attempt can succeed.
     Source(Time),
-    /// The sender's budget for unknown sources is spent; with the same time.
+    /// The sender's budget for unknown sources is spent. Holds the same time.
     UnknownSources(Time),
 }
 
@@ -56,7 +56,7 @@
     bytes: u64,
     cost: u64,
     unknown: bool,
-    /// The source uses the budget that further sources share.
+    /// The source pays from the budget that all sources beyond [`Limits::max_sources`] share.
     shared: bool,
 }
 
@@ -138,8 +138,8 @@
         TOKEN.saturating_mul(1 + bytes / self.limits.bytes_per_check.max(1))
     }
 
-    /// Decides by the head of a message, before its body is read. `bytes` is the declared length of the body,
-    /// or the limit on it if none is declared.
+    /// Decides from the header of a message, before its body is read. `bytes` is the declared length of the
+    /// body, or the limit on it if none is declared.
     pub fn admit(&mut self, now: Time, claimant: Claimant, bytes: u64) -> Result<Permit, Rejection> {
         let cost = self.cost(bytes);
         let unknown = !self.is_known(now, claimant);
--- a/crates/badgerwind-guard/src/lib.rs
+++ b/crates/badgerwind-guard/src/lib.rs
@@ -10,9 +10,9 @@
 //!   those that have not sent a valid signature for it recently. Once it is spent, unknown sources are
 //!   rejected and known ones continue, so that nobody can lock a sender out by forging its messages.
 //!
-//! An unknown source pays for a check before it is made, and is refunded if the signature is valid; so
-//! concurrent forgeries, however many, spend no more than the budget. A known source pays after a check that
-//! failed.
+//! An unknown source pays for a check before it is made, and is refunded if the signature is valid.
+//! Therefore even many concurrent forgeries spend no more than the budget. A known source pays after a check
+//! that failed.
 
 mod bucket;
 mod guard;
--- a/crates/badgerwind-standins/src/platform/mod.rs
+++ b/crates/badgerwind-standins/src/platform/mod.rs
@@ -29,8 +29,8 @@
     false
 }
 
-/// Reads some bytes, and returns [`io::ErrorKind::WouldBlock`] if none arrive within the timeout. A read that a
-/// signal interrupts continues for the time that remains: Linux does not restart a read with a timeout, not
+/// Reads some bytes, and returns [`io::ErrorKind::WouldBlock`] if none arrive within the timeout. A read that
+/// a signal interrupts continues for the time that remains: Linux does not restart a read with a timeout, not
 /// even after a stop or a `SIGCHLD` for which there is no handler.
 pub fn read_with_timeout(stream: &mut TcpStream, buf: &mut [u8], timeout: Duration) -> io::Result<usize> {
     let end = Instant::now() + timeout;
--- a/crates/badgerwind-standins/tests/interruptions.rs
+++ b/crates/badgerwind-standins/tests/interruptions.rs
@@ -1,6 +1,6 @@
 //! Blocking reads of the stand-ins that signals interrupt. On Linux a stop ends the wait of a read with a
-//! timeout with `EINTR` although there is no signal handler. Each test runs itself in a child process, stops and
-//! continues it while it waits in a read, and plays its peer.
+//! timeout with `EINTR` although there is no signal handler. Each test runs itself in a child process, stops
+//! and continues it while it waits in a read, and plays its peer.
 
 use badgerwind_platform::fcgi;
 use badgerwind_standins::platform::web::WebConnection;
@@ -34,8 +34,8 @@
 }
 
 impl Reader {
-    /// Runs a test of this program in a child process, and returns once it has connected and named its reading
-    /// thread.
+    /// Runs a test of this program in a child process, and returns once it has connected and named its
+    /// reading thread.
     fn start(test: &str) -> Reader {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
@@ -68,8 +68,8 @@
         status.rsplit_once(") ")?.1.chars().next().filter(|state| !['Z', 'X'].contains(state))
     }
 
-    /// Stops and continues the process while the thread sleeps, which it does only in its read. Returns false if
-    /// the thread has ended.
+    /// Stops and continues the process while the thread sleeps, which it does only in its read. Returns false
+    /// if the thread has ended.
     fn interrupt(&mut self) -> bool {
         let mut state = None;
         let asleep = wait_until(|| {
--- a/crates/badgerwind-standins/tests/relay.rs
+++ b/crates/badgerwind-standins/tests/relay.rs
@@ -28,8 +28,8 @@
     table.lines().filter(holds).count()
 }
 
-/// Bytes in the queues of the TCP socket with these addresses: sent but not acknowledged, and received but not
-/// read.
+/// Bytes in the queues of the TCP socket with these addresses: sent but not acknowledged, and received but
+/// not read.
 fn queues(local: SocketAddr, remote: SocketAddr) -> Option<(usize, usize)> {
     let address = |a: SocketAddr| format!("0100007F:{:04X}", a.port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -148,9 +148,9 @@
         until("the relay has read the bytes", || self.unread() == Some(0)).await;
     }
 
-    /// Writes "later" just after the link has fallen silent, so that the relay's task reads the bytes before it
-    /// sees the change: both happen before the task runs again, and it reads first. Then writes "after", whose
-    /// reading shows that the task has seen the change.
+    /// Writes "later" just after the link has fallen silent, so that the relay's task reads the bytes before
+    /// it sees the change: both happen before the task runs again, and it reads first. Then writes "after",
+    /// whose reading shows that the task has seen the change.
     async fn with_bytes_read_before_the_silence_is_seen(forward: bool) -> Path {
         let mut path = Path::start(forward).await;
         let blocked = BlockedExecutor::block().await;
@@ -164,8 +164,8 @@
         path
     }
 
-    /// Writes "later" on a link that delays, and silences it before the delay ends. Then writes "after", whose
-    /// reading shows that the delay has ended.
+    /// Writes "later" on a link that delays, and silences it before the delay ends. Then writes "after",
+    /// whose reading shows that the delay has ended.
     async fn with_bytes_whose_delay_ends_in_silence(forward: bool) -> Path {
         let mut delay = Duration::from_millis(100);
         while delay < LONG {
@@ -178,7 +178,8 @@
             let before = Instant::now();
             write(&mut path.from, b"later").await;
             path.until_read().await;
-            // The task that has read the bytes waits for its delay now: none runs while all threads are blocked.
+            // The task that has read the bytes waits for its delay now: none runs while all threads are
+            // blocked.
             drop(BlockedExecutor::block().await);
             path.relay.set(SILENT);
             if before.elapsed() < delay {
@@ -253,7 +254,8 @@
     });
 }
 
-/// A relay that drops the bytes that it read before it saw the silence leaves a gap in a stream that continues.
+/// A relay that drops the bytes that it read before it saw the silence leaves a gap in a stream that
+/// continues.
 #[test]
 fn bytes_read_before_the_relay_sees_the_silence_arrive_afterwards() {
     smol::block_on(async {
