--- a/crates/badgerwind-config/src/client.rs
+++ b/crates/badgerwind-config/src/client.rs
@@ -138,6 +138,7 @@
     pub max_backoff: Time,
 }
 
+/// A valid part that waits for its change to begin.
 #[derive(Debug)]
 struct Offer {
     part: Part,
@@ -194,6 +195,15 @@
     next_request_id: u64,
 }
 
+/// INVALID_ARGUMENT of google.rpc.Code: the response or its part is invalid.
+const INVALID_ARGUMENT: u32 = 3;
+/// RESOURCE_EXHAUSTED of google.rpc.Code: the change could not be stored.
+const RESOURCE_EXHAUSTED: u32 = 8;
+/// FAILED_PRECONDITION of google.rpc.Code: the version conflicts with the one that runs, was rejected before,
+/// or failed its preparation.
+const FAILED_PRECONDITION: u32 = 9;
+
+/// An error for the control service. A long message is truncated, since every report carries it.
 fn status(code: u32, message: impl Into<String>) -> Status {
     let mut message: String = message.into();
     if message.len() > MAX_REASON_BYTES {
@@ -302,7 +312,7 @@
                 };
                 match result {
                     Ok(()) => self.store(change, out),
-                    Err(error) => self.reject_change(now, change, status(9, error), out),
+                    Err(error) => self.reject_change(now, change, status(FAILED_PRECONDITION, error), out),
                 }
             }
             Input::Stored { ticket, result } => {
@@ -322,7 +332,7 @@
                         self.reject_change(
                             now,
                             change,
-                            status(8, format!("it cannot be kept: {error}")),
+                            status(RESOURCE_EXHAUSTED, format!("it cannot be kept: {error}")),
                             out,
                         );
                     }
@@ -356,7 +366,7 @@
             let take_expired = |s: &mut KindState| s.offer.take_if(|o| o.deadline <= now);
             let state = self.kinds.get_mut(&kind).filter(|_| self.change.is_none());
             if let Some(offer) = state.and_then(take_expired) {
-                let error = status(3, join_problems(&offer.problems));
+                let error = status(INVALID_ARGUMENT, join_problems(&offer.problems));
                 self.reject(&offer.part, &error);
                 self.acknowledge(now, kind, Some(error), out);
             }
@@ -425,17 +435,26 @@
     ) -> Result<Option<Part>, (Option<(u64, Digest)>, Status)> {
         let state = &self.kinds[&kind];
         if response.type_url != kind.type_url() {
-            let text = format!("type_url is {}, asked was {}", response.type_url, kind.type_url());
-            return Err((None, status(3, text)));
+            let text = format!("type_url is {}, but {} was requested", response.type_url, kind.type_url());
+            return Err((None, status(INVALID_ARGUMENT, text)));
         }
         let Ok(version) = response.version_info.parse::<u64>() else {
             return Err((
                 None,
-                status(3, format!("version_info \"{}\" is no whole number", response.version_info)),
+                status(
+                    INVALID_ARGUMENT,
+                    format!("version_info \"{}\" is not a whole number", response.version_info),
+                ),
             ));
         };
         let [resource] = &response.resources[..] else {
-            return Err((None, status(3, format!("{} resources, one was asked", response.resources.len()))));
+            return Err((
+                None,
+                status(
+                    INVALID_ARGUMENT,
+                    format!("{} resources; exactly one was requested", response.resources.len()),
+                ),
+            ));
         };
         let part = Part::parse(kind, version, &resource.value);
         let digest = part.as_ref().map_or_else(|_| text_digest(&resource.value), |p| p.digest);
@@ -451,23 +470,23 @@
             if version == running.version {
                 let text =
                     format!("version {version} runs with other content: two control services disagree");
-                return Err((None, status(9, text)));
+                return Err((None, status(FAILED_PRECONDITION, text)));
             }
             if version < running.version {
                 let text = format!(
-                    "version {version} is older than {}, which runs: a control service restored from a backup; \
-                     to roll back on purpose, publish the old content under a new number",
+                    "version {version} is older than {}, which runs: the control service may have been restored from \
+                     a backup; to roll back on purpose, publish the old content under a new number",
                     running.version
                 );
-                return Err((None, status(9, text)));
+                return Err((None, status(FAILED_PRECONDITION, text)));
             }
         }
         if let Some((_, _, error)) =
             state.rejected_versions.iter().find(|(v, d, _)| *v == version && *d == digest)
         {
-            return Err((None, status(9, format!("turned down before: {error}"))));
+            return Err((None, status(FAILED_PRECONDITION, format!("rejected before: {error}"))));
         }
-        part.map(Some).map_err(|p| (Some((version, digest)), status(3, join_problems(&p))))
+        part.map(Some).map_err(|p| (Some((version, digest)), status(INVALID_ARGUMENT, join_problems(&p))))
     }
 
     /// Begins a change with the first offer that is valid by itself, or else with all offers if they are
@@ -488,7 +507,7 @@
                 if let Some(state) = self.kinds.get_mut(&kind) {
                     state.offer = None;
                 }
-                let error = status(3, join_problems(&schema_problems));
+                let error = status(INVALID_ARGUMENT, join_problems(&schema_problems));
                 self.reject(&part, &error);
                 self.acknowledge(now, kind, Some(error), out);
                 continue;
--- a/crates/badgerwind-config/src/lib.rs
+++ b/crates/badgerwind-config/src/lib.rs
@@ -5,6 +5,8 @@
 //! The exchange is the state-of-the-world variant of the xDS transport in its JSON mapping, with long polling
 //! (`docs/protocols/config-stream.md`).
 
+#![warn(missing_docs)]
+
 pub mod client;
 pub mod order_limit;
 pub mod parts;
--- a/crates/badgerwind-config/src/parts.rs
+++ b/crates/badgerwind-config/src/parts.rs
@@ -101,7 +101,10 @@
             remedy: remedy.into(),
         };
         if text.len() > MAX_PART_BYTES {
-            return Err(vec![document_problem(format!("{} bytes", text.len()), "a part is smaller")]);
+            return Err(vec![document_problem(
+                format!("the text has {} bytes", text.len()),
+                &format!("a part has at most {MAX_PART_BYTES} bytes"),
+            )]);
         }
         let node = parse(&file, text).map_err(|p| vec![p])?;
         if node.name != "badgerwind" || node.attr("version") != Some("1") {
@@ -131,8 +134,8 @@
                 file,
                 line: local.line,
                 element: local.name.clone(),
-                message: "is each machine's own, and stays in its file".into(),
-                remedy: format!("a part's webhook holds {}", ROUTE_ELEMENTS.join(", ")),
+                message: "belongs to the single machine, and stays in its settings file".into(),
+                remedy: format!("a part's <webhook> may hold {}", ROUTE_ELEMENTS.join(", ")),
             }]);
         }
         let digest = Sha256::digest(text.as_bytes()).into();
@@ -159,10 +162,10 @@
                 let Some(to) = document.children.iter_mut().find(|c| c.name == "webhook") else { continue };
                 // The same element also contains budgets and certificates, which belong to the single
                 // machine.
-                let routes = |c: &&Node| ROUTE_ELEMENTS.contains(&c.name.as_str());
-                to.children.retain(|c| !routes(&c));
+                let is_route = |c: &&Node| ROUTE_ELEMENTS.contains(&c.name.as_str());
+                to.children.retain(|c| !is_route(&c));
                 for from in part.node.children_named("webhook") {
-                    to.children.extend(from.children.iter().filter(routes).cloned());
+                    to.children.extend(from.children.iter().filter(is_route).cloned());
                 }
             }
             Kind::Limits => {
--- a/crates/badgerwind-config/src/shadow.rs
+++ b/crates/badgerwind-config/src/shadow.rs
@@ -54,8 +54,11 @@
 /// A scheduled event of the replay.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Scheduled {
+    /// A recorded call arrives: its index among the replayed calls.
     Call(usize),
+    /// A runner answers an attempt.
     Attempt(RequestId, u32),
+    /// A runner completes a load order and holds this number of copies.
     Order(OrderId, u32),
 }
 
@@ -103,11 +106,11 @@
             result.served_before += usize::from(call.served);
         }
     }
-    let served = replayed.iter().filter(|k| k.call.served);
-    let (sum, count) = served.fold((0u64, 0u64), |(sum, count), k| (sum + k.call.latency, count + 1));
+    let served = replayed.iter().filter(|r| r.call.served);
+    let (sum, count) = served.fold((0u64, 0u64), |(sum, count), r| (sum + r.call.latency, count + 1));
     let mean_latency = (sum / count.max(1)).max(1);
     // Every call ends by its due time; timers after that do not affect the result.
-    let end = replayed.iter().map(|k| k.call.arrived_at + k.call.sender_timeout).max().unwrap_or(start)
+    let end = replayed.iter().map(|r| r.call.arrived_at + r.call.sender_timeout).max().unwrap_or(start)
         + limits.answer_slack
         + 1;
     loop {
@@ -166,12 +169,15 @@
     }
     if result.served_before >= MIN_SERVED_CALLS && result.served == 0 {
         return Err(format!(
-            "in the shadow none of {} calls was served; {} of them were when they came",
+            "in the shadow none of {} calls was served; {} of them were when recorded",
             result.calls, result.served_before
         ));
     }
     if result.calls == 0 && calls.iter().filter(|c| c.served).count() >= MIN_SERVED_CALLS {
-        return Err(format!("none of the {} calls of the last while would be known any more", calls.len()));
+        return Err(format!(
+            "none of the {} calls recorded last has a class, tenant and function that the settings declare",
+            calls.len()
+        ));
     }
     Ok(result)
 }
--- a/crates/badgerwind-config/src/storage.rs
+++ b/crates/badgerwind-config/src/storage.rs
@@ -50,25 +50,25 @@
     if expected.as_bytes() != &bytes[body_len..] {
         return Err(StorageError::ChecksumMismatch);
     }
-    let content = |what: &str| StorageError::InvalidContent(what.into());
-    let text = std::str::from_utf8(&bytes[..body_len]).map_err(|_| content("not UTF-8"))?;
+    let invalid = |reason: &str| StorageError::InvalidContent(reason.into());
+    let text = std::str::from_utf8(&bytes[..body_len]).map_err(|_| invalid("not UTF-8"))?;
     let mut rest =
         text.strip_prefix(HEADER).and_then(|t| t.strip_prefix('\n')).ok_or(StorageError::UnknownFormat)?;
     let mut parts = Vec::new();
     while !rest.is_empty() {
         let (line, after) =
-            rest.split_once('\n').ok_or_else(|| content("incomplete header line of a part"))?;
+            rest.split_once('\n').ok_or_else(|| invalid("incomplete header line of a part"))?;
         let [kind, version, length] = line.split(' ').collect::<Vec<_>>()[..] else {
-            return Err(content("malformed header line of a part"));
+            return Err(invalid("malformed header line of a part"));
         };
-        let kind = Kind::from_name(kind).ok_or_else(|| content("unknown kind"))?;
-        let version = version.parse().map_err(|_| content("malformed version number of a part"))?;
+        let kind = Kind::from_name(kind).ok_or_else(|| invalid("unknown kind"))?;
+        let version = version.parse().map_err(|_| invalid("malformed version number of a part"))?;
         let length = length.parse().ok().filter(|&n: &usize| n <= MAX_PART_BYTES && n < after.len());
-        let length = length.ok_or_else(|| content("wrong length of a part"))?;
-        let body = after.get(..length).ok_or_else(|| content("wrong length of a part"))?;
-        let part = Part::parse(kind, version, body).map_err(|p| content(&p[0].to_string()))?;
+        let length = length.ok_or_else(|| invalid("wrong length of a part"))?;
+        let body = after.get(..length).ok_or_else(|| invalid("wrong length of a part"))?;
+        let part = Part::parse(kind, version, body).map_err(|p| invalid(&p[0].to_string()))?;
         parts.push(part);
-        rest = after[length..].strip_prefix('\n').ok_or_else(|| content("no line break after a part"))?;
+        rest = after[length..].strip_prefix('\n').ok_or_else(|| invalid("no line break after a part"))?;
     }
     Ok(parts)
 }
--- a/crates/badgerwind-config/src/waves.rs
+++ b/crates/badgerwind-config/src/waves.rs
@@ -90,7 +90,8 @@
 /// Number of calls from which on the failure rate is evaluated; fewer are mostly chance.
 const MIN_CALLS: u64 = 20;
 
-/// The share of calls between two reports that were refused or failed; `None` for too few calls.
+/// The share of the calls between two reports that was refused or failed; `None` for fewer than
+/// [`MIN_CALLS`].
 fn failure_rate(from: Health, to: Health) -> Option<f64> {
     let unserved = (to.refused + to.failed).saturating_sub(from.refused + from.failed);
     let all = unserved + to.served.saturating_sub(from.served);
@@ -196,8 +197,7 @@
         let answered = wave.baselines.len() + wave.rejected.len();
         let share = wave.rejected.len() as f64 / answered.max(1) as f64;
         if !wave.rejected.is_empty() && share > self.policy.max_rejected_share {
-            let why =
-                format!("{} of {answered} front ends that answered turned it down", wave.rejected.len());
+            let why = format!("{} of {answered} front ends that answered rejected it", wave.rejected.len());
             wave.stage = Stage::Stopped(why);
             return;
         }
@@ -250,15 +250,15 @@
         if front.pinned {
             return None;
         }
-        // A version that was rejected, or that the front end is still considering, is not offered again.
-        let known = |version: u64| {
+        // A version that the front end has rejected, or that it is still processing, is not offered again.
+        let was_offered = |version: u64| {
             front.report.iter().filter(|r| r.kind == kind).any(|r| {
                 r.rejected.as_ref().is_some_and(|(v, _)| *v == version)
                     || r.offered.as_ref().is_some_and(|(v, _)| *v == version)
             })
         };
         let wave = self.waves.get_mut(&kind);
-        let wanted = match wave {
+        let offered = match wave {
             Some(wave) => {
                 // If no front end was known when the version was published, the first one to ask is the first
                 // share.
@@ -275,7 +275,7 @@
             }
             None => self.last_good.get(&kind).copied(),
         };
-        let version = wanted.filter(|&v| running.is_none_or(|r| v > r) && !known(v))?;
+        let version = offered.filter(|&v| running.is_none_or(|r| v > r) && !was_offered(v))?;
         let text = self.published.get(&kind)?.get(&version)?.clone();
         Some((version, text))
     }
--- a/crates/badgerwind-config/src/wire.rs
+++ b/crates/badgerwind-config/src/wire.rs
@@ -63,9 +63,9 @@
 /// The fields of google.rpc.Status that are used.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The error code: 3 is INVALID_ARGUMENT, 8 RESOURCE_EXHAUSTED, 9 FAILED_PRECONDITION.
+    /// The error code of google.rpc.Code: 3 is INVALID_ARGUMENT, 8 RESOURCE_EXHAUSTED, 9 FAILED_PRECONDITION.
     pub code: u32,
-    /// The error in words.
+    /// The error message for operators.
     pub message: String,
 }
 
--- a/crates/badgerwind-config/tests/machine.rs
+++ b/crates/badgerwind-config/tests/machine.rs
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn numbers_only_grow_and_a_number_keeps_its_content() {
+fn version_numbers_only_increase_and_a_number_keeps_its_content() {
     let mut harness = Harness::new();
     harness.offer(Kind::Classes, 5, &example_classes(900), "n1").complete_change();
     for (version, aim, want) in
@@ -576,14 +576,14 @@
         (state >> 11) as f64 / (1u64 << 53) as f64
     };
     let timing = Timing { stage_timeout: 1_000, min_backoff: 500, max_backoff: 30_000 };
-    let mut asks: Vec<Vec<u64>> = vec![Vec::new(); 6];
+    let mut rounds: Vec<Vec<u64>> = vec![Vec::new(); 6];
     for n in 0..100 {
         let file = parse("file.xml", FILE).unwrap();
         let (mut client, ..) = Client::new((format!("f{n}"), "c".into()), file, vec![], timing).unwrap();
         let mut out = Vec::new();
         client.start(0, &mut out);
         let mut now = 0;
-        for round in &mut asks {
+        for round in &mut rounds {
             let open = out.iter().rev().find_map(|action| match action {
                 Action::SendRequest { kind: Kind::Classes, request_id, .. } => Some(*request_id),
                 _ => None,
@@ -595,17 +595,20 @@
             round.push(now);
         }
     }
-    let mut crowd = Vec::new();
-    for round in &mut asks {
+    let mut spans_and_peaks = Vec::new();
+    for round in &mut rounds {
         round.sort_unstable();
         let span = round[99] - round[0];
         let width = (span / 10).max(1);
-        let most = (0..100).map(|i| round[i..].iter().take_while(|t| **t < round[i] + width).count()).max();
-        crowd.push((span, most.unwrap()));
+        let peak = (0..100).map(|i| round[i..].iter().take_while(|t| **t < round[i] + width).count()).max();
+        spans_and_peaks.push((span, peak.unwrap()));
     }
     // An even spread would have ten retries in each tenth of a round; the bound is four times that.
-    assert!(crowd.iter().all(|(_, most)| *most <= 40), "{crowd:?}");
-    assert!(crowd[0].0 > 900 && crowd[5].0 > 10_000, "each round spreads over a longer span: {crowd:?}");
+    assert!(spans_and_peaks.iter().all(|(_, peak)| *peak <= 40), "{spans_and_peaks:?}");
+    assert!(
+        spans_and_peaks[0].0 > 900 && spans_and_peaks[5].0 > 10_000,
+        "each round spreads over a longer span: {spans_and_peaks:?}"
+    );
 }
 
 #[test]
--- a/crates/badgerwind-control/src/folder.rs
+++ b/crates/badgerwind-control/src/folder.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// Why an operation on the folder failed.
+/// An error of an operation on the folder.
 #[derive(Debug, thiserror::Error)]
 pub enum FolderError {
     /// A file could not be read or written.
@@ -19,7 +19,7 @@
     Invalid(String),
 }
 
-fn io(path: &Path) -> impl FnOnce(std::io::Error) -> FolderError + '_ {
+fn io_error(path: &Path) -> impl FnOnce(std::io::Error) -> FolderError + '_ {
     |e| FolderError::Io(path.to_owned(), e)
 }
 
@@ -30,11 +30,11 @@
     let entries = match std::fs::read_dir(&path) {
         Ok(entries) => entries,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(BTreeMap::new()),
-        Err(e) => return Err(io(&path)(e)),
+        Err(e) => return Err(io_error(&path)(e)),
     };
     let mut found = BTreeMap::new();
     for entry in entries {
-        let file = entry.map_err(io(&path))?.path();
+        let file = entry.map_err(io_error(&path))?.path();
         let number = file.file_stem().and_then(|s| s.to_str()).and_then(|s| s.parse().ok());
         if let (Some(number), true) = (number, file.extension().is_some_and(|e| e == "xml")) {
             found.insert(number, file);
@@ -48,7 +48,7 @@
     let path = folder.join(kind.name()).join(format!("{version}.xml"));
     match std::fs::read_to_string(&path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => Err(FolderError::Missing(kind.name(), version)),
-        read => read.map_err(io(&path)),
+        read => read.map_err(io_error(&path)),
     }
 }
 
@@ -66,7 +66,7 @@
         FolderError::Invalid(p.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
     })?;
     let path = folder.join(kind.name());
-    std::fs::create_dir_all(&path).map_err(io(&path))?;
+    std::fs::create_dir_all(&path).map_err(io_error(&path))?;
     // The file is written under another extension and synced before it gets its name, so that the service
     // never reads an incomplete file.
     let (temporary, file) = (path.join(format!("{next}.part")), path.join(format!("{next}.xml")));
@@ -74,9 +74,9 @@
         f.write_all(text.as_bytes())?;
         f.sync_all()
     });
-    written.and_then(|()| std::fs::hard_link(&temporary, &file)).map_err(io(&file))?;
+    written.and_then(|()| std::fs::hard_link(&temporary, &file)).map_err(io_error(&file))?;
     let _ = std::fs::remove_file(&temporary); // a leftover file is ignored
-    std::fs::File::open(&path).and_then(|d| d.sync_all()).map_err(io(&path))?;
+    std::fs::File::open(&path).and_then(|d| d.sync_all()).map_err(io_error(&path))?;
     Ok(next)
 }
 
--- a/crates/badgerwind-control/src/service.rs
+++ b/crates/badgerwind-control/src/service.rs
@@ -74,12 +74,14 @@
     pub pinned: bool,
 }
 
+/// The state that requests and the scan share.
 struct State {
     waves: Waves,
     /// Files that were not published, with the reason.
     unpublished: BTreeMap<Kind, BTreeMap<String, String>>,
 }
 
+/// The service, shared by its connections and the scan.
 struct Service {
     folder: PathBuf,
     name: String,
@@ -87,6 +89,7 @@
     state: Mutex<State>,
     /// Incremented by every change that can make a version available to a front end.
     changes: AtomicU64,
+    /// The number in the next offer's nonce.
     nonces: AtomicU64,
 }
 
@@ -103,8 +106,8 @@
         self.changes.fetch_add(1, Ordering::Release);
     }
 
-    /// Publishes the new versions in the folder.
-    fn scan(&self, seen: &mut BTreeMap<Kind, u64>) {
+    /// Publishes the versions in the folder that are newer than the last ones scanned.
+    fn scan(&self, last_scanned: &mut BTreeMap<Kind, u64>) {
         for kind in Kind::ALL {
             let versions = match folder::list_versions(&self.folder, kind) {
                 Ok(versions) => versions,
@@ -113,9 +116,9 @@
                     continue;
                 }
             };
-            let from = seen.get(&kind).map_or(0, |n| n + 1);
-            for (number, path) in versions.range(from..) {
-                seen.insert(kind, *number);
+            let first_new = last_scanned.get(&kind).map_or(0, |n| n + 1);
+            for (number, path) in versions.range(first_new..) {
+                last_scanned.insert(kind, *number);
                 let published = folder::read_version(&self.folder, kind, *number)
                     .map_err(|e| e.to_string())
                     .and_then(|text| self.lock().waves.publish(kind, *number, text.into()));
@@ -169,7 +172,10 @@
                                     None => return,
                                 }
                             }
-                            Ok(request) => bad_request(&format!("type_url {} at {path}", request.type_url)),
+                            Ok(request) => bad_request(&format!(
+                                "type_url {} does not match the path {path}",
+                                request.type_url
+                            )),
                             Err(e) => bad_request(&format!("not a DiscoveryRequest: {e}")),
                         }
                     }
@@ -208,11 +214,11 @@
         self.lock().waves.record_report(self.now(), &node.id, &node.metadata.report, node.metadata.health);
         self.note_change();
         let until = Instant::now() + wait.min(MAX_WAIT);
-        let mut seen = None;
+        let mut checked_changes = None;
         loop {
             let changes = self.changes.load(Ordering::Acquire);
-            if seen != Some(changes) {
-                seen = Some(changes);
+            if checked_changes != Some(changes) {
+                checked_changes = Some(changes);
                 if let Some((version, text)) = self.lock().waves.offer(&node.id, kind, running) {
                     let nonce = self.nonces.fetch_add(1, Ordering::Relaxed);
                     return json(&resource_request.response(version, &text, &self.name, nonce));
@@ -270,13 +276,13 @@
         changes: AtomicU64::new(0),
         nonces: AtomicU64::new(1),
     });
-    let mut seen = BTreeMap::new();
-    service.scan(&mut seen);
+    let mut last_scanned = BTreeMap::new();
+    service.scan(&mut last_scanned);
     let scanner = service.clone();
     let scan = smol::spawn(async move {
         loop {
             Timer::after(SCAN_INTERVAL).await;
-            scanner.scan(&mut seen);
+            scanner.scan(&mut last_scanned);
             let now = scanner.now();
             scanner.lock().waves.tick(now);
             scanner.note_change();
