--- a/crates/badgerwind-zones/src/aggregate.rs
+++ b/crates/badgerwind-zones/src/aggregate.rs
@@ -22,9 +22,9 @@
 const MIN_REPORTS_TO_TRIM: usize = 4;
 /// Number of reports from which on a fleet is large, so that digests are cached.
 const LARGE_FLEET: usize = 64;
-/// One more contribution is trimmed on either side for each so many reports: one front end in so many may
-/// send false reports.
-const REPORTS_PER_LIAR: usize = 12;
+/// One more contribution is trimmed on either side per this many reports, so that one front end in this many
+/// may send false reports.
+const REPORTS_PER_FALSE_REPORTER: usize = 12;
 
 /// The evidence, in nats, that these observations give for the hypothesis that the zone is lost over the one
 /// that it is degraded.
@@ -41,8 +41,8 @@
 /// A front end's contribution for a zone with this number of executors. Where there are too few executors for
 /// the test, losing all of them counts as proof.
 fn contribution(bad: u16, good: u16, listed: usize, settings: &Settings) -> f64 {
-    let most = weight(listed.clamp(1, usize::from(u16::MAX)) as u16, 0);
-    weight(bad, good) * (proven(settings) / most).max(1.0)
+    let max_weight = weight(listed.clamp(1, usize::from(u16::MAX)) as u16, 0);
+    weight(bad, good) * (proven(settings) / max_weight).max(1.0)
 }
 
 /// Aggregated evidence of one zone.
@@ -118,11 +118,11 @@
         settings: &Settings,
     ) -> bool {
         self.prune(now, settings);
-        let old = self
+        let outdated = self
             .reports
             .get(&from)
             .is_some_and(|r| r.received_at + settings.evidence_window > now && r.serial >= serial);
-        if old || zones.len() != self.zones {
+        if outdated || zones.len() != self.zones {
             return false;
         }
         self.reports.insert(from, StoredReport { received_at: now, serial, zones: zones.to_vec() });
@@ -153,7 +153,7 @@
         match n {
             _ if self.mutant == Some(Mutant::NoTrim) => 0,
             0..MIN_REPORTS_TO_TRIM => 0,
-            n => 1 + n / REPORTS_PER_LIAR,
+            n => 1 + n / REPORTS_PER_FALSE_REPORTER,
         }
     }
 
@@ -162,12 +162,12 @@
     /// not enough for a decision.
     fn sum(&self, settings: &Settings, members: usize, mut contributions: Vec<f64>) -> f64 {
         let trim = self.trim(contributions.len());
-        let full = match members {
+        let full_contributions = match members {
             0 | 1 => 1,
             2 | 3 => 2,
             n => n.saturating_sub(2 * self.trim(n)).clamp(2, MAX_FULL_CONTRIBUTIONS),
         };
-        let bound = proven(settings) / full as f64;
+        let bound = proven(settings) / full_contributions as f64;
         if self.mutant != Some(Mutant::UnboundedContribution) {
             contributions.iter_mut().for_each(|c| *c = c.clamp(-bound, bound));
         }
@@ -181,20 +181,20 @@
         let fresh: Vec<&ZoneReport> = fresh.filter_map(|r| r.zones.get(zone)).collect();
         // A front end that observed nothing is left out, so that trimming does not remove it in place of an
         // extreme contribution.
-        let contributions: Vec<f64> = fresh
+        let lost: Vec<f64> = fresh
             .iter()
-            .filter(|t| t.lost + t.answered + t.late > 0)
-            .map(|t| contribution(t.lost, t.answered.saturating_add(t.late), listed, settings))
+            .filter(|r| r.lost + r.answered + r.late > 0)
+            .map(|r| contribution(r.lost, r.answered.saturating_add(r.late), listed, settings))
             .collect();
         let late: Vec<f64> = fresh
             .iter()
-            .filter(|t| t.answered + t.late > 0)
-            .map(|t| contribution(t.late, t.answered, listed, settings))
+            .filter(|r| r.answered + r.late > 0)
+            .map(|r| contribution(r.late, r.answered, listed, settings))
             .collect();
         Aggregate {
-            lost: self.sum(settings, fresh.len(), contributions),
+            lost: self.sum(settings, fresh.len(), lost),
             late: self.sum(settings, fresh.len(), late),
-            reached_by: fresh.iter().filter(|t| t.answered + t.late > t.lost).count(),
+            reached_by: fresh.iter().filter(|r| r.answered + r.late > r.lost).count(),
             members: fresh.len(),
         }
     }
@@ -202,7 +202,7 @@
     /// The newest stage that more than one front end reports, so that a single front end cannot move the
     /// others.
     fn newest(&self, now: Time, zone: usize, settings: &Settings) -> ReportedStage {
-        let mut all: Vec<ReportedStage> = self
+        let mut newest_first: Vec<ReportedStage> = self
             .reports
             .values()
             .filter(|r| r.received_at + settings.evidence_window > now)
@@ -213,13 +213,14 @@
                 failed_returns: z.failed_returns,
             })
             .collect();
-        all.sort_by_key(|a| std::cmp::Reverse((a.generation, a.stage.severity())));
-        let alone = self.mutant == Some(Mutant::LoneStage);
-        let at = if alone { 0 } else { self.trim(all.len()).max(1) };
-        if all.len() == 1 {
-            all[0]
+        newest_first.sort_by_key(|s| std::cmp::Reverse((s.generation, s.stage.severity())));
+        // The first ones are skipped, since they may be false. A front end that is alone follows itself.
+        let trusts_first = self.mutant == Some(Mutant::LoneStage);
+        let skipped = if trusts_first { 0 } else { self.trim(newest_first.len()).max(1) };
+        if newest_first.len() == 1 {
+            newest_first[0]
         } else {
-            all.get(at).copied().unwrap_or_default()
+            newest_first.get(skipped).copied().unwrap_or_default()
         }
     }
 
@@ -236,7 +237,7 @@
 
     fn compute_digest(&self, now: Time, listed: &[usize], settings: &Settings) -> (u16, Vec<ZoneDigest>) {
         let mut members = 0;
-        let one = |zone: usize| {
+        let zone_digest = |zone: usize| {
             let aggregate = self.aggregate(now, zone, listed.get(zone).copied().unwrap_or(1), settings);
             members = members.max(aggregate.members);
             let ReportedStage { generation, stage, failed_returns } = self.newest(now, zone, settings);
@@ -246,7 +247,7 @@
             let (lost, late) = (units(aggregate.lost), units(aggregate.late));
             ZoneDigest { lost, late, reached_by, generation, stage, failed_returns }
         };
-        let zones = (0..self.zones).map(one).collect();
+        let zones = (0..self.zones).map(zone_digest).collect();
         (members.min(usize::from(u16::MAX)) as u16, zones)
     }
 }
--- a/crates/badgerwind-zones/src/evidence.rs
+++ b/crates/badgerwind-zones/src/evidence.rs
@@ -21,10 +21,13 @@
 /// The last observations of an executor.
 #[derive(Clone, Debug, Default)]
 struct ExecutorRecord {
+    /// When it last answered in time.
     answered: Option<Time>,
+    /// When it last answered late.
     late: Option<Time>,
+    /// When a request to it was last lost.
     lost: Option<Time>,
-    /// When the request that was lost last had been sent.
+    /// When that lost request was sent.
     lost_sent: Time,
     /// Losses since the last answer; used by a mutant of the tests only.
     losses: u32,
@@ -102,8 +105,7 @@
     /// and of those that moved to another zone.
     pub fn set_executors(&mut self, all: impl IntoIterator<Item = (Executor, usize, f64)>) {
         let listed = all.into_iter().map(|(executor, zone, size)| (executor, ListedExecutor { zone, size }));
-        let next: BTreeMap<Executor, ListedExecutor> = listed.collect();
-        self.listed = next;
+        self.listed = listed.collect();
         let mut old = std::mem::take(&mut self.zones);
         for (executor, ListedExecutor { zone, size }) in &self.listed {
             let evidence = self.zones.entry(*zone).or_default();
@@ -165,9 +167,9 @@
     }
 
     /// The observations of a zone: the executors that answered within the window that ends now or, if any
-    /// request sent after the zone's last answer was lost, the executors lost since then. So the answers of
-    /// other executors outweigh a bad third, and answers from before a zone's loss do not delay its
-    /// detection. Losses of requests sent before `not_before` are ignored.
+    /// request sent after the zone's last answer was lost, the executors lost since then. So a zone that
+    /// still answers does not look lost when a third of its executors are bad, and answers from before a
+    /// zone's loss do not delay its detection. Losses of requests sent before `not_before` are ignored.
     pub fn observed_counts(
         &self,
         now: Time,
--- a/crates/badgerwind-zones/src/message.rs
+++ b/crates/badgerwind-zones/src/message.rs
@@ -11,6 +11,7 @@
 pub const MAX_BYTES: usize = 256;
 /// Upper bound of the number of zones.
 pub const MAX_ZONES: usize = 24;
+/// First byte, which identifies the format.
 const FORMAT: u8 = 0xb3;
 
 /// One front end's report of a zone.
--- a/crates/badgerwind-zones/src/node.rs
+++ b/crates/badgerwind-zones/src/node.rs
@@ -48,8 +48,11 @@
     digests: BTreeMap<Member, StoredDigest>,
     /// Zones that this front end has left by its own evidence alone.
     left_locally: Vec<bool>,
+    /// Serial number of the last report.
     serial: u32,
+    /// Number of heartbeats so far.
     heartbeats: u64,
+    /// When the next heartbeat is due.
     next_heartbeat: Time,
     mutant: Option<Mutant>,
 }
@@ -64,9 +67,9 @@
     zones: Vec<ZoneDigest>,
 }
 
-/// A number from 0 to 1 that depends on the pair alone, so that it is the same after a restart: FNV-1a over
-/// both.
-fn mix(a: u64, b: u64) -> f64 {
+/// Maps a pair of numbers to a fraction from 0 to 1 by FNV-1a. It depends on the pair alone, so that it is
+/// the same after a restart.
+fn hash_fraction(a: u64, b: u64) -> f64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(&a.to_be_bytes());
     hasher.write(&b.to_be_bytes());
@@ -117,7 +120,7 @@
         self.evidence.record_unanswered(now, executor, sent);
     }
 
-    /// Makes the heartbeat if it is due, and returns the reports to send.
+    /// Runs the heartbeat if it is due: evaluates the evidence, and returns the reports to send.
     pub fn tick(&mut self, now: Time) -> Vec<(Member, Message)> {
         if now < self.next_heartbeat {
             return Vec::new();
@@ -174,8 +177,8 @@
                 if !is_voter || !self.aggregator.receive(now, from, *serial, zones, &self.settings) {
                     return None;
                 }
-                let counts = self.evidence.listed_counts(self.zones);
-                let (members, zones) = self.aggregator.digest(now, &counts, &self.settings);
+                let listed = self.evidence.listed_counts(self.zones);
+                let (members, zones) = self.aggregator.digest(now, &listed, &self.settings);
                 Some(Message::Digest { serial: *serial, members, zones })
             }
             Message::Digest { serial, members, zones } => {
@@ -195,8 +198,8 @@
         }
     }
 
-    /// The evidence of a zone: for each figure, the median of the voters' recent digests. So one faulty voter
-    /// of three decides nothing.
+    /// The fleet's evidence of a zone: for each figure, the median of the voters' recent digests, so that one
+    /// faulty voter of three decides nothing.
     fn median_digest(&self, now: Time, zone: usize) -> Option<FleetEvidence> {
         let window = self.settings.evidence_window / 2;
         let fresh: Vec<_> = self.digests.values().filter(|d| d.received_at + window > now).collect();
@@ -220,8 +223,8 @@
         Some(FleetEvidence { members: usize::from(members[middle]), digest })
     }
 
-    fn assess(&self, FleetEvidence { members, digest: d }: &FleetEvidence) -> Assessment {
-        let (lost, late, proven) = (nats(d.lost), nats(d.late), proven(&self.settings));
+    fn assess(&self, FleetEvidence { members, digest }: &FleetEvidence) -> Assessment {
+        let (lost, late, proven) = (nats(digest.lost), nats(digest.late), proven(&self.settings));
         // The digest's units truncate the evidence by up to 1/64 nat.
         let enough = proven - 0.05;
         if lost >= enough {
@@ -230,7 +233,7 @@
             Assessment::Late
         } else if lost > 0.0 {
             Assessment::Suspect
-        } else if usize::from(d.reached_by) >= (*members).clamp(1, 2) && lost < 0.0 && late < 0.0 {
+        } else if usize::from(digest.reached_by) >= (*members).clamp(1, 2) && lost < 0.0 && late < 0.0 {
             Assessment::Healthy
         } else {
             Assessment::Unknown
@@ -259,19 +262,19 @@
         let observed: Vec<ObservedCounts> = (0..self.zones).map(|z| self.observed_counts(now, z)).collect();
         let hears_any =
             observed.iter().any(|o| o.answered + o.late > 0) || self.mutant == Some(Mutant::TrustsOwnNetwork);
-        let counts = self.evidence.listed_counts(self.zones);
-        for (zone, o) in observed.iter().enumerate() {
+        let listed = self.evidence.listed_counts(self.zones);
+        for (zone, counts) in observed.iter().enumerate() {
             // A zone that the fleet left is probed for all front ends, and one that returns is used again.
             if self.stages.all()[zone].stage == Stage::Left || self.directive(zone) == Some(Directive::Hold) {
                 self.left_locally[zone] = false;
                 continue;
             }
-            let min_lost = counts[zone].min(usize::from(MIN_LOST_FOR_LOCAL_DECISION)).max(1);
-            let silent = o.answered + o.late == 0;
+            let min_lost = listed[zone].min(usize::from(MIN_LOST_FOR_LOCAL_DECISION)).max(1);
+            let silent = counts.answered + counts.late == 0;
             if self.left_locally[zone] {
                 // It stays left until an executor answers; the absence of observations is not evidence.
                 self.left_locally[zone] = silent && hears_any;
-            } else if silent && usize::from(o.lost) >= min_lost && hears_any {
+            } else if silent && usize::from(counts.lost) >= min_lost && hears_any {
                 let remaining: f64 =
                     (0..self.zones).filter(|z| *z != zone).map(|z| self.share(z) * sizes[z]).sum();
                 let bound = self.settings.min_remaining_on_loss * sizes.iter().sum::<f64>();
@@ -300,7 +303,7 @@
     /// the same few executors.
     pub fn is_open(&self, executor: Executor, zone: usize) -> bool {
         let share = self.share(zone);
-        share >= 1.0 || share > 0.0 && mix(u64::from(executor), u64::from(self.me) + 1) < share
+        share >= 1.0 || share > 0.0 && hash_fraction(u64::from(executor), u64::from(self.me) + 1) < share
     }
 
     /// The fleet's state of a zone, and whether this front end has left it by its own evidence.
@@ -334,16 +337,17 @@
         for zone in 0..self.zones {
             // A zone that returns is probed too, as there may be no call that shows its state.
             let left = matches!(self.stages.all()[zone].stage, Stage::Left | Stage::Returning(_));
-            let local_turn =
+            let local_probe_due =
                 self.heartbeats % LOCAL_PROBE_INTERVAL == u64::from(self.me) % LOCAL_PROBE_INTERVAL;
-            let count = match (left && probes_for_fleet, self.left_locally[zone] && local_turn) {
+            let count = match (left && probes_for_fleet, self.left_locally[zone] && local_probe_due) {
                 (true, _) => self.settings.probes_per_heartbeat,
                 (false, true) => 1,
                 _ => 0,
             };
             let all = self.evidence.executors(zone);
-            let from = (self.heartbeats as usize).wrapping_mul(count.max(1)) + usize::from(self.me) * 7;
-            out.extend((0..count.min(all.len())).map(|n| all[(from + n) % all.len()]));
+            // The probed executors change with each heartbeat, and start at another one at each front end.
+            let first = (self.heartbeats as usize).wrapping_mul(count.max(1)) + usize::from(self.me) * 7;
+            out.extend((0..count.min(all.len())).map(|n| all[(first + n) % all.len()]));
         }
         out
     }
--- a/crates/badgerwind-zones/src/stages.rs
+++ b/crates/badgerwind-zones/src/stages.rs
@@ -31,15 +31,18 @@
             Stage::Returning(n) => 3 + n,
         }
     }
-    pub(crate) fn from_code(n: u8) -> Option<Stage> {
-        match n {
+
+    /// The stage with this number on the wire.
+    pub(crate) fn from_code(code: u8) -> Option<Stage> {
+        match code {
             0 => Some(Stage::Open),
             1 => Some(Stage::Reduced),
             2 => Some(Stage::Left),
-            n if n < 3 + STEPS => Some(Stage::Returning(n - 3)),
+            code if code < 3 + STEPS => Some(Stage::Returning(code - 3)),
             _ => None,
         }
     }
+
     /// Of two stages with the same generation, the one with the higher severity takes precedence.
     pub(crate) fn severity(self) -> u8 {
         match self {
@@ -49,6 +52,7 @@
             Stage::Left => 2 + STEPS,
         }
     }
+
     /// The fraction of the pairs of front end and executor that are in use.
     pub fn share(self) -> f64 {
         match self {
@@ -58,6 +62,7 @@
             Stage::Returning(n) => 0.5f64.powi(i32::from(STEPS - n.min(STEPS - 1))),
         }
     }
+
     /// The name of the stage in logs and reports.
     pub fn name(self) -> &'static str {
         match self {
@@ -111,9 +116,11 @@
     pub evidence_from: Time,
 }
 
+/// [`ZoneState::evidence_from`] after a change to stage `next`: evidence starts afresh when a zone is left
+/// and when it is used again after that. Other changes keep it.
 fn evidence_from(now: Time, own: &ZoneState, next: Stage) -> Time {
-    let restarts = matches!(next, Stage::Left | Stage::Returning(0)) || own.stage == Stage::Left;
-    if restarts {
+    let starts_afresh = matches!(next, Stage::Left | Stage::Returning(0)) || own.stage == Stage::Left;
+    if starts_afresh {
         now
     } else {
         own.evidence_from
@@ -207,6 +214,7 @@
             return;
         }
         let own = &mut self.zones[zone];
+        // Generations wrap around: a difference of half the range or more means that the fleet's is older.
         let ahead = fleet.generation.wrapping_sub(own.generation);
         let newer = ahead != 0 && ahead < u16::MAX / 2;
         let more_severe = ahead == 0 && fleet.stage.severity() > own.stage.severity();
@@ -243,71 +251,81 @@
         let before: Vec<u16> = self.zones.iter().map(|z| z.generation).collect();
         // If every zone in use is lost or late, the fault is not in the zones but in something they share,
         // such as a store, a release or the network.
-        let is_used = |n: usize| self.zones[n].stage != Stage::Left && sizes.get(n).is_some_and(|s| *s > 0.0);
+        let is_used =
+            |zone: usize| self.zones[zone].stage != Stage::Left && sizes.get(zone).is_some_and(|s| *s > 0.0);
         let all_bad = (0..self.zones.len())
-            .filter(|n| is_used(*n))
-            .all(|n| matches!(assessments.get(n), Some(Assessment::Lost(_) | Assessment::Late)))
+            .filter(|zone| is_used(*zone))
+            .all(|zone| matches!(assessments.get(zone), Some(Assessment::Lost(_) | Assessment::Late)))
             && self.mutant != Some(Mutant::NoPanicBound);
         // A zone counts as late only if another one is healthy: a slow store makes every zone late, but some
         // are detected earlier.
-        let other_is_healthy = |n: usize| {
-            assessments.iter().enumerate().any(|(o, a)| o != n && is_used(o) && *a == Assessment::Healthy)
+        let other_is_healthy = |zone: usize| {
+            assessments
+                .iter()
+                .enumerate()
+                .any(|(other, a)| other != zone && is_used(other) && *a == Assessment::Healthy)
         };
         let has_healthy_other: Vec<bool> = (0..self.zones.len()).map(other_is_healthy).collect();
         // The zone with the strongest evidence comes first, since the panic bound may allow only one to be
         // left.
         let mut order: Vec<usize> = (0..self.zones.len().min(assessments.len())).collect();
-        let evidence = |n: &usize| if let Assessment::Lost(x) = assessments[*n] { x } else { 0.0 };
+        let evidence =
+            |zone: &usize| if let Assessment::Lost(nats) = assessments[*zone] { nats } else { 0.0 };
         order.sort_by(|a, b| evidence(b).total_cmp(&evidence(a)));
-        for n in order {
-            if !self.is_automatic(n) {
+        for zone in order {
+            if !self.is_automatic(zone) {
                 continue;
             }
-            let ZoneState { stage, since, failed_returns, .. } = self.zones[n];
+            let ZoneState { stage, since, failed_returns, .. } = self.zones[zone];
             let in_stage_for = now.saturating_sub(since);
-            match (stage, assessments[n]) {
+            match (stage, assessments[zone]) {
                 (Stage::Open | Stage::Reduced, Assessment::Lost(_))
-                    if !all_bad && self.may_reduce_to(n, 0.0, settings.min_remaining_on_loss, sizes) =>
+                    if !all_bad && self.may_reduce_to(zone, 0.0, settings.min_remaining_on_loss, sizes) =>
                 {
-                    self.change_stage(now, n, Stage::Left, failed_returns);
+                    self.change_stage(now, zone, Stage::Left, failed_returns);
                 }
                 (Stage::Returning(_), Assessment::Lost(_) | Assessment::Suspect | Assessment::Late)
-                    if self.may_reduce_to(n, 0.0, settings.min_remaining_on_loss, sizes) =>
+                    if self.may_reduce_to(zone, 0.0, settings.min_remaining_on_loss, sizes) =>
                 {
-                    self.change_stage(now, n, Stage::Left, failed_returns.saturating_add(1));
+                    self.change_stage(now, zone, Stage::Left, failed_returns.saturating_add(1));
                 }
                 (Stage::Open, Assessment::Late)
-                    if has_healthy_other[n]
-                        && self.may_reduce_to(n, Stage::Reduced.share(), settings.min_remaining, sizes) =>
+                    if has_healthy_other[zone]
+                        && self.may_reduce_to(
+                            zone,
+                            Stage::Reduced.share(),
+                            settings.min_remaining,
+                            sizes,
+                        ) =>
                 {
-                    self.change_stage(now, n, Stage::Reduced, failed_returns);
+                    self.change_stage(now, zone, Stage::Reduced, failed_returns);
                 }
                 (Stage::Reduced, Assessment::Late) if all_bad => {
-                    self.change_stage(now, n, Stage::Open, failed_returns)
+                    self.change_stage(now, zone, Stage::Open, failed_returns)
                 }
                 (Stage::Reduced, Assessment::Healthy | Assessment::Unknown)
                     if in_stage_for >= self.retry_delay(failed_returns, settings) =>
                 {
-                    self.change_stage(now, n, Stage::Open, failed_returns.saturating_add(1));
+                    self.change_stage(now, zone, Stage::Open, failed_returns.saturating_add(1));
                 }
                 (Stage::Left, Assessment::Healthy)
                     if in_stage_for >= self.retry_delay(failed_returns, settings) =>
                 {
                     let at_once = self.mutant == Some(Mutant::ReturnAtOnce);
                     let next = if at_once { Stage::Open } else { Stage::Returning(0) };
-                    self.change_stage(now, n, next, failed_returns);
+                    self.change_stage(now, zone, next, failed_returns);
                 }
                 (Stage::Returning(step), Assessment::Healthy) if in_stage_for >= settings.return_step => {
                     let next = if step + 1 < STEPS { Stage::Returning(step + 1) } else { Stage::Open };
                     // A successful return does not reset the count: a zone that returned may fail again soon.
                     let failed_returns =
                         if next == Stage::Open { failed_returns.saturating_add(1) } else { failed_returns };
-                    self.change_stage(now, n, next, failed_returns);
+                    self.change_stage(now, zone, next, failed_returns);
                 }
                 (Stage::Open, Assessment::Healthy | Assessment::Unknown)
                     if failed_returns > 0 && in_stage_for >= settings.max_retry_delay =>
                 {
-                    self.zones[n].failed_returns = 0;
+                    self.zones[zone].failed_returns = 0;
                 }
                 _ => {}
             }
@@ -316,7 +334,7 @@
         generations.zip(before).enumerate().filter(|(_, (a, b))| a != b).map(|(n, _)| n).collect()
     }
 
-    /// How long a zone that was left is not returned to: doubled by each recent return.
+    /// How long a zone stays left or reduced before more of it is used again; doubled by each recent return.
     fn retry_delay(&self, failed_returns: u8, settings: &Settings) -> u64 {
         let doublings = if self.mutant == Some(Mutant::NoBackoff) { 0 } else { failed_returns.min(20) };
         settings.retry_delay.saturating_mul(1 << doublings).min(settings.max_retry_delay)
--- a/crates/badgerwind-zones/tests/leaving.rs
+++ b/crates/badgerwind-zones/tests/leaving.rs
@@ -84,12 +84,12 @@
     let min_total_share = |mutant, health| {
         let mut world = healthy_fleet(20, 3, 3, mutant);
         (0..3).for_each(|z| world.set_zone_health(z, health));
-        let mut least = 3.0f64;
+        let mut min_sum = 3.0f64;
         for _ in 0..100 {
             world.run(SECOND / 10);
-            least = least.min((0..3).map(|z| world.share(z)).sum());
+            min_sum = min_sum.min((0..3).map(|z| world.share(z)).sum());
         }
-        least
+        min_sum
     };
     // If a slow store, a bad release or a lost network affects every zone, one zone may be taken for lost
     // before the others show it.
@@ -160,14 +160,14 @@
             world.partitioned.insert((7, m));
             world.partitioned.insert((m, 7));
         });
-        let (mut least, mut sum) = (3.0f64, 0.0);
+        let (mut min_sum, mut sum) = (3.0f64, 0.0);
         for _ in 0..80 {
             world.run(SECOND / 10);
             sum = (0..3).map(|z| world.nodes[&7].share(z)).sum();
-            least = least.min(sum);
+            min_sum = min_sum.min(sum);
         }
         assert!(world.nodes.iter().all(|(m, n)| *m == 7 || (0..3).all(|z| n.share(z) == 1.0)));
-        (least, sum)
+        (min_sum, sum)
     };
     // It may leave the first zone that it loses before it has lost the others; then it reverts that.
     let (normal, trusting) = (min_and_final_share(None), min_and_final_share(Some(Mutant::TrustsOwnNetwork)));
@@ -175,15 +175,15 @@
     assert!(trusting.1 < 3.0, "{trusting:?}");
 }
 
-/// False reports while no zone is lost, and then while one is: the least total share, and whether the others
-/// left the lost zone.
+/// False reports while no zone is lost, and then while one is: the smallest total share, and whether the
+/// others left the lost zone.
 fn with_false_reports(n: Member, false_reporters: &[(Member, bool)], mutant: Option<Mutant>) -> (f64, bool) {
     let mut world = healthy_fleet(n, 3, 8, mutant);
     world.false_reporters = false_reporters.iter().copied().collect();
-    let mut least = 3.0f64;
+    let mut min_sum = 3.0f64;
     for _ in 0..60 {
         world.run(SECOND / 10);
-        least = least.min((0..3).map(|z| world.share(z)).sum());
+        min_sum = min_sum.min((0..3).map(|z| world.share(z)).sum());
     }
     world.set_zone_health(1, Health::Lost);
     let honest = |world: &World| {
@@ -193,17 +193,17 @@
             .filter(|(m, _)| !world.false_reporters.contains_key(m))
             .all(|(_, n)| n.share(1) == 0.0)
     };
-    (least, world.until(15 * SECOND, honest).is_some())
+    (min_sum, world.until(15 * SECOND, honest).is_some())
 }
 
 #[test]
 fn one_front_end_with_false_reports_decides_nothing() {
     for n in [4, 12, 40] {
         for (member, claims_lost) in [(n - 1, true), (n - 1, false), (1, true), (1, false)] {
-            let (least, left) = with_false_reports(n, &[(member, claims_lost)], None);
+            let (min_sum, left) = with_false_reports(n, &[(member, claims_lost)], None);
             assert!(
-                least > 2.99 && left,
-                "{n} front ends, {member} reports all zones lost: {claims_lost}; {least} {left}"
+                min_sum > 2.99 && left,
+                "{n} front ends, {member} reports all zones lost: {claims_lost}; {min_sum} {left}"
             );
         }
     }
@@ -225,12 +225,12 @@
     let shares = |bad: u32, mutant| {
         let mut world = healthy_fleet(20, 3, 9, mutant);
         (8..8 + bad).for_each(|e| _ = world.health.insert(e, Health::Lost));
-        let mut least = 1.0f64;
+        let mut min_share = 1.0f64;
         for _ in 0..200 {
             world.run(SECOND / 10);
-            least = least.min(world.share(1));
+            min_share = min_share.min(world.share(1));
         }
-        least
+        min_share
     };
     assert_eq!((shares(3, None), shares(4, None)), (1.0, 1.0));
     let by_calls = shares(4, Some(Mutant::CountsCalls));
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn a_return_completes_when_most_front_ends_are_killed_and_half_of_the_messages_lost() {
+fn a_return_completes_when_most_front_ends_are_killed_and_half_of_the_messages_are_lost() {
     let mut world = healthy_fleet(20, 3, 15, None);
     world.loss = 0.5;
     world.set_zone_health(1, Health::Lost);
--- a/crates/badgerwind-zones/tests/schedules.rs
+++ b/crates/badgerwind-zones/tests/schedules.rs
@@ -11,9 +11,9 @@
 fn run_scenario(seed: u64, mutant: Option<Mutant>) -> Result<(), String> {
     let mut world = World::new(1, 1, 1, 0.0, seed, mutant);
     let n: Member = [1, 2, 3, 5, 8, 12, 20][world.rng.random_range(0..7)];
-    let (zones, each) = (world.rng.random_range(2..=4), world.rng.random_range(2..=8));
+    let (zones, executors_per_zone) = (world.rng.random_range(2..=4), world.rng.random_range(2..=8));
     let rate = [2.0, 10.0, 30.0][world.rng.random_range(0..3)];
-    let mut world = World::new(n, zones, each, rate, seed, mutant);
+    let mut world = World::new(n, zones, executors_per_zone, rate, seed, mutant);
     world.loss = [0.0, 0.1, 0.3][world.rng.random_range(0..3)];
     if n >= 4 && world.rng.random_bool(0.3) {
         let claims_lost = world.rng.random_bool(0.5);
@@ -35,8 +35,10 @@
                 }
             }
             4 => {
-                let bad = each / 3;
-                (0..bad).for_each(|e| _ = world.health.insert(zone as u32 * each + e, Health::Lost));
+                let bad = executors_per_zone / 3;
+                (0..bad).for_each(|e| {
+                    _ = world.health.insert(zone as u32 * executors_per_zone + e, Health::Lost)
+                });
             }
             5 if n > 3 => {
                 let m = world.rng.random_range(0..n);
@@ -82,7 +84,7 @@
             })
             .collect();
         return Err(format!(
-            "a good zone is not used again: {n} front ends, {zones} zones of {each}, {rate}/s: {stuck:?}"
+            "a good zone is not used again: {n} front ends, {zones} zones of {executors_per_zone}, {rate}/s: {stuck:?}"
         ));
     }
     // Losses from before the end of the faults count for at most eight evidence windows, and may still change
@@ -94,8 +96,8 @@
     if before != after || !open(&world) {
         return Err(format!("stages change after the last fault: {before:?}, {after:?}"));
     }
-    let stages = world.nodes.keys().all(|m| (0..zones).all(|z| world.stage(*m, z) == Stage::Open));
-    stages.then_some(()).ok_or_else(|| "the front ends' stages differ".into())
+    let all_open = world.nodes.keys().all(|m| (0..zones).all(|z| world.stage(*m, z) == Stage::Open));
+    all_open.then_some(()).ok_or_else(|| "not all front ends have all zones in stage open".into())
 }
 
 #[test]
