--- a/crates/badgerwind-budgets/src/coordinator.rs
+++ b/crates/badgerwind-budgets/src/coordinator.rs
@@ -14,7 +14,7 @@
 /// demand fluctuates, and a unit that changes owner is unusable during its cooldown.
 const SHARE_TOLERANCE: usize = 8;
 
-/// The record of a unit.
+/// The coordinator's record of a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     /// The member that may hold it.
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Whether it is coordinator now. A leadership that lapsed even briefly has ended: another member may
-    /// have been coordinator since.
+    /// Whether it is coordinator now. A leadership ends as soon as its votes are no longer a majority, even
+    /// briefly: another member may have been coordinator since.
     pub fn is_coordinator(&mut self, now: Time, limit_set: &LimitSet, settings: &LeaseSettings) -> bool {
         if self.mutant != Some(Mutant::VotesNeverEnd) {
             self.votes.retain(|_, until| now < *until);
@@ -172,9 +172,9 @@
             let unknown = self.unknown_entries(now, limit, settings);
             match leadership.ledgers.get_mut(n) {
                 Some(ledger) => {
-                    let had = ledger.len();
+                    let old_len = ledger.len();
                     ledger.truncate(unknown.len());
-                    ledger.extend(unknown.into_iter().skip(had));
+                    ledger.extend(unknown.into_iter().skip(old_len));
                 }
                 None => leadership.ledgers.push(unknown),
             }
@@ -201,16 +201,16 @@
         }
         let mutant = self.mutant;
         let leadership = self.leadership.as_mut()?;
-        let none = || Requester { incarnation: *incarnation, latest: BTreeMap::new() };
-        let requester = leadership.requesters.entry(from).or_insert_with(none);
+        let new_requester = || Requester { incarnation: *incarnation, latest: BTreeMap::new() };
+        let requester = leadership.requesters.entry(from).or_insert_with(new_requester);
         if *incarnation < requester.incarnation {
             return Some(Message::Superseded { incarnation: *incarnation, latest: requester.incarnation });
         }
         if *incarnation > requester.incarnation {
-            *requester = none();
+            *requester = new_requester();
         }
-        let last = requester.latest.get(budget).map_or(0, |request| request.serial);
-        if *serial <= last && mutant != Some(Mutant::AcceptsStaleRequests) {
+        let last_serial = requester.latest.get(budget).map_or(0, |request| request.serial);
+        if *serial <= last_serial && mutant != Some(Mutant::AcceptsStaleRequests) {
             return None;
         }
         requester.latest.insert(*budget, LatestRequest { serial: *serial, wants: *wants, received_at: now });
@@ -225,9 +225,9 @@
             _ => (lease, cooldown),
         };
         // The same incarnation never again uses units that it no longer holds: their cooldown starts now.
-        let who = (from, *incarnation);
+        let lessee = (from, *incarnation);
         for (n, entry) in ledger.iter_mut().enumerate() {
-            if entry.owner == Some(who) && !held.contains(n as Unit) {
+            if entry.owner == Some(lessee) && !held.contains(n as Unit) {
                 (entry.owner, entry.owned_until) = (None, now);
                 entry.free_from = entry.free_from.min(now + cooldown);
                 if mutant != Some(Mutant::ForgetsUnknownOwners) {
@@ -240,31 +240,31 @@
         let unknown = |entry: &Entry| entry.owner.is_none() && now < entry.free_from;
         let may_keep = |u: Unit| {
             let entry = &ledger[usize::from(u)];
-            entry.owner == Some(who) || unknown(entry)
+            entry.owner == Some(lessee) || unknown(entry)
         };
         let held = held.filter_units(|u| pool.contains(u) && may_keep(u));
         let target = self.target_units(now, from, *budget, limit, settings);
         let leadership = self.leadership.as_mut()?;
         let ledger = &mut leadership.ledgers[usize::from(*budget)];
-        let moves =
+        let max_moves =
             usize::from((u32::from(limit.units) * u32::from(settings.max_moves) / 256).max(1) as Unit);
         // A small excess over its share stays with the lessee, see `SHARE_TOLERANCE`.
         let excess = held.len().saturating_sub(target);
-        let excess = if excess * SHARE_TOLERANCE > held.len() { excess.min(moves) } else { 0 };
+        let excess = if excess * SHARE_TOLERANCE > held.len() { excess.min(max_moves) } else { 0 };
         let renewed: Units = held.iter().take(held.len() - excess).collect();
         let free = |u: &Unit| {
             let entry = &ledger[usize::from(*u)];
             let available =
-                now >= entry.free_from || mutant == Some(Mutant::GrantsTwice) && entry.owner != Some(who);
+                now >= entry.free_from || mutant == Some(Mutant::GrantsTwice) && entry.owner != Some(lessee);
             available && !renewed.contains(*u)
         };
-        let missing = target.saturating_sub(renewed.len()).min(moves.max(target / 2));
+        let missing = target.saturating_sub(renewed.len()).min(max_moves.max(target / 2));
         let added: Units = pool.iter().filter(free).take(missing).collect();
         let (renewed, added) = (renewed.first_ranges(MAX_RANGES), added.first_ranges(MAX_RANGES));
         for u in renewed.iter().chain(added.iter()) {
             let entry = &mut ledger[usize::from(u)];
             (entry.owner, entry.owned_until, entry.free_from) =
-                (Some(who), now + lease, now + lease + cooldown);
+                (Some(lessee), now + lease, now + lease + cooldown);
         }
         let (budget, incarnation, serial, version) = (*budget, *incarnation, *serial, *version);
         Some(Message::Grant { budget, incarnation, serial, version, renewed, added })
@@ -285,11 +285,11 @@
             let latest = requester.latest.get(&budget);
             latest.filter(|r| now < r.received_at + settings.lease).map(|r| r.wants)
         };
-        let all: Vec<(Member, Unit)> =
+        let recent_wants: Vec<(Member, Unit)> =
             leadership.requesters.iter().filter_map(|(m, r)| recent(r).map(|wants| (*m, wants))).collect();
-        let wants: Vec<Unit> = all.iter().map(|a| a.1).collect();
+        let wants: Vec<Unit> = recent_wants.iter().map(|(_, units)| *units).collect();
         let shares = max_min_fair(limit.grantable().len() as Unit, &wants, 0);
-        all.iter().position(|a| a.0 == member).map_or(0, |n| usize::from(shares[n]))
+        recent_wants.iter().position(|(m, _)| *m == member).map_or(0, |n| usize::from(shares[n]))
     }
 
     /// State of each grantable unit of a budget; `None` if it is not coordinator.
--- a/crates/badgerwind-budgets/src/demand.rs
+++ b/crates/badgerwind-budgets/src/demand.rs
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Makes the slot of this time the current one, and clears the slots that have left the window.
     fn advance(&mut self, now: Time) {
         let slot = now / (self.window / SLOTS as Micros);
         let passed = slot.saturating_sub(self.current_slot).min(SLOTS as u64);
@@ -59,16 +60,18 @@
         self.slots.iter().sum()
     }
 
-    /// Units that the member could use. At least `reserve`, even without demand, so that the first calls find
-    /// some units.
+    /// Number of units that the member could use: the peak of recent demand, with headroom. At least
+    /// `reserve`, even without demand, so that the first calls find some units.
     pub fn estimate(&mut self, now: Time, owned: usize, reserve: Unit) -> Unit {
         let recent = self.in_window(now);
         let owned = owned as f64;
-        let usable = match self.bounded && recent >= SATURATION * owned {
+        let demand = match self.bounded && recent >= SATURATION * owned {
+            // Recorded demand may be limited by what is owned, so the estimate grows until the member owns
+            // enough.
             true => recent.max(owned) * 1.5 + 1.0,
             false => recent,
         };
-        self.peak = usable.max(self.peak - self.peak / PEAK_DECAY);
+        self.peak = demand.max(self.peak - self.peak / PEAK_DECAY);
         // The cast from float to integer saturates.
         ((self.peak * HEADROOM).ceil() as Unit).max(reserve)
     }
--- a/crates/badgerwind-budgets/src/election.rs
+++ b/crates/badgerwind-budgets/src/election.rs
@@ -17,11 +17,12 @@
     /// Number of candidates ahead of it: voters in the order of the settings, then all other members with the
     /// same rank.
     rank: u64,
+    /// Earliest time of the next request.
     next_request: Time,
     /// When a coordinator was last heard from.
     coordinator_seen: Time,
     /// When this coordinator last sent its request to all members.
-    announced: Time,
+    announced_at: Time,
 }
 
 impl Election {
@@ -29,7 +30,7 @@
     /// to 1, here and below: candidates that request votes in step would split the votes again and again.
     pub fn new(now: Time, me: Member, settings: &LeaseSettings, jitter: f64) -> Election {
         let rank = settings.voters.iter().position(|v| *v == me).unwrap_or(settings.voters.len()) as u64;
-        let mut election = Election { rank, next_request: 0, coordinator_seen: now, announced: 0 };
+        let mut election = Election { rank, next_request: 0, coordinator_seen: now, announced_at: 0 };
         election.next_request =
             now + settings.drift_adjusted(settings.vote) + election.delay(settings, jitter);
         election
@@ -48,12 +49,11 @@
 
     /// This member has become coordinator. It requests votes again well before the current ones expire.
     pub fn won(&mut self, now: Time, settings: &LeaseSettings) {
-        (self.next_request, self.announced) = (now + settings.vote / REQUESTS_PER_VOTE, 0);
+        (self.next_request, self.announced_at) = (now + settings.vote / REQUESTS_PER_VOTE, 0);
     }
 
     /// The members to request votes from now, if any. A coordinator also announces itself to members that do
-    /// not vote, but less often: what each of three hundred members sends to all is sent ninety thousand
-    /// times.
+    /// not vote, but less often: if each of 300 members sent to all, that would be 90,000 messages.
     pub fn poll(
         &mut self,
         now: Time,
@@ -66,13 +66,14 @@
         }
         if is_coordinator {
             self.next_request = now + settings.vote / REQUESTS_PER_VOTE;
-            let all = now >= self.announced + settings.vote / 2;
-            self.announced = if all { now } else { self.announced };
+            let all = now >= self.announced_at + settings.vote / 2;
+            self.announced_at = if all { now } else { self.announced_at };
             return Some(if all { Recipient::All } else { Recipient::Voters });
         }
         // Twice the validity of a vote, since some messages of a coordinator are lost.
         let no_coordinator = now >= self.coordinator_seen + 2 * settings.vote;
-        // A vote given to a losing candidate binds its voter for as long as one given to the winner.
+        // Before the next request, the votes of this one must have expired: a vote given to a losing
+        // candidate binds its voter for as long as one given to the winner.
         let from = if no_coordinator { now } else { self.coordinator_seen + settings.vote };
         self.next_request = from + settings.vote + self.delay(settings, jitter);
         no_coordinator.then_some(Recipient::Voters)
--- a/crates/badgerwind-budgets/src/lib.rs
+++ b/crates/badgerwind-budgets/src/lib.rs
@@ -33,20 +33,37 @@
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
+    /// A lessee goes on using granted units after its lease has expired.
     SpendsAfterLease,
+    /// A lease is counted from the receipt of the grant and not from the request.
     LeaseFromReceipt,
+    /// A lessee accepts a grant whatever request it answers.
     AcceptsAnyGrant,
+    /// A lessee's requests do not report the units that it holds.
     HidesHoldings,
+    /// A restarted lessee spends its floor without waiting for the cooldown.
     RestartSpendsFloor,
+    /// Votes of earlier rounds are counted.
     CountsOldVotes,
+    /// Votes do not expire.
     VotesNeverEnd,
+    /// Half of the votes count as a majority.
     HalfIsMajority,
+    /// A new coordinator does not wait until earlier grants must have expired.
     NewCoordinatorGrantsAtOnce,
+    /// Requests that arrive out of order are accepted.
     AcceptsStaleRequests,
+    /// Units change owner without a cooldown.
     NoCooldown,
+    /// Times are not lengthened for clock drift.
     IgnoresDrift,
+    /// A unit is granted to another member while its lease is still valid.
     ForgetsLease,
+    /// Units are granted again whether or not they are free.
     GrantsTwice,
+    /// A restarted voter votes at once, although an earlier promise may still be valid.
     VoterForgetsPromise,
+    /// A unit that a lessee reports as no longer held counts as free, whatever an earlier coordinator
+    /// granted.
     ForgetsUnknownOwners,
 }
--- a/crates/badgerwind-budgets/src/message.rs
+++ b/crates/badgerwind-budgets/src/message.rs
@@ -76,6 +76,7 @@
     requested_at.saturating_add(lease)
 }
 
+/// Reads numbers in network byte order from the start of the remaining bytes; `None` where there are too few.
 struct Reader<'a>(&'a [u8]);
 
 impl Reader<'_> {
@@ -96,6 +97,7 @@
     fn u64(&mut self) -> Option<u64> {
         self.array().map(u64::from_be_bytes)
     }
+    /// Reads a set of units; `None` if its ranges are empty, touch, overlap or are not in ascending order.
     fn units(&mut self) -> Option<Units> {
         let n = self.u8().filter(|n| usize::from(*n) <= MAX_RANGES)?;
         let mut all = Vec::new();
--- a/crates/badgerwind-budgets/src/settings.rs
+++ b/crates/badgerwind-budgets/src/settings.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The floors alone exceed the limit.
-    #[error("floors of {members} members at {floor} each exceed the limit of {units} units; a smaller floor or a larger limit")]
+    #[error("floors of {members} members at {floor} each exceed the limit of {units} units; use a smaller floor or a larger limit")]
     FloorsExceedLimit {
         /// Total number of units.
         units: Unit,
@@ -68,7 +68,7 @@
         members: Member,
     },
     /// Fewer than three requests fit into a lease, so that lost messages would end it.
-    #[error("a beat of {request_interval} us leaves no room for three in a lease of {lease} us; a shorter beat or a longer lease")]
+    #[error("a beat of {request_interval} us leaves no room for three in a lease of {lease} us; use a shorter beat or a longer lease")]
     IntervalTooLong {
         /// Interval between lease requests, in microseconds.
         request_interval: Micros,
@@ -116,9 +116,9 @@
         Ok(())
     }
 
-    /// Lengthens `span` so that, measured on any member's clock, it does not end before a `span` that began no
-    /// later has ended on another member's clock. With clock rates within `1 - d` to `1 + d` of true time, `span`
-    /// takes at most `span / (1 - d)` of true time, and a result of `s` takes at least `s / (1 + d)`.
+    /// Lengthens `span` so that, measured on any member's clock, it does not end before a `span` that began
+    /// no later has ended on another member's clock. With clock rates within `1 - d` to `1 + d` of true time,
+    /// `span` takes at most `span / (1 - d)` of true time, and a result of `s` takes at least `s / (1 + d)`.
     pub fn drift_adjusted(&self, span: Micros) -> Micros {
         let (slow, fast) = (1_000_000 - u128::from(self.drift_ppm), 1_000_000 + u128::from(self.drift_ppm));
         (u128::from(span) * fast).div_ceil(slow) as Micros + 1
--- a/crates/badgerwind-budgets/src/voter.rs
+++ b/crates/badgerwind-budgets/src/voter.rs
@@ -17,6 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     promise: Option<Promise>,
+    /// No vote is given before this time, as promises of an earlier incarnation may still be valid.
     quiet_until: Time,
 }
 
--- a/crates/badgerwind-budgets/tests/model.rs
+++ b/crates/badgerwind-budgets/tests/model.rs
@@ -137,12 +137,10 @@
             }
             Action::Restart(n) => {
                 state.restarts -= 1;
-                let (incarnation, left) = (
-                    state.members[n].incarnation + 1,
-                    (state.members[n].vote_requests, state.members[n].lease_requests),
-                );
+                let incarnation = state.members[n].incarnation + 1;
+                let remaining_requests = (state.members[n].vote_requests, state.members[n].lease_requests);
                 state.members[n] = self.participant(n, incarnation, now);
-                (state.members[n].vote_requests, state.members[n].lease_requests) = left;
+                (state.members[n].vote_requests, state.members[n].lease_requests) = remaining_requests;
             }
             Action::Spend(n) => {
                 let cooldown = self.limit_set.limits[0].cooldown;
@@ -295,7 +293,7 @@
 /// `cargo test -p badgerwind-budgets --release --test model -- --ignored --nocapture`
 #[test]
 #[ignore = "minutes; the figures of docs/design/fleet-budgets.md"]
-fn no_state_reachable_in_longer_times_either() {
+fn no_state_reachable_in_a_longer_time_gives_a_unit_two_owners() {
     for (name, fleet) in cases(None, 2) {
         let at = std::time::Instant::now();
         let (states, _, found) = explore(fleet, MAX_STATES);
@@ -322,14 +320,15 @@
     fleet
 }
 
-/// Bounds that reach different hazards, each small enough to be explored completely; `more` lengthens the
-/// explored time.
-fn cases(mutant: Option<Mutant>, more: Time) -> Vec<(&'static str, Fleet)> {
-    let small = |end| Fleet { lease_requests: 1, ..Fleet::new(mutant, end + more) };
-    let mut turns = small(4);
-    (turns.settings.vote, turns.settings.lease, turns.limit_set.limits[0].cooldown) = (2, 1, 0);
+/// Fleets with bounds that reach different hazards, each small enough to be explored completely;
+/// `additional_time` lengthens the explored time.
+fn cases(mutant: Option<Mutant>, additional_time: Time) -> Vec<(&'static str, Fleet)> {
+    let small = |end| Fleet { lease_requests: 1, ..Fleet::new(mutant, end + additional_time) };
+    let mut successive = small(4);
+    (successive.settings.vote, successive.settings.lease, successive.limit_set.limits[0].cooldown) =
+        (2, 1, 0);
     vec![
-        ("two successive coordinators", turns),
+        ("two successive coordinators", successive),
         ("a member restarts", Fleet { restarts: 1, ..small(2) }),
         ("a message is duplicated", Fleet { duplicates: 1, vote_requests: 0, lease_requests: 2, ..small(3) }),
         ("units are spent", Fleet { spends: true, vote_requests: 0, lease_requests: 2, ..small(3) }),
--- a/crates/badgerwind-budgets/tests/schedules.rs
+++ b/crates/badgerwind-budgets/tests/schedules.rs
@@ -143,9 +143,9 @@
 #[test]
 fn every_known_defect_is_detected_at_its_seed() {
     for (mutant, seed) in DETECTING_SEEDS {
-        let what = violation(mutant, seed);
-        println!("{mutant:?}, seed {seed}: {what:?}");
-        assert!(what.is_some(), "{mutant:?} is not detected at seed {seed}");
+        let found = violation(mutant, seed);
+        println!("{mutant:?}, seed {seed}: {found:?}");
+        assert!(found.is_some(), "{mutant:?} is not detected at seed {seed}");
         assert_eq!(
             World::new(random_plan(seed, 9)).run().violation,
             None,
@@ -162,7 +162,7 @@
     std::thread::scope(|scope| {
         for (mutant, _) in DETECTING_SEEDS {
             scope.spawn(move || {
-                let first = (0..10_000).find_map(|seed| violation(mutant, seed).map(|what| (seed, what)));
+                let first = (0..10_000).find_map(|seed| violation(mutant, seed).map(|found| (seed, found)));
                 println!("{mutant:?}: {first:?}");
             });
         }
--- a/crates/badgerwind-budgets/tests/world/mod.rs
+++ b/crates/badgerwind-budgets/tests/world/mod.rs
@@ -339,8 +339,8 @@
         self.observed.most_spent = self.observed.most_spent.max(share);
     }
 
-    fn record_violation(&mut self, what: String) {
-        self.observed.violation.get_or_insert((self.now, what));
+    fn record_violation(&mut self, description: String) {
+        self.observed.violation.get_or_insert((self.now, description));
     }
 
     /// Checks that every unit has at most one owner among the running members, including paused ones.
@@ -358,8 +358,8 @@
                 }
             }
         }
-        if let Some(what) = violation {
-            self.record_violation(what);
+        if let Some(description) = violation {
+            self.record_violation(description);
         }
         self.observed.most_owned = self.observed.most_owned.max(owned as f64 / f64::from(self.plan.units));
         if self.now >= self.sample {
--- a/crates/badgerwind-settings/tests/documents.rs
+++ b/crates/badgerwind-settings/tests/documents.rs
@@ -134,7 +134,7 @@
 #[test]
 fn each_problem_of_budgets_is_named_with_its_remedy() {
     for (from, to, want) in [
-        ("units=\"30\"", "units=\"5\"", "floors of 3 members at 2 each exceed the limit of 5 units; a smaller floor"),
+        ("units=\"30\"", "units=\"5\"", "floors of 3 members at 2 each exceed the limit of 5 units; use a smaller floor"),
         ("beat=\"1s\"", "beat=\"2s\"", "leaves no room for three in a lease"),
         ("<voter number=\"1\"/>", "<voter number=\"7\"/>", "<voter>: number 7 is none of the fleet's"),
         ("<voter number=\"1\"/>", "<voter number=\"0\"/>", "<voter>: number \"0\" occurs twice"),
