--- a/crates/badgerwind-fleet/src/disk.rs
+++ b/crates/badgerwind-fleet/src/disk.rs
@@ -6,7 +6,9 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
+/// Entries of the log, by index.
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
+/// Format, vote (`hard`) and last snapshot, by name.
 const STATE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("state");
 /// Identifies the format of the file.
 const FORMAT: &[u8] = b"badgerwind-register 1";
@@ -34,7 +36,7 @@
     #[error("{0}: {1}")]
     Invalid(PathBuf, VoterStorageError),
     /// The checks of the database failed: the file is truncated or overwritten.
-    #[error("{0}: the file is cut off or damaged; remove this voter from the voters and add it anew with a new file")]
+    #[error("{0}: the file is truncated or damaged; remove this voter from the voters and add it anew with a new file")]
     Corrupt(PathBuf),
     /// An operation of the database failed.
     #[error("{0}: {1}; the voter is stopped until its disk can be written")]
@@ -54,9 +56,9 @@
         let database = Database::create(path).map_err(|e| Disk::database_error(path)(e.into()))?;
         let disk = Disk { database, path: path.to_owned() };
         disk.transaction(|log, state| {
-            let first = postcard::to_allocvec(&storage.initial_snapshot()).unwrap_or_default();
+            let snapshot = postcard::to_allocvec(&storage.initial_snapshot()).unwrap_or_default();
             state.insert("form", FORMAT)?;
-            state.insert("snapshot", first.as_slice())?;
+            state.insert("snapshot", snapshot.as_slice())?;
             log.retain(|_, _| false)?;
             Ok(())
         })?;
@@ -87,7 +89,7 @@
         }
         let snapshot = get("snapshot")?.ok_or_else(unknown_format)?;
         let snapshot = postcard::from_bytes(&snapshot).map_err(|_| unknown_format())?;
-        let hard = match get("hard")? {
+        let hard_state = match get("hard")? {
             Some(bytes) => postcard::from_bytes(&bytes).map_err(|_| unknown_format())?,
             None => Default::default(),
         };
@@ -97,7 +99,7 @@
             let (_, bytes) = row.map_err(|e| failed(e.into()))?;
             entries.push(postcard::from_bytes(bytes.value()).map_err(|_| unknown_format())?);
         }
-        let storage = VoterStorage::restore(snapshot, hard, entries)
+        let storage = VoterStorage::restore(snapshot, hard_state, entries)
             .map_err(|e| DiskError::Invalid(path.to_owned(), e))?;
         drop((state, log));
         drop(read);
@@ -130,6 +132,7 @@
                 let bytes = postcard::to_allocvec(snapshot).unwrap_or_default();
                 state.insert("snapshot", bytes.as_slice())?;
             }
+            // The new entries replace the stored ones from the first one's index on.
             if let Some(first) = write.entries.first().map(Write::entry_index) {
                 log.retain_in(first.., |_, _| false)?;
             }
@@ -137,12 +140,12 @@
                 let bytes = postcard::to_allocvec(entry).unwrap_or_default();
                 log.insert(Write::entry_index(entry), bytes.as_slice())?;
             }
-            if let Some(hard) = &write.hard_state {
-                let bytes = postcard::to_allocvec(hard).unwrap_or_default();
+            if let Some(hard_state) = &write.hard_state {
+                let bytes = postcard::to_allocvec(hard_state).unwrap_or_default();
                 state.insert("hard", bytes.as_slice())?;
             }
-            if let Some(cut) = write.compact_to {
-                log.retain_in(..=cut, |_, _| false)?;
+            if let Some(compact_to) = write.compact_to {
+                log.retain_in(..=compact_to, |_, _| false)?;
             }
             Ok(())
         })
--- a/crates/badgerwind-fleet/src/lib.rs
+++ b/crates/badgerwind-fleet/src/lib.rs
@@ -1,6 +1,6 @@
 //! The runtime of the register's state machines: a voter's disk (an embedded store), links between members
-//! (Noise with the peers' key), one thread that owns the node, and the one value that is read on a call's
-//! path: a snapshot of the incarnation in which this process may act now.
+//! (Noise with the peers' key), one thread that owns the node, and a snapshot of the incarnation in which
+//! this process may act now, which is all that a call reads.
 
 #![warn(missing_docs)]
 
--- a/crates/badgerwind-fleet/src/link.rs
+++ b/crates/badgerwind-fleet/src/link.rs
@@ -61,6 +61,7 @@
     }
 }
 
+/// Fails with a time-out after this time; raced against an operation to limit it.
 async fn timeout<T>(after: Duration) -> Result<T, LinkError> {
     Timer::after(after).await;
     Err(std::io::Error::from(std::io::ErrorKind::TimedOut).into())
@@ -83,6 +84,7 @@
     Ok(Member::from_be_bytes(bytes.try_into().map_err(|_| LinkError::InvalidHandshake)?))
 }
 
+/// Performs the handshake of an outgoing connection, and checks that the peer is the member `to`.
 async fn initiate(
     identity: &LinkIdentity,
     to: Member,
@@ -101,6 +103,8 @@
     Ok(noise.into_transport_mode()?)
 }
 
+/// Performs the handshake of an incoming connection, and returns the member that the peer identifies itself
+/// as.
 async fn respond(
     identity: &LinkIdentity,
     stream: &mut TcpStream,
@@ -127,11 +131,11 @@
     /// authenticated itself.
     async fn send_from(
         &self,
-        from: &Receiver<Message>,
+        queue: &Receiver<Message>,
         on_authenticated: impl FnOnce(),
     ) -> Result<(), LinkError> {
         // The connection is opened with the first message: of 300 members, most send messages to voters only.
-        let Ok(mut message) = from.recv().await else { return Ok(()) };
+        let Ok(mut message) = queue.recv().await else { return Ok(()) };
         let connect = async { Ok(badgerwind_connect::connect(self.address).await?) };
         let mut stream = TcpStream::from(connect.or(timeout(CONNECT_TIMEOUT)).await?);
         stream.set_nodelay(true)?;
@@ -145,7 +149,7 @@
                 let n = noise.write_message(chunk, &mut sealed)?;
                 write_frame(&mut stream, &sealed[..n]).or(timeout(WRITE_TIMEOUT)).await?;
             }
-            message = match from.recv().await {
+            message = match queue.recv().await {
                 Ok(next) => next,
                 Err(_) => return Ok(()),
             };
@@ -156,11 +160,11 @@
 /// Sends the messages of a queue to a member until the queue is closed, reconnecting as needed. Messages that
 /// wait while there is no connection would be stale by the time there is one and are dropped. Only the first
 /// of consecutive failures is logged as a warning.
-pub async fn run_outgoing(identity: LinkIdentity, to: Member, address: SocketAddr, from: Receiver<Message>) {
+pub async fn run_outgoing(identity: LinkIdentity, to: Member, address: SocketAddr, queue: Receiver<Message>) {
     let mut failing = false;
-    while !from.is_closed() {
+    while !queue.is_closed() {
         let link = Link { identity: &identity, to, address };
-        if let Err(e) = link.send_from(&from, || failing = false).await {
+        if let Err(e) = link.send_from(&queue, || failing = false).await {
             if failing {
                 tracing::debug!(member = to, "a link ended: {e}");
             } else {
@@ -169,7 +173,7 @@
             failing = true;
         }
         Timer::after(RETRY_DELAY).await;
-        while from.try_recv().is_ok() {}
+        while queue.try_recv().is_ok() {}
     }
 }
 
@@ -181,18 +185,18 @@
     max_connections: usize,
     received: Sender<(Member, Message)>,
 ) {
-    let mut open: Vec<smol::Task<()>> = Vec::new();
+    let mut connections: Vec<smol::Task<()>> = Vec::new();
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
             Timer::after(RETRY_DELAY).await;
             continue;
         };
-        open.retain(|t| !t.is_finished());
-        if open.len() >= max_connections {
+        connections.retain(|t| !t.is_finished());
+        if connections.len() >= max_connections {
             continue; // dropping the stream closes it
         }
         let (identity, received) = (identity.clone(), received.clone());
-        open.push(smol::spawn(async move {
+        connections.push(smol::spawn(async move {
             if let Err(e) = receive_from(&identity, &mut stream, &received).await {
                 tracing::debug!("a link ended: {e}");
             }
@@ -200,6 +204,7 @@
     }
 }
 
+/// Forwards the messages of one connection until it ends.
 async fn receive_from(
     identity: &LinkIdentity,
     stream: &mut TcpStream,
--- a/crates/badgerwind-fleet/src/member.rs
+++ b/crates/badgerwind-fleet/src/member.rs
@@ -73,7 +73,7 @@
 }
 
 /// Receives the events of a member, on the member's own thread.
-pub trait EventListener<P>: Send + 'static {
+pub trait EventListener<S>: Send + 'static {
     /// An entry of the log caused this event; `at` is the time on the member's own clock.
     fn on_event(&mut self, at: Time, entry: Index, event: &Event);
 }
@@ -91,6 +91,7 @@
     pub live_members: BTreeMap<Member, Incarnation>,
 }
 
+/// A command of a caller to the member's thread.
 enum Command {
     Announce(Vec<u8>, Sender<Result<(Incarnation, u64), AnnounceError>>),
     Leave,
@@ -142,10 +143,10 @@
 impl RegisterMember {
     /// Starts a member on its own thread. The returned receiver yields the error if the thread stops because
     /// of one.
-    pub fn start<P: StateMachine + Send + 'static>(
+    pub fn start<S: StateMachine + Send + 'static>(
         options: MemberOptions,
-        state_machine: P,
-        event_listener: impl EventListener<P>,
+        state_machine: S,
+        event_listener: impl EventListener<S>,
     ) -> Result<(RegisterMember, Receiver<MemberError>), MemberError> {
         options.settings.validate()?;
         let clock = Clock { start: Instant::now(), skew_ppm: options.clock_skew_ppm };
@@ -235,18 +236,21 @@
     }
 }
 
-struct MemberLoop<P, W> {
-    node: Node<P>,
+/// The event loop of a member, on its own thread.
+struct MemberLoop<S, L> {
+    node: Node<S>,
     disk: Option<Arc<Disk>>,
     clock: Clock,
     lease_snapshot: Arc<LeaseSnapshot>,
     view: Arc<ArcSwap<View>>,
     links: BTreeMap<Member, Sender<Message>>,
-    event_listener: W,
+    event_listener: L,
     tick_interval: Duration,
+    /// The last applied entry, whether this member is the leader, and the leader, as published last.
     published: (Index, bool, Option<Member>),
 }
 
+/// An event that the loop handles.
 enum LoopEvent {
     Message(Member, Message),
     Command(Command),
@@ -254,7 +258,7 @@
     Tick,
 }
 
-impl<P: StateMachine + Send + 'static, W: EventListener<P>> MemberLoop<P, W> {
+impl<S: StateMachine + Send + 'static, L: EventListener<S>> MemberLoop<S, L> {
     async fn run(
         mut self,
         tasks: Rc<LocalExecutor<'_>>,
@@ -335,7 +339,7 @@
                     Output::IncarnationLost(0) => {}
                     Output::IncarnationLost(lost) => {
                         tracing::warn!(
-                            words = lost,
+                            announcements = lost,
                             "this member's incarnation has ended; its pending announcements are lost"
                         )
                     }
@@ -352,6 +356,7 @@
         error
     }
 
+    /// Publishes the lease, and the view if it has changed.
     fn publish(&mut self, now: Time) {
         match self.node.live_incarnation(now) {
             Some(incarnation) => self.lease_snapshot.set(incarnation, self.node.lease_end()),
--- a/crates/badgerwind-members/src/members.rs
+++ b/crates/badgerwind-members/src/members.rs
@@ -50,8 +50,9 @@
     pub state: State,
     /// The member that reported the state.
     reported_by: Member,
-    /// When it became a suspect, and which other members suspect it independently.
+    /// When it became a suspect; the time for its refutation counts from here.
     since: Time,
+    /// Other members that suspect it independently.
     confirmed_by: Vec<Member>,
     /// How often this record was sent as a recent change.
     transmissions: u32,
@@ -70,14 +71,15 @@
     }
 }
 
-/// The open probe.
+/// The probe of the current period.
 #[derive(Clone, Debug)]
 struct Probe {
     to: Member,
     serial: u32,
-    at: Time,
-    /// Number of members that were asked to probe as well, and how many of them reported no answer.
+    sent_at: Time,
+    /// Number of members that were asked to probe as well.
     indirect_probers: usize,
+    /// Number of them that reported no answer.
     nacks: usize,
     answered: bool,
 }
@@ -86,8 +88,10 @@
 #[derive(Clone, Debug)]
 struct IndirectProbe {
     requester: Member,
+    /// Serial number of the requester's probe, which the answer to it carries.
     requested_serial: u32,
     target: Member,
+    /// When the requester gets a nack if the target has not answered.
     until: Time,
 }
 
@@ -103,10 +107,13 @@
     probe_order: Vec<Member>,
     probe_count: u32,
     probe: Option<Probe>,
+    /// Open probes on behalf of other members, by the serial number of this member's own ping.
     indirect_probes: BTreeMap<u32, IndirectProbe>,
+    /// When the next period begins.
     next_probe: Time,
     /// Time of the previous tick.
     last_tick: Time,
+    /// Serial number of this member's last ping.
     serial: u32,
     /// Lifeguard's local health counter: 0 when healthy, greater when the fault may be this member's own.
     local_health: u32,
@@ -116,6 +123,7 @@
     mutant: Option<Mutant>,
 }
 
+/// Returns a random number below its argument.
 type Draw<'a> = &'a mut dyn FnMut(usize) -> usize;
 
 impl Members {
@@ -127,20 +135,20 @@
         others: impl IntoIterator<Item = Member>,
         settings: DetectionSettings,
     ) -> Members {
-        let none = PeerRecord {
+        let unknown = PeerRecord {
             incarnation: 0,
             refutations: 0,
             state: State::Unknown,
             reported_by: me,
             since: now,
             confirmed_by: Vec::new(),
-            transmissions: u32::MAX,
+            transmissions: u32::MAX, // there is no change to disseminate
         };
         Members {
             me,
             incarnation,
             refutations: 0,
-            peers: others.into_iter().filter(|m| *m != me).map(|m| (m, none.clone())).collect(),
+            peers: others.into_iter().filter(|m| *m != me).map(|m| (m, unknown.clone())).collect(),
             probe_order: Vec::new(),
             probe_count: 0,
             probe: None,
@@ -205,7 +213,8 @@
         1 + self.peers.values().filter(|peer| matches!(peer.state, State::Alive | State::Suspect)).count()
     }
 
-    /// Does what is due now and returns the messages to send. `draw` gives a number below its argument.
+    /// Sends the probes and nacks that are due and declares suspects dead whose time has expired. Returns the
+    /// messages to send. `draw` returns a random number below its argument.
     pub fn tick(&mut self, now: Time, draw: Draw<'_>) -> Vec<(Member, Message)> {
         let mut out = Vec::new();
         if self.left {
@@ -224,16 +233,18 @@
         }
         self.declare_dead(now);
         self.expire_indirect_probes(now, &mut out);
-        let slower = Micros::from(1 + self.local_health);
+        let slowdown = Micros::from(1 + self.local_health);
         if let Some(probe) = self.probe.clone().filter(|probe| !probe.answered) {
             let indirect = self.mutant != Some(Mutant::NoIndirectProbes);
-            if probe.indirect_probers == 0 && indirect && now >= probe.at + self.settings.ack_timeout * slower
+            if probe.indirect_probers == 0
+                && indirect
+                && now >= probe.sent_at + self.settings.ack_timeout * slowdown
             {
                 self.send_indirect_probes(probe, &mut out, draw);
             }
         }
         if now >= self.next_probe {
-            self.next_probe = now + self.settings.period * slower;
+            self.next_probe = now + self.settings.period * slowdown;
             self.end_probe(now);
             self.begin_probe(now, &mut out, draw);
         }
@@ -241,20 +252,20 @@
     }
 
     fn send_indirect_probes(&mut self, probe: Probe, out: &mut Vec<(Member, Message)>, draw: Draw<'_>) {
-        let mut able: Vec<Member> =
+        let mut candidates: Vec<Member> =
             self.peers.iter().filter(|(_, peer)| peer.state == State::Alive).map(|(m, _)| *m).collect();
-        able.retain(|m| *m != probe.to);
+        candidates.retain(|m| *m != probe.to);
         let mut indirect_probers = 0;
-        while indirect_probers < self.settings.indirect_probers && !able.is_empty() {
-            let prober = able.swap_remove(draw(able.len()));
+        while indirect_probers < self.settings.indirect_probers && !candidates.is_empty() {
+            let prober = candidates.swap_remove(draw(candidates.len()));
             let message = self.message(Kind::PingRequest, probe.serial, probe.to, prober);
             out.push((prober, message));
             indirect_probers += 1;
         }
         // The target is probed once more directly: under heavy loss most failed probes are due to a lost
         // datagram.
-        let again = self.message(Kind::Ping, probe.serial, probe.to, probe.to);
-        out.push((probe.to, again));
+        let repeated = self.message(Kind::Ping, probe.serial, probe.to, probe.to);
+        out.push((probe.to, repeated));
         // If no member can be asked, that counts as one nack, and this probe is not repeated.
         let nacks = usize::from(indirect_probers == 0);
         self.probe = Some(Probe { indirect_probers: indirect_probers.max(1), nacks, ..probe });
@@ -289,15 +300,16 @@
         let unreachable =
             |peer: &PeerRecord| matches!(peer.state, State::Dead | State::Unknown | State::Left);
         let skips_dead = self.mutant == Some(Mutant::NeverProbesDead);
-        let dead: Vec<Member> = self
+        let unreachable_members: Vec<Member> = self
             .peers
             .iter()
             .filter(|(_, peer)| unreachable(peer) && !(skips_dead && peer.state == State::Dead))
             .map(|(m, _)| *m)
             .collect();
         let reachable = self.peers.len() - self.peers.values().filter(|peer| unreachable(peer)).count();
-        let to = if !dead.is_empty() && (reachable == 0 || self.probe_count % PROBES_PER_DEAD_PROBE == 0) {
-            Some(dead[draw(dead.len())])
+        let dead_probe_due = reachable == 0 || self.probe_count % PROBES_PER_DEAD_PROBE == 0;
+        let to = if !unreachable_members.is_empty() && dead_probe_due {
+            Some(unreachable_members[draw(unreachable_members.len())])
         } else {
             self.next_target(draw)
         };
@@ -305,8 +317,14 @@
         self.serial = self.serial.wrapping_add(1);
         let message = self.message(Kind::Ping, self.serial, to, to);
         out.push((to, message));
-        self.probe =
-            Some(Probe { to, serial: self.serial, at: now, indirect_probers: 0, nacks: 0, answered: false });
+        self.probe = Some(Probe {
+            to,
+            serial: self.serial,
+            sent_at: now,
+            indirect_probers: 0,
+            nacks: 0,
+            answered: false,
+        });
     }
 
     /// Round robin over all members that are alive or suspect, shuffled for each round, which bounds the time
@@ -331,15 +349,14 @@
     /// Declares suspects dead whose time has expired. The more members suspect one, the shorter its time
     /// (Lifeguard, section IV-B).
     fn declare_dead(&mut self, now: Time) {
-        let n = self.alive_count();
         let settings = self.settings.clone();
         // As in SWIM, a suspect's time grows with the logarithm of the number of members, as the time of
         // dissemination does.
-        let log = u64::from((n as u32).ilog2().max(1));
+        let log_members = u64::from((self.alive_count() as u32).ilog2().max(1));
         for peer in self.peers.values_mut().filter(|peer| peer.state == State::Suspect) {
             let (shortest, longest) = (
-                settings.min_suspicion * log * settings.period,
-                settings.max_suspicion * log * settings.period,
+                settings.min_suspicion * log_members * settings.period,
+                settings.max_suspicion * log_members * settings.period,
             );
             let confirmations = (peer.confirmed_by.len() as u32).min(settings.confirmations);
             let shortening =
@@ -352,9 +369,9 @@
     }
 
     fn expire_indirect_probes(&mut self, now: Time, out: &mut Vec<(Member, Message)>) {
-        let late: Vec<u32> =
+        let expired: Vec<u32> =
             self.indirect_probes.iter().filter(|(_, probe)| now >= probe.until).map(|(n, _)| *n).collect();
-        for serial in late {
+        for serial in expired {
             if let Some(probe) = self.indirect_probes.remove(&serial) {
                 let message = self.message(Kind::Nack, probe.requested_serial, probe.target, probe.requester);
                 out.push((probe.requester, message));
@@ -486,8 +503,9 @@
         let (member, incarnation, refutations, reported_by) =
             (self.me, self.incarnation, self.refutations, self.me);
         let update = Update { member, incarnation, refutations, state: State::Left, reported_by };
-        let farewell = |m: &Member| {
+        let leave_message = |m: &Member| {
             let message = Message {
+                // Only the update matters: a nack is not answered, and pings begin with serial number 1.
                 kind: Kind::Nack,
                 serial: 0,
                 target: self.me,
@@ -497,7 +515,7 @@
             };
             (*m, message)
         };
-        let out = to.iter().map(farewell).collect();
+        let out = to.iter().map(leave_message).collect();
         self.left = true;
         out
     }
--- a/crates/badgerwind-members/src/settings.rs
+++ b/crates/badgerwind-members/src/settings.rs
@@ -17,7 +17,8 @@
     pub max_suspicion: u64,
     /// Number of independent suspicions that shorten the time to the minimum.
     pub confirmations: u32,
-    /// Upper limit of the local health counter, by which a member's timeouts are multiplied (plus one).
+    /// Upper limit of the local health counter; a member's timeouts are multiplied by one more than the
+    /// counter.
     pub max_local_health: u32,
 }
 
--- a/crates/badgerwind-members/tests/views.rs
+++ b/crates/badgerwind-members/tests/views.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_faulty_member_suspects_itself_before_the_others() {
+fn local_health_reduces_the_wrong_suspicions_of_a_faulty_member() {
     let (without, with) =
         (suspicions_of_a_faulty_member(Some(Mutant::NoLocalHealth)), suspicions_of_a_faulty_member(None));
     println!(
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn one_that_restarts_thirty_times_is_alive_in_its_last_incarnation() {
+fn a_member_that_restarts_thirty_times_is_alive_in_its_last_incarnation() {
     let mut world = converged(8, 9, None);
     for _ in 0..30 {
         world.kill(4);
@@ -202,10 +202,10 @@
     let mut world = converged(60, 1, None);
     (world.sent, world.bytes) = (0, 0);
     world.run(10 * SECOND);
-    let each = world.sent as f64 / 60.0 / 10.0;
+    let messages_per_second = world.sent as f64 / 60.0 / 10.0;
     assert!(
-        each < 2.2 * SECOND as f64 / world::PERIOD as f64,
-        "{each} messages a second: one probe and one answer per period"
+        messages_per_second < 2.2 * SECOND as f64 / world::PERIOD as f64,
+        "{messages_per_second} messages a second and member: one probe and one answer per period"
     );
     // Numbers that are not in the settings are ignored.
     let stranger =
--- a/crates/badgerwind-members/tests/world/mod.rs
+++ b/crates/badgerwind-members/tests/world/mod.rs
@@ -155,13 +155,13 @@
     /// or unknown.
     pub fn views_are_correct(&self) -> bool {
         self.members.iter().filter(|(m, _)| !self.paused.contains(m)).all(|(by, one)| {
-            one.view().all(|(of, seen)| {
-                let runs = self.members.get(&of).filter(|_| !self.paused.contains(&of));
-                match runs {
-                    Some(it) => {
-                        *by == of || seen.state == State::Alive && seen.incarnation == it.incarnation()
+            one.view().all(|(of, peer)| {
+                let running = self.members.get(&of).filter(|_| !self.paused.contains(&of));
+                match running {
+                    Some(member) => {
+                        *by == of || peer.state == State::Alive && peer.incarnation == member.incarnation()
                     }
-                    None => matches!(seen.state, State::Dead | State::Left | State::Unknown),
+                    None => matches!(peer.state, State::Dead | State::Left | State::Unknown),
                 }
             })
         })
@@ -170,6 +170,6 @@
     /// Number of pairs in which a running member regards another running member as dead.
     pub fn wrongly_dead(&self) -> usize {
         let all = self.members.values().flat_map(|one| one.view());
-        all.filter(|(of, seen)| seen.state == State::Dead && self.members.contains_key(of)).count()
+        all.filter(|(of, peer)| peer.state == State::Dead && self.members.contains_key(of)).count()
     }
 }
