--- a/crates/badgerwind-register/src/leases.rs
+++ b/crates/badgerwind-register/src/leases.rs
@@ -1,7 +1,7 @@
 //! The leader's view of which members are live. A member counts itself as live for one lease from when it
 //! SENT its renewal request, by its own clock. The leader counts the same lease, extended by the clock drift,
-//! from when it could prove that nobody else was leader as the request arrived. So once the lease has expired
-//! at the leader, it has expired at the member.
+//! from when it grants the request, which is later: it first needs a proof that it was still the leader after
+//! the request had arrived. So once the lease has expired at the leader, it has expired at the member.
 
 use crate::settings::{Incarnation, Member, Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,6 +23,7 @@
     at: Time,
 }
 
+/// The leases that this leader has granted.
 #[derive(Debug)]
 pub(crate) struct Leases {
     /// When the first entry of this leadership was committed. From then on no other voter grants renewals.
@@ -43,7 +44,7 @@
     }
 
     /// Handles a renewal request that provably arrived while this voter was the leader; returns whether it is
-    /// granted.
+    /// granted. `grants_ending`, a defect for tests, also renews incarnations whose end was proposed.
     pub(crate) fn grant(
         &mut self,
         now: Time,
@@ -51,12 +52,12 @@
         is_alive: bool,
         grants_ending: bool,
     ) -> bool {
-        let grants = is_alive && (grants_ending || !self.ending.contains(&renewal.incarnation));
-        if grants {
+        let granted = is_alive && (grants_ending || !self.ending.contains(&renewal.incarnation));
+        if granted {
             let last = LastRenewal { incarnation: renewal.incarnation, at: now };
             self.renewed.insert(renewal.member, last);
         }
-        grants
+        granted
     }
 
     /// Those of the live incarnations whose lease has certainly expired; each is returned once.
@@ -69,8 +70,8 @@
         let mut expired = Vec::new();
         for (member, incarnation) in live {
             let last = self.renewed.get(&member).filter(|last| last.incarnation == incarnation);
-            let renewed = last.map_or(self.since, |last| last.at);
-            if now > renewed.max(self.since) + adjusted_lease && self.ending.insert(incarnation) {
+            let renewed_at = last.map_or(self.since, |last| last.at);
+            if now > renewed_at.max(self.since) + adjusted_lease && self.ending.insert(incarnation) {
                 expired.push((member, incarnation));
             }
         }
--- a/crates/badgerwind-register/src/ledger.rs
+++ b/crates/badgerwind-register/src/ledger.rs
@@ -7,14 +7,15 @@
 use std::collections::BTreeMap;
 
 /// A state machine driven by the register's log alone. It must be deterministic: the same log yields the same
-/// state on every machine, so it must not use a clock, randomness or the iteration order of a hash map.
+/// state on every machine, so it must not use a clock, randomness or the iteration order of a hash map. `at`
+/// is the index of the entry that causes the call.
 pub trait StateMachine: Sized {
     /// A live member's announcement was committed.
     fn announced(&mut self, at: Index, by: (Member, Incarnation), bytes: &[u8]);
     /// A member's incarnation has begun.
-    fn began(&mut self, _at: Index, _by: (Member, Incarnation)) {}
+    fn began(&mut self, _at: Index, _member: (Member, Incarnation)) {}
     /// A member's incarnation has ended: no announcement of it follows.
-    fn ended(&mut self, at: Index, of: (Member, Incarnation));
+    fn ended(&mut self, at: Index, member: (Member, Incarnation));
     /// Serializes the whole state. The implementation must bound its size.
     fn save(&self) -> Vec<u8>;
     /// Restores a state from [`StateMachine::save`]; `None` where the bytes are invalid.
@@ -55,6 +56,7 @@
 #[derive(Clone, Debug)]
 pub struct Ledger<S> {
     applied: Index,
+    /// The number of the last incarnation that began.
     incarnations: Incarnation,
     members: BTreeMap<Member, MemberState>,
     /// The application's state machine.
@@ -62,6 +64,7 @@
     mutant: Option<Mutant>,
 }
 
+/// The serialized form of a ledger, as snapshots contain it.
 #[derive(Serialize, Deserialize)]
 struct SavedLedger {
     applied: Index,
--- a/crates/badgerwind-register/src/lib.rs
+++ b/crates/badgerwind-register/src/lib.rs
@@ -33,14 +33,24 @@
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
+    /// A leader grants renewals without a proof that it is still the leader.
     GrantsWithoutProof,
+    /// A new leader ends incarnations at once, although the last leader may have renewed them.
     NewLeaderEndsAtOnce,
+    /// A member counts its lease from the receipt of the answer and not from its request.
     LeaseFromReceipt,
+    /// Leases are not lengthened for clock drift.
     IgnoresDrift,
+    /// A leader renews an incarnation whose end it has proposed.
     GrantsWhileEnding,
+    /// Announcements of ended incarnations are accepted.
     AcceptsFromEndedIncarnation,
+    /// An announcement is accepted more than once.
     AcceptsDuplicates,
+    /// An announcement is accepted although earlier ones are missing.
     AcceptsGaps,
+    /// A member's new incarnation begins before its last one has ended.
     JoinsWhileLive,
+    /// A voter restarts without what it wrote to its disk.
     VoterLosesState,
 }
--- a/crates/badgerwind-register/src/node.rs
+++ b/crates/badgerwind-register/src/node.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// What a member is started with.
+/// The parameters with which a member starts.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Its number.
@@ -29,7 +29,7 @@
 /// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed. To be given several times per [`Settings::tick`].
+    /// Time has passed. The caller must give this input several times per [`Settings::tick`].
     Tick,
     /// A message arrived from a member; the transport has authenticated the sender.
     Received(Member, Message),
@@ -79,7 +79,7 @@
     waiting: BTreeMap<Member, Index>,
     /// The term of the last entry applied.
     term: u64,
-    /// An entry could not be read, so no further entries are applied.
+    /// An entry's record version is unknown, so no further entries are applied.
     stuck: bool,
     mutant: Option<Mutant>,
 }
@@ -246,7 +246,12 @@
     fn send_entries(&mut self, out: &mut Vec<Output>) {
         let Some(voter) = &self.voter else { return };
         let (applied, leader) = (self.ledger.applied(), voter.leader());
-        let due: Vec<_> = self.waiting.iter().filter(|w| *w.1 < applied).map(|w| (*w.0, *w.1)).collect();
+        let due: Vec<(Member, Index)> = self
+            .waiting
+            .iter()
+            .filter(|(_, after)| **after < applied)
+            .map(|(member, after)| (*member, *after))
+            .collect();
         let mut snapshot = None;
         for (member, after) in due {
             self.waiting.remove(&member);
@@ -320,6 +325,7 @@
         }
     }
 
+    /// Applies the next entry of the log; any other entry is ignored.
     fn apply(&mut self, now: Time, at: Index, term: u64, data: &[u8], out: &mut Vec<Output>) {
         if self.stuck || at != self.ledger.applied() + 1 {
             return;
@@ -351,7 +357,7 @@
         self.update_session(now, out);
     }
 
-    /// Updates the session by what the ledger says of this member.
+    /// Updates the session from this member's state in the ledger.
     fn update_session(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(state) = self.ledger.members().get(&self.me) else { return };
         if state.nonce != self.session.nonce {
--- a/crates/badgerwind-register/src/session.rs
+++ b/crates/badgerwind-register/src/session.rs
@@ -168,6 +168,7 @@
         out
     }
 
+    /// The voter that is asked, by `voter_index`.
     fn voter(&self, voters: &[Member]) -> Option<Member> {
         voters.get(self.voter_index % voters.len().max(1)).copied()
     }
@@ -179,7 +180,7 @@
         (!records.is_empty()).then_some((to, Message::Propose(records)))
     }
 
-    /// The log shows that this process has got this incarnation.
+    /// The log shows that this process has been given this incarnation.
     pub(crate) fn on_began(&mut self, now: Time, incarnation: Incarnation) {
         (self.incarnation, self.renewed) = (Some(incarnation), now);
     }
--- a/crates/badgerwind-register/src/settings.rs
+++ b/crates/badgerwind-register/src/settings.rs
@@ -48,7 +48,7 @@
     #[error("voter {0} is listed twice")]
     DuplicateVoter(Member),
     /// The lease is too short for three heartbeats, so it does not survive lost messages.
-    #[error("a beat of {heartbeat_interval} us leaves no room for three in a lease of {lease} us; a shorter beat or a longer lease")]
+    #[error("a beat of {heartbeat_interval} us leaves no room for three in a lease of {lease} us; use a shorter beat or a longer lease")]
     Heartbeat {
         /// The heartbeat interval.
         heartbeat_interval: Micros,
--- a/crates/badgerwind-register/src/storage.rs
+++ b/crates/badgerwind-register/src/storage.rs
@@ -14,7 +14,7 @@
 /// An atomic write to the disk. It must be durable before any message that depends on it leaves the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// Replaces everything up to and including its index.
+    /// Replaces the stored snapshot, and the log up to and including its index.
     pub snapshot: Option<WireSnapshot>,
     /// Replace the stored entries from the first one's index on.
     pub entries: Vec<WireEntry>,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The data read from the disk is inconsistent: no voter writes it.
+/// The data read from the disk is inconsistent, so that no voter can have written it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoterStorageError {
     /// Entries are missing.
@@ -110,6 +110,7 @@
         self.snapshot.clone()
     }
 
+    /// The index of the last entry, stored or compacted.
     fn last(&self) -> u64 {
         self.compacted.0 + self.entries.len() as u64
     }
@@ -146,6 +147,7 @@
         }
     }
 
+    /// Raises the commit index in memory.
     pub(crate) fn commit(&mut self, commit: u64) {
         self.hard_state.commit = self.hard_state.commit.max(commit);
     }
--- a/crates/badgerwind-register/src/voter.rs
+++ b/crates/badgerwind-register/src/voter.rs
@@ -98,6 +98,7 @@
     ticks: usize,
 }
 
+/// A voter: a replica of the log, and its leadership while it has one.
 pub(crate) struct Voter {
     me: Member,
     node: RawNode<VoterStorage>,
@@ -191,7 +192,7 @@
         self.storage().voters().iter().filter_map(|v| member(*v)).collect()
     }
 
-    /// Makes the ticks that are due. After a suspension of the process these are at most three, not all that
+    /// Runs the ticks that are due. After a suspension of the process these are at most three, not all that
     /// were missed.
     pub(crate) fn tick<S: StateMachine>(&mut self, now: Time, ledger: &Ledger<S>) {
         let due = (now.saturating_sub(self.last_tick) / self.settings.tick).min(3);
@@ -256,6 +257,7 @@
         }
     }
 
+    /// Handles a message of the consensus protocol, unless its sender or receiver is wrong.
     pub(crate) fn on_message(&mut self, from: Member, message: WireMessage) {
         if message.from != id(from) || message.to != id(self.me) || self.is_installing_snapshot() {
             return;
@@ -269,9 +271,9 @@
 
     /// Handles a renewal request; returns false where this voter is not the leader.
     pub(crate) fn on_renewal(&mut self, renewal: Renewal) -> bool {
-        let limit = usize::from(Member::MAX);
+        let max_renewals = usize::from(Member::MAX);
         let Some(leadership) = &mut self.leadership else { return false };
-        if leadership.renewals.len() < limit {
+        if leadership.renewals.len() < max_renewals {
             leadership.renewals.push(renewal);
         }
         true
@@ -425,10 +427,10 @@
         if let Some(number) = number {
             self.node.on_persist_ready(number);
         }
-        let from = snapshot.as_ref().map_or(ledger.applied(), |s| s.index);
+        let applied = snapshot.as_ref().map_or(ledger.applied(), |s| s.index);
         let last = committed.last().map(|e| e.index).max(snapshot.as_ref().map(|s| s.index));
         let committed =
-            committed.into_iter().filter(|e| e.index > from).map(|e| self.on_committed(now, e)).collect();
+            committed.into_iter().filter(|e| e.index > applied).map(|e| self.on_committed(now, e)).collect();
         if let Some(last) = last {
             self.node.advance_apply_to(last);
         }
@@ -436,6 +438,7 @@
         Some(Completed { messages, snapshot, committed })
     }
 
+    /// Applies a change of voters, and begins to grant renewals with the first entry of this leadership.
     fn on_committed(&mut self, now: Time, entry: Entry) -> CommittedEntry {
         if entry.get_entry_type() != EntryType::EntryNormal {
             if let Some((add, member)) = entry.context.split_first().filter(|(_, m)| m.len() == 2) {
--- a/crates/badgerwind-register/tests/figures.rs
+++ b/crates/badgerwind-register/tests/figures.rs
@@ -39,15 +39,15 @@
 
 #[test]
 fn messages_per_member_do_not_grow_with_the_fleet() {
-    let mut each = Vec::new();
+    let mut rates = Vec::new();
     for members in [10, 60] {
         let observed = World::new(scenario(members, 3_600_000 * MS, vec![])).run();
         assert_eq!((observed.violation.clone(), observed.alive_at_end), (None, members), "{members} members");
-        each.push(observed.messages as f64 / 12.0 / members as f64);
+        rates.push(observed.messages as f64 / 12.0 / members as f64);
     }
     // The consensus traffic among five voters is divided by the number of members.
-    assert!(each[1] < each[0], "{each:?} messages a second and member");
-    assert!(each[1] < 20.0, "{each:?}");
+    assert!(rates[1] < rates[0], "{rates:?} messages a second and member");
+    assert!(rates[1] < 20.0, "{rates:?}");
 }
 
 #[test]
--- a/crates/badgerwind-register/tests/world/mod.rs
+++ b/crates/badgerwind-register/tests/world/mod.rs
@@ -97,7 +97,7 @@
     epoch: u64,
     announced: u64,
     /// The last entry after which the state was checked.
-    at: Index,
+    checked: Index,
 }
 
 #[derive(Clone)]
@@ -109,7 +109,7 @@
     Fault(usize),
 }
 
-/// What the observer saw.
+/// The observer's measurements.
 #[derive(Debug, Default, Clone)]
 pub struct Observations {
     pub violation: Option<(u64, String)>,
@@ -156,7 +156,7 @@
                 drift_ppm: rng.random_range(-drift_ppm..=drift_ppm),
                 epoch: 0,
                 announced: 0,
-                at: 0,
+                checked: 0,
             })
             .collect();
         let mut world = World {
@@ -219,7 +219,7 @@
             (Some(node.with_mutant(now, self.scenario.mutant)), false, None);
         host.missed.clear();
         host.epoch += 1;
-        host.at = 0;
+        host.checked = 0;
         let epoch = host.epoch;
         let first = self.rng.random_range(0..self.scenario.settings.tick);
         self.push(self.now + first, Event::Tick(index, epoch));
@@ -267,9 +267,9 @@
         self.check_state(index);
     }
 
-    fn report_violation(&mut self, what: String) {
+    fn report_violation(&mut self, description: String) {
         let at = self.now;
-        self.observed.violation.get_or_insert((at, what));
+        self.observed.violation.get_or_insert((at, description));
     }
 
     /// Checks that a member does not consider itself live in an incarnation whose end some member has
@@ -292,7 +292,7 @@
     fn check_state(&mut self, index: usize) {
         let Some(node) = &self.hosts[index].node else { return };
         let at = node.ledger().applied();
-        if self.hosts[index].at == at {
+        if self.hosts[index].checked == at {
             return;
         }
         let (bytes, announcements, error) = (
@@ -300,10 +300,10 @@
             node.ledger().state_machine.announcements,
             node.ledger().state_machine.error.clone(),
         );
-        self.hosts[index].at = at;
+        self.hosts[index].checked = at;
         self.observed.entries = self.observed.entries.max(at);
         self.observed.announcements = self.observed.announcements.max(announcements);
-        error.into_iter().for_each(|what| self.report_violation(what));
+        error.into_iter().for_each(|error| self.report_violation(error));
         if self.states.entry(at).or_insert_with(|| bytes.clone()) != &bytes {
             self.report_violation(format!("member {index} has a different state after entry {at}"));
         }
