--- a/crates/badgerwind-budgets/tests/figures.rs
+++ b/crates/badgerwind-budgets/tests/figures.rs
@@ -7,9 +7,18 @@
 use badgerwind_budgets::Unit;
 use world::*;
 
-/// Fraction of the limit that is owned before the fault and 1, 2, 5 and 10 s after it, seconds until 0.95 of
-/// it is owned again, and messages and bytes per second.
-fn simulate(members: usize, faults: Vec<(u64, Fault)>, loss: f64) -> (Vec<f64>, Option<f64>, f64, f64) {
+/// The measurements of a simulated fault.
+struct Recovery {
+    /// Fraction of the limit that is owned before the fault and 1, 2, 5 and 10 s after it.
+    owned_shares: Vec<f64>,
+    /// Seconds until 0.95 of the limit is owned again.
+    recovery_seconds: Option<f64>,
+    messages_per_second: f64,
+    bytes_per_second: f64,
+}
+
+/// Simulates a fleet with faults at 8 s.
+fn simulate(members: usize, faults: Vec<(u64, Fault)>, loss: f64) -> Recovery {
     let units = 4 * members as Unit;
     let fault_at = 8_000 * MS;
     let end = 20_000 * MS;
@@ -33,26 +42,31 @@
     let observed = World::new(plan).run();
     assert_eq!(observed.violation, None);
     let share = |at: u64| {
-        let found = observed.owned.iter().rev().find(|s| s.0 <= at).map_or(0, |s| s.1);
-        found as f64 / f64::from(units)
+        let owned = observed.owned.iter().rev().find(|sample| sample.0 <= at).map_or(0, |sample| sample.1);
+        owned as f64 / f64::from(units)
     };
-    let after = [0u64, 1_000, 2_000, 5_000, 10_000].map(|ms| share(fault_at - 100 * MS + ms * MS)).to_vec();
+    let owned_shares =
+        [0u64, 1_000, 2_000, 5_000, 10_000].map(|ms| share(fault_at - 100 * MS + ms * MS)).to_vec();
     let recovered =
         observed.owned.iter().find(|s| s.0 > fault_at + 100 * MS && s.1 as f64 >= 0.95 * f64::from(units));
     let seconds = end as f64 / 1e6;
-    let recovered = recovered.map(|s| (s.0 - fault_at) as f64 / 1e6);
-    (after, recovered, observed.messages as f64 / seconds, observed.bytes as f64 / seconds)
+    Recovery {
+        owned_shares,
+        recovery_seconds: recovered.map(|s| (s.0 - fault_at) as f64 / 1e6),
+        messages_per_second: observed.messages as f64 / seconds,
+        bytes_per_second: observed.bytes as f64 / seconds,
+    }
 }
 
 /// Static shares would leave 0.3 of the limit usable.
 #[test]
 fn survivors_take_over_the_units_of_crashed_members_within_seconds() {
-    let (after, ..) = simulate(30, vec![(8_000 * MS, Fault::Kill((9..30).collect()))], 0.0);
-    println!("{after:?}");
-    assert!(after[0] > 0.99 && after[3] > 0.8, "{after:?}");
+    let shares = simulate(30, vec![(8_000 * MS, Fault::Kill((9..30).collect()))], 0.0).owned_shares;
+    println!("{shares:?}");
+    assert!(shares[0] > 0.99 && shares[3] > 0.8, "{shares:?}");
     // Without a majority of the voters only the floors remain.
-    let (after, ..) = simulate(30, vec![(8_000 * MS, Fault::Kill((0..21).collect()))], 0.0);
-    assert!(after[3] < 0.1, "{after:?}");
+    let shares = simulate(30, vec![(8_000 * MS, Fault::Kill((0..21).collect()))], 0.0).owned_shares;
+    assert!(shares[3] < 0.1, "{shares:?}");
 }
 
 #[test]
@@ -86,13 +100,15 @@
             ),
             ("halves for 6 s", split, 0.0, 1.0),
         ];
-        for (name, faults, loss, alone) in scenarios {
-            let (after, recovered, messages, bytes) = simulate(members, faults, loss);
-            let after: Vec<_> = after.iter().map(|s| format!("{s:.2}")).collect();
-            let recovered = recovered.map_or("never".into(), |s| format!("{s:.1}"));
+        for (name, faults, loss, static_share) in scenarios {
+            let recovery = simulate(members, faults, loss);
+            let shares: Vec<_> = recovery.owned_shares.iter().map(|s| format!("{s:.2}")).collect();
             println!(
-                "| {members} | {name} | {} | {recovered} | {messages:.0} | {bytes:.0} | {alone:.2} |",
-                after.join(" | ")
+                "| {members} | {name} | {} | {} | {:.0} | {:.0} | {static_share:.2} |",
+                shares.join(" | "),
+                recovery.recovery_seconds.map_or("never".into(), |s| format!("{s:.1}")),
+                recovery.messages_per_second,
+                recovery.bytes_per_second,
             );
         }
     }
--- a/crates/badgerwind-budgets/tests/model.rs
+++ b/crates/badgerwind-budgets/tests/model.rs
@@ -267,14 +267,26 @@
     }
 }
 
-fn explore(fleet: Fleet, max_states: usize) -> (usize, bool, Vec<&'static str>) {
+/// The result of a complete exploration.
+struct Exploration {
+    unique_states: usize,
+    /// Whether the whole limit is owned in some state.
+    limit_owned: bool,
+    /// The safety properties that some state violates.
+    violated: Vec<&'static str>,
+}
+
+fn explore(fleet: Fleet, max_states: usize) -> Exploration {
     let checker = fleet.checker().threads(2).target_state_count(max_states).spawn_bfs().join();
     assert!(
         checker.state_count() < max_states,
         "the state limit was reached before the exploration was complete"
     );
-    let found = checker.discoveries().into_keys().filter(|n| n.starts_with("no unit")).collect();
-    (checker.unique_state_count(), checker.discovery("the limit is owned").is_some(), found)
+    Exploration {
+        unique_states: checker.unique_state_count(),
+        limit_owned: checker.discovery("the limit is owned").is_some(),
+        violated: checker.discoveries().into_keys().filter(|name| name.starts_with("no unit")).collect(),
+    }
 }
 
 /// More states than any case has, so that each is explored completely.
@@ -283,10 +295,10 @@
 #[test]
 fn no_reachable_state_gives_a_unit_two_owners() {
     for (name, fleet) in cases(None, 0) {
-        let (states, limit_owned, found) = explore(fleet, MAX_STATES);
-        println!("{name}: {states} states, {found:?}");
+        let Exploration { unique_states, limit_owned, violated } = explore(fleet, MAX_STATES);
+        println!("{name}: {unique_states} states, {violated:?}");
         assert!(limit_owned, "{name}: the limit can be owned");
-        assert!(found.is_empty(), "{name}: {found:?}");
+        assert!(violated.is_empty(), "{name}: {violated:?}");
     }
 }
 
@@ -295,10 +307,10 @@
 #[ignore = "minutes; the figures of docs/design/fleet-budgets.md"]
 fn no_state_reachable_in_a_longer_time_gives_a_unit_two_owners() {
     for (name, fleet) in cases(None, 2) {
-        let at = std::time::Instant::now();
-        let (states, _, found) = explore(fleet, MAX_STATES);
-        println!("{name}: {states} states in {:.1?}, {found:?}", at.elapsed());
-        assert!(found.is_empty(), "{name}: {found:?}");
+        let start = std::time::Instant::now();
+        let Exploration { unique_states, violated, .. } = explore(fleet, MAX_STATES);
+        println!("{name}: {unique_states} states in {:.1?}, {violated:?}", start.elapsed());
+        assert!(violated.is_empty(), "{name}: {violated:?}");
     }
 }
 
@@ -306,10 +318,10 @@
 #[test]
 #[ignore = "two minutes"]
 fn a_voter_that_forgets_its_promise_is_found() {
-    let expected = vec!["no unit has two owners"];
-    let (states, _, found) = explore(restarting_voter(Some(Mutant::VoterForgetsPromise)), MAX_STATES);
-    println!("found in {states} states");
-    assert_eq!(found, expected);
+    let fleet = restarting_voter(Some(Mutant::VoterForgetsPromise));
+    let Exploration { unique_states, violated, .. } = explore(fleet, MAX_STATES);
+    println!("found in {unique_states} states");
+    assert_eq!(violated, ["no unit has two owners"]);
 }
 
 /// A coordinator whose votes are valid for a long time; a voter of its majority restarts and could vote a
--- a/crates/badgerwind-budgets/tests/world/mod.rs
+++ b/crates/badgerwind-budgets/tests/world/mod.rs
@@ -54,9 +54,13 @@
 }
 
 enum Event {
+    /// A member ticks; the number is its incarnation, here and below.
     Tick(usize, u64),
+    /// A member attempts to spend units.
     Spend(usize, u64),
+    /// A message from the first member arrives at the second.
     Receive(usize, usize, Message),
+    /// The fault with this index in the plan begins.
     Fault(usize),
 }
 
@@ -84,11 +88,12 @@
     now: u64,
     queue: BinaryHeap<std::cmp::Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
+    /// Number of events scheduled so far, which identifies each and orders events of the same time.
     count: u64,
     processes: Vec<Option<Node>>,
     paused: Vec<bool>,
     incarnations: Vec<u64>,
-    /// Rate of each clock in parts per million, and its offset.
+    /// Rate of each clock in millionths of true time, and its offset.
     clocks: Vec<(u64, u64)>,
     cuts: Vec<(Vec<usize>, Vec<usize>)>,
     settings: LeaseSettings,
--- a/crates/badgerwind-config/tests/machine.rs
+++ b/crates/badgerwind-config/tests/machine.rs
@@ -399,13 +399,20 @@
 
 // ---- Random responses, failures and restarts. ----
 
+/// A step of a random schedule. A kind is given by its index in [`Kind::ALL`].
 #[derive(Clone, Debug)]
 enum Step {
+    /// The open request of a kind is answered with a version, whose text is selected by the last number.
     Offer(u8, u64, u8),
+    /// The open request of a kind ends without a new version.
     Nothing(u8),
+    /// The open request of a kind fails; the random number for the backoff, in 255ths.
     Fail(u8, u8),
+    /// The oldest open action is carried out and succeeds or fails.
     Work(bool),
+    /// Time passes.
     Pass(u16),
+    /// The process is killed and started again.
     Restart,
 }
 
@@ -422,8 +429,8 @@
 }
 
 /// Texts of a kind: some are valid, some invalid, and some valid only together with another type's.
-fn text(kind: Kind, which: u8) -> String {
-    match (kind, which) {
+fn text(kind: Kind, variant: u8) -> String {
+    match (kind, variant) {
         (_, 0) => "<badgerwind version=\"1\"><".into(),
         (Kind::Classes, 1) => classes(&["amend"], 900),
         (Kind::Classes, 2) => classes(&["check-answers", "lodge-return", "amend"], 900),
@@ -464,11 +471,11 @@
         for step in [Step::Pass(0)].into_iter().chain(steps) {
             let mut input = None;
             match step {
-                Step::Offer(k, version, which) => {
+                Step::Offer(k, version, variant) => {
                     let kind = Kind::ALL[k as usize];
                     if let Some(request_id) = open_requests.remove(&kind) {
                         nonce += 1;
-                        let (n, t) = (format!("n{nonce}"), text(kind, which));
+                        let (n, t) = (format!("n{nonce}"), text(kind, variant));
                         unanswered.insert(kind, (n.clone(), version, t.clone()));
                         input = Some(offer(request_id, kind, version, &t, &n));
                     }
--- a/crates/badgerwind-members/tests/world/mod.rs
+++ b/crates/badgerwind-members/tests/world/mod.rs
@@ -32,7 +32,9 @@
     pub sent: u64,
     pub bytes: u64,
     in_flight: BinaryHeap<Reverse<InFlight>>,
+    /// Number of messages put in flight so far, which orders those of the same time.
     count: u64,
+    /// Number of members in the settings.
     n: Member,
     incarnations: u64,
     mutant: Option<Mutant>,
--- a/crates/badgerwind-register/tests/world/mod.rs
+++ b/crates/badgerwind-register/tests/world/mod.rs
@@ -94,6 +94,7 @@
     missed: Vec<Event>,
     /// The clock's rate error, in millionths.
     drift_ppm: i64,
+    /// Incremented by each start and kill: events of an earlier process are ignored.
     epoch: u64,
     announced: u64,
     /// The last entry after which the state was checked.
@@ -102,10 +103,15 @@
 
 #[derive(Clone)]
 enum Event {
+    /// A host ticks; the number is the epoch of its process, here and below.
     Tick(usize, u64),
+    /// A host makes an announcement.
     Announce(usize, u64),
+    /// A host's write to its disk completes.
     Written(usize, u64),
+    /// A message arrives at the first host from the second.
     Deliver(usize, usize, Message),
+    /// The fault with this index in the scenario begins.
     Fault(usize),
 }
 
--- a/crates/badgerwind-zones/tests/world/mod.rs
+++ b/crates/badgerwind-zones/tests/world/mod.rs
@@ -28,7 +28,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// A message arrives: its sender, its receiver and its encoding.
     Message(Member, Member, Vec<u8>),
+    /// A request of a front end to an executor ends: 0 if it was answered in time, 1 if late, 2 if it was
+    /// lost; and when it was sent.
     Ended(Member, u32, u8, Time),
 }
 
