--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -109,7 +109,7 @@
         let rig = start_following("f", address).await;
         folder::publish(dir.path(), Kind::Routes, &routes(1)).unwrap();
         until_running(&rig, Kind::Routes, 1).await;
-        // Recorded traffic, which is replayed under a new version.
+        // Recorded traffic, on which a new version is tried in the shadow.
         for n in 0..8 {
             assert_eq!(rig.send(&format!("m{n}"), CHECK, 100).await.status, 200);
         }
@@ -134,7 +134,7 @@
         publish_unchecked(Kind::Classes, 2, &classes(80, ""));
         assert!(until_rejected(&rig, Kind::Classes, 2)
             .await
-            .contains("in the replay none of 8 calls was served"));
+            .contains("in the shadow none of 8 calls was served"));
         assert_eq!(served_versions(&rig, 1..=4).await, [1]);
         assert_eq!((rig.running(Kind::Routes).await, rig.running(Kind::Classes).await), (Some(1), None));
         publish_unchecked(Kind::Routes, 5, &routes(5));
@@ -153,7 +153,7 @@
         let temporary_file = rig.folder.path().join("kept/config.new");
         std::fs::create_dir(&temporary_file).unwrap();
         folder::publish(dir.path(), Kind::Routes, &routes(1)).unwrap();
-        assert!(until_rejected(&rig, Kind::Routes, 1).await.contains("the change cannot be stored: "));
+        assert!(until_rejected(&rig, Kind::Routes, 1).await.contains("it cannot be kept: "));
         assert_eq!(served_versions(&rig, 1..=1).await, [0u64; 0]);
         std::fs::remove_dir(&temporary_file).unwrap();
         folder::publish(dir.path(), Kind::Routes, &routes(2)).unwrap();
--- a/crates/badgerwind-cli/tests/program.rs
+++ b/crates/badgerwind-cli/tests/program.rs
@@ -170,7 +170,7 @@
     assert_eq!(run(&["rollback", "v", "limits", "1"]).1, "limits 3 has the content of 1\n");
     assert_eq!(run(&["diff", "v", "limits", "1", "3"]).1, "");
     let (code, _, stderr) = run(&["rollback", "v", "limits", "9"]);
-    assert_eq!((code, stderr.as_str()), (Some(2), "badgerwind: version 9 of limits does not exist\n"));
+    assert_eq!((code, stderr.as_str()), (Some(2), "badgerwind: there is no limits 9\n"));
     assert_eq!(run(&["publish", "v", "weather", "part.xml"]).0, Some(2));
 
     let ready = folder.path().join("ready");
--- a/crates/badgerwind-config/src/client.rs
+++ b/crates/badgerwind-config/src/client.rs
@@ -332,7 +332,7 @@
                         self.reject_change(
                             now,
                             change,
-                            status(RESOURCE_EXHAUSTED, format!("the change cannot be stored: {error}")),
+                            status(RESOURCE_EXHAUSTED, format!("it cannot be kept: {error}")),
                             out,
                         );
                     }
--- a/crates/badgerwind-config/src/shadow.rs
+++ b/crates/badgerwind-config/src/shadow.rs
@@ -161,7 +161,7 @@
                 }
                 Output::Answer { answer: FinalAnswer::Served(()), .. } => result.served += 1,
                 Output::ModuleFailed { text } => {
-                    return Err(format!("the decision module failed in the replay: {text}"))
+                    return Err(format!("the decision module failed in the shadow: {text}"))
                 }
                 _ => {}
             }
@@ -169,7 +169,7 @@
     }
     if result.served_before >= MIN_SERVED_CALLS && result.served == 0 {
         return Err(format!(
-            "in the replay none of {} calls was served; {} of them were when recorded",
+            "in the shadow none of {} calls was served; {} of them were when recorded",
             result.calls, result.served_before
         ));
     }
--- a/crates/badgerwind-control/src/folder.rs
+++ b/crates/badgerwind-control/src/folder.rs
@@ -12,7 +12,7 @@
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
     /// The version does not exist.
-    #[error("version {1} of {0} does not exist")]
+    #[error("there is no {0} {1}")]
     Missing(&'static str, u64),
     /// The text is not a valid part of its kind.
     #[error("{0}")]
