--- a/crates/badgerwind-scale/src/config_world/front_end.rs
+++ b/crates/badgerwind-scale/src/config_simulation/front_end.rs
@@ -2,7 +2,7 @@
 //! the router are replaced by constant durations.
 
 use super::settings::MAX_DEADLINE;
-use super::SECOND;
+use crate::rows::network::SECOND;
 use badgerwind_config::client::{Action, Client, Input, Time, Timing};
 use badgerwind_config::wire::{DiscoveryRequest, Health};
 use badgerwind_config::{Kind, Part};
--- a/crates/badgerwind-scale/src/config_world/mod.rs
+++ b/crates/badgerwind-scale/src/config_simulation/mod.rs
@@ -19,6 +19,3 @@
 
 /// Number of front ends of each of the 35 control services of the planned size.
 pub const FRONT_ENDS_PER_SERVICE: u64 = 314;
-
-/// One second, in microseconds.
-pub const SECOND: u64 = 1_000_000;
--- a/crates/badgerwind-scale/src/config_world/service.rs
+++ b/crates/badgerwind-scale/src/config_simulation/service.rs
@@ -4,8 +4,8 @@
 //! change.
 
 use super::network::response_bytes;
-use super::SECOND;
 use crate::cost::ProcessorMeter;
+use crate::rows::network::SECOND;
 use badgerwind_config::client::Time;
 use badgerwind_config::waves::{RolloutPolicy, Stage, Waves};
 use badgerwind_config::wire::DiscoveryRequest;
--- a/crates/badgerwind-scale/src/config_world/simulation.rs
+++ b/crates/badgerwind-scale/src/config_simulation/simulation.rs
@@ -4,7 +4,7 @@
 use super::network::{request_bytes, Network, POLL_TIMEOUT};
 use super::service::{OutgoingResponse, Service, ServiceFault, ServiceLoad, SCAN_MICROS, SLOT_MICROS};
 use super::settings;
-use super::SECOND;
+use crate::rows::network::{REGIONS, SECOND};
 use badgerwind_config::client::{Input, Time};
 use badgerwind_config::waves::RolloutPolicy;
 use badgerwind_config::wire::{DiscoveryRequest, DiscoveryResponse};
@@ -17,9 +17,6 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Number of regions of the planned size.
-const REGIONS: usize = 7;
-
 /// How much longer than [`POLL_TIMEOUT`] a front end waits for a response, in microseconds.
 const RESPONSE_MARGIN: Time = 2 * SECOND;
 
--- a/crates/badgerwind-scale/src/lib.rs
+++ b/crates/badgerwind-scale/src/lib.rs
@@ -3,7 +3,7 @@
 //! what they cost at several sizes, fits the growth of each cost, and prints and plots the result. Each row
 //! of `docs/CAPACITY.md` is one [`row::Row`], reproduced by one command with a fixed seed.
 
-pub mod config_world;
+pub mod config_simulation;
 pub mod cost;
 pub mod error;
 pub mod fit;
--- a/crates/badgerwind-scale/src/rows/call_counts.rs
+++ b/crates/badgerwind-scale/src/rows/call_counts.rs
@@ -1,6 +1,7 @@
 //! Deterministic counts per call at two sizes of the list of workers, and their growth from one to the other.
 
-use super::front_end::{CallPath, HollowFrontEnd, Surroundings, SECOND};
+use super::front_end::{CallPath, HollowFrontEnd, Workload};
+use super::network::SECOND;
 use badgerwind::interface::Micros;
 use thiserror::Error;
 
@@ -34,8 +35,8 @@
 
 /// Counts per call of a call path in one simulated second, after a warm-up of one second. Exact only if the
 /// program's global allocator is the counting one and no other thread runs.
-pub fn call_counts<P: CallPath>(path: P, surroundings: Surroundings, seed: u64) -> CallCounts {
-    let mut front_end = HollowFrontEnd::with_path(path, surroundings, seed);
+pub fn call_counts<P: CallPath>(path: P, workload: Workload, seed: u64) -> CallCounts {
+    let mut front_end = HollowFrontEnd::with_path(path, workload, seed);
     front_end.run(WARM_UP_TIME);
     front_end.take_costs();
     front_end.run(MEASURED_TIME);
--- a/crates/badgerwind-scale/src/rows/cold_starts.rs
+++ b/crates/badgerwind-scale/src/rows/cold_starts.rs
@@ -8,7 +8,8 @@
 //! more copies would be loaded than the fleet has room for, the least recently used ones are unloaded
 //! first; idle copies then stay loaded for the characteristic time of Che's approximation for LRU caches.
 
-use super::front_end::{PLANNED_FRONT_ENDS, SECOND};
+use super::front_end::PLANNED_FRONT_ENDS;
+use super::network::SECOND;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use rand::rngs::StdRng;
--- a/crates/badgerwind-scale/src/rows/config.rs
+++ b/crates/badgerwind-scale/src/rows/config.rs
@@ -1,7 +1,7 @@
 //! Rows of the cost of the configuration stream at a front end, by the size of the settings and by the
 //! number of listed workers.
 
-use crate::config_world::{request_bytes, response_bytes, settings, VERSIONS_PER_SECOND};
+use crate::config_simulation::{request_bytes, response_bytes, settings, VERSIONS_PER_SECOND};
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
--- a/crates/badgerwind-scale/src/rows/config_in_force.rs
+++ b/crates/badgerwind-scale/src/rows/config_in_force.rs
@@ -1,8 +1,9 @@
 //! Row of the time from the publication of a version until it is in force, by the size of the fleet.
 
-use crate::config_world::{Scenario, Simulation, FRONT_ENDS_PER_SERVICE, SECOND, VERSIONS_PER_SECOND};
+use crate::config_simulation::{Scenario, Simulation, FRONT_ENDS_PER_SERVICE, VERSIONS_PER_SECOND};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
+use crate::rows::network::SECOND;
 use badgerwind_config::Kind;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/badgerwind-scale/src/rows/control.rs
+++ b/crates/badgerwind-scale/src/rows/control.rs
@@ -1,12 +1,13 @@
 //! Rows of the cost of the control service, by the number of its front ends: in normal operation, after the
 //! failure of another control service, and when front ends restart or reconnect.
 
-use crate::config_world::{
-    Scenario, ServiceLoad, Simulation, FRONT_ENDS_PER_SERVICE, SECOND, VERSIONS_PER_SECOND,
+use crate::config_simulation::{
+    Scenario, ServiceLoad, Simulation, FRONT_ENDS_PER_SERVICE, VERSIONS_PER_SECOND,
 };
 use crate::cost::HeapMeter;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
+use crate::rows::network::SECOND;
 use badgerwind_config::client::Report;
 use badgerwind_config::waves::Waves;
 use badgerwind_config::wire::Health;
@@ -122,7 +123,7 @@
 /// `started`.
 fn idle_bytes_per_second(started: &ServiceLoad, size: u64) -> f64 {
     let request = started.bytes_in as f64 / started.messages.max(1) as f64;
-    let response = crate::config_world::response_bytes(None).0 as f64;
+    let response = crate::config_simulation::response_bytes(None).0 as f64;
     4.0 * size as f64 * (request + response) / 20.0
 }
 
--- a/crates/badgerwind-scale/src/rows/front_end.rs
+++ b/crates/badgerwind-scale/src/rows/front_end.rs
@@ -1,6 +1,7 @@
 //! A hollow front end: the real call path with simulated workers in simulated time. Processor time and heap
 //! allocations of the call path are measured.
 
+use super::network::SECOND;
 use super::workers::{CallReply, ForeignCalls, ScriptedWorkers, WorkerModel};
 use crate::cost::ProcessorMeter;
 use badgerwind::interface::*;
@@ -18,11 +19,9 @@
 /// Number of front ends at the planned size.
 pub const PLANNED_FRONT_ENDS: u32 = 11_000;
 /// Number of zones at the planned size.
-pub const ZONES: u32 = 21;
+pub const ZONES: u32 = super::network::ZONES as u32;
 /// Number of workers per cell.
 pub const WORKERS_PER_CELL: u32 = 100;
-/// One second in microseconds, the unit of time of the decision module.
-pub const SECOND: Micros = 1_000_000;
 /// Events that are due within this time are processed in one batch, as the driver does.
 const ROUND: Micros = 500;
 const AIM: Micros = SECOND;
@@ -50,9 +49,9 @@
     }
 }
 
-/// The workload and the simulated workers of a hollow front end.
+/// Workload of a hollow front end: its listed workers and the calls that it receives.
 #[derive(Debug, Clone, Copy)]
-pub struct Surroundings {
+pub struct Workload {
     /// Number of workers in the list.
     pub workers: u32,
     /// Number of functions that are called.
@@ -71,10 +70,10 @@
     pub foreign_calls: Option<ForeignCalls>,
 }
 
-impl Surroundings {
+impl Workload {
     /// Creates a workload at the planned rate of calls, without calls of other front ends.
     pub fn new(workers: u32, functions: u64) -> Self {
-        Surroundings {
+        Workload {
             workers,
             functions,
             zipf_exponent: 1.0,
@@ -264,7 +263,7 @@
 /// A hollow front end with its simulated calls and workers.
 pub struct HollowFrontEnd<P> {
     call_path: P,
-    surroundings: Surroundings,
+    workload: Workload,
     workers: ScriptedWorkers,
     now: Time,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -286,32 +285,31 @@
 
 impl HollowFrontEnd<Router> {
     /// Creates a front end with the real router, which has the whole list. Nothing is loaded yet.
-    pub fn new(surroundings: Surroundings, seed: u64) -> Self {
-        HollowFrontEnd::with_path(Router::new(seed, surroundings.settings()), surroundings, seed)
+    pub fn new(workload: Workload, seed: u64) -> Self {
+        HollowFrontEnd::with_path(Router::new(seed, workload.settings()), workload, seed)
     }
 }
 
 impl<P: CallPath> HollowFrontEnd<P> {
     /// Creates a front end with another call path, whose first event is the whole list.
-    pub fn with_path(call_path: P, surroundings: Surroundings, seed: u64) -> Self {
+    pub fn with_path(call_path: P, workload: Workload, seed: u64) -> Self {
         let model = WorkerModel {
-            when_absent: surroundings.when_absent,
-            keep_alive: surroundings.keep_alive,
+            when_absent: workload.when_absent,
+            keep_alive: workload.keep_alive,
             lanes: LANES,
-            mean_foreign_crowd: surroundings.mean_foreign_crowd,
-            foreign_calls: surroundings.foreign_calls,
+            mean_foreign_crowd: workload.mean_foreign_crowd,
+            foreign_calls: workload.foreign_calls,
         };
         let mut front_end = HollowFrontEnd {
             call_path,
-            surroundings,
+            workload,
             workers: ScriptedWorkers::new(model, seed ^ 0x5eed),
             now: START_TIME,
             queue: BinaryHeap::new(),
             last_sequence: 0,
             rng: StdRng::seed_from_u64(seed),
-            arrival_interval: Exp::new(surroundings.calls_per_second.max(1e-6))
-                .expect("the rate is positive"),
-            function_ranks: Zipf::new(surroundings.functions.max(1) as f64, surroundings.zipf_exponent)
+            arrival_interval: Exp::new(workload.calls_per_second.max(1e-6)).expect("the rate is positive"),
+            function_ranks: Zipf::new(workload.functions.max(1) as f64, workload.zipf_exponent)
                 .expect("there is a function, and the exponent is not negative"),
             calls: HashMap::new(),
             arrived_calls: 0,
@@ -322,7 +320,7 @@
             meter_overhead_us: measure_meter_overhead(),
             first_workers: Vec::new(),
         };
-        front_end.apply_list(ListKind::Whole, surroundings.worker_entries());
+        front_end.apply_list(ListKind::Whole, workload.worker_entries());
         front_end.schedule(START_TIME, PendingEvent::Arrival);
         front_end
     }
@@ -589,9 +587,9 @@
         }
     }
 
-    /// The workload and the simulated workers.
-    pub fn surroundings(&self) -> &Surroundings {
-        &self.surroundings
+    /// The workload.
+    pub fn workload(&self) -> &Workload {
+        &self.workload
     }
 }
 
--- a/crates/badgerwind-scale/src/rows/hard_cases.rs
+++ b/crates/badgerwind-scale/src/rows/hard_cases.rs
@@ -2,7 +2,8 @@
 //! increases a thousandfold within a second, a lost cell, and a front end after its restart.
 
 use super::cold_starts::{Demand, FLEET_CALLS_PER_SECOND};
-use super::front_end::{Costs, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND, WORKERS_PER_CELL};
+use super::front_end::{Costs, HollowFrontEnd, Workload, CALLS_PER_SECOND, WORKERS_PER_CELL};
+use super::network::SECOND;
 use super::router::{HEAP_BOUND, PROCESSOR_TIME_BOUND};
 use super::workers::ForeignCalls;
 use crate::error::ScaleError;
@@ -121,13 +122,13 @@
 
 /// Calls are distributed uniformly over 400,000 functions, so that almost none is called twice.
 fn measure_functions_called_once(workers: u32, seed: u64) -> Vec<Measurement> {
-    let surroundings = Surroundings { zipf_exponent: 0.0, ..Surroundings::new(workers, MANY_FUNCTIONS) };
-    let list_heap = HollowFrontEnd::new(surroundings, seed).into_heap_bytes() as f64;
-    let mut front_end = HollowFrontEnd::new(surroundings, seed);
+    let workload = Workload { zipf_exponent: 0.0, ..Workload::new(workers, MANY_FUNCTIONS) };
+    let list_heap = HollowFrontEnd::new(workload, seed).into_heap_bytes() as f64;
+    let mut front_end = HollowFrontEnd::new(workload, seed);
     front_end.run(MEASURED_TIME);
     let costs = front_end.take_costs();
     let heap_per_call = costs.per_call(front_end.into_heap_bytes() as f64 - list_heap);
-    let remembered_functions = 8.0 * surroundings.keep_alive as f64 / SECOND as f64 * CALLS_PER_SECOND;
+    let remembered_functions = 8.0 * workload.keep_alive as f64 / SECOND as f64 * CALLS_PER_SECOND;
     let steady_state_heap = list_heap + heap_per_call * remembered_functions;
     vec![
         measurement(ONCE_PROCESSOR_TIME, time_per_second(&costs)),
@@ -138,7 +139,7 @@
 
 /// The rate of calls to one rarely called function increases a thousandfold.
 fn measure_burst(workers: u32, seed: u64) -> Vec<Measurement> {
-    let mut front_end = HollowFrontEnd::new(Surroundings::new(workers, FUNCTIONS), seed);
+    let mut front_end = HollowFrontEnd::new(Workload::new(workers, FUNCTIONS), seed);
     front_end.run(WARM_UP);
     front_end.take_costs();
     front_end.start_burst(BURST_FUNCTION, BURST_RATE, MEASURED_TIME);
@@ -157,10 +158,10 @@
 
 /// All workers of a cell are removed in one list event.
 fn measure_lost_cell(workers: u32, seed: u64) -> Vec<Measurement> {
-    let surroundings = Surroundings::new(workers, FUNCTIONS);
-    let mut front_end = HollowFrontEnd::new(surroundings, seed);
+    let workload = Workload::new(workers, FUNCTIONS);
+    let mut front_end = HollowFrontEnd::new(workload, seed);
     front_end.run(WARM_UP);
-    let cell = surroundings.worker_entries().into_iter().filter(|e| e.worker / WORKERS_PER_CELL == LOST_CELL);
+    let cell = workload.worker_entries().into_iter().filter(|e| e.worker / WORKERS_PER_CELL == LOST_CELL);
     let removed = cell.map(|e| WorkerEntry { availability: Availability::Removed, ..e }).collect();
     front_end.take_costs();
     front_end.apply_list(ListKind::Changes, removed);
@@ -179,8 +180,8 @@
 fn measure_restart(workers: u32, seed: u64) -> Vec<Measurement> {
     let top_function_rate = Demand::new(MANY_FUNCTIONS, 1.0, FLEET_CALLS_PER_SECOND).top_function_rate();
     let foreign_calls = Some(ForeignCalls { top_function_rate, exponent: 1.0 });
-    let surroundings = Surroundings { foreign_calls, ..Surroundings::new(workers, MANY_FUNCTIONS) };
-    let mut front_end = HollowFrontEnd::new(surroundings, seed);
+    let workload = Workload { foreign_calls, ..Workload::new(workers, MANY_FUNCTIONS) };
+    let mut front_end = HollowFrontEnd::new(workload, seed);
     front_end.run(MEASURED_TIME);
     let costs = front_end.take_costs();
     vec![
--- a/crates/badgerwind-scale/src/rows/lists.rs
+++ b/crates/badgerwind-scale/src/rows/lists.rs
@@ -1,8 +1,9 @@
 //! Rows of the list of workers: costs of a changed worker, a lost zone and a whole list at a front end, and
 //! the calls that go to other workers as a result.
 
-use super::front_end::{worker_entry, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND, ZONES};
+use super::front_end::{worker_entry, HollowFrontEnd, Workload, CALLS_PER_SECOND, ZONES};
 use super::list_frames::{encode_frame, frame_bytes};
+use super::network::SECOND;
 use super::router::{HEAP_BOUND, PROCESSOR_TIME_BOUND};
 use crate::cost::ProcessorMeter;
 use crate::error::ScaleError;
@@ -59,8 +60,8 @@
 }
 
 /// The entries of the workers in the lost zone, as removed.
-fn lost_zone_entries(surroundings: &Surroundings) -> Vec<WorkerEntry> {
-    let entries = surroundings.worker_entries().into_iter().filter(|e| e.zone == LOST_ZONE);
+fn lost_zone_entries(workload: &Workload) -> Vec<WorkerEntry> {
+    let entries = workload.worker_entries().into_iter().filter(|e| e.zone == LOST_ZONE);
     entries.map(|e| WorkerEntry { availability: Availability::Removed, ..e }).collect()
 }
 
@@ -114,8 +115,8 @@
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let surroundings = Surroundings::new(size.min(u64::from(u32::MAX)) as u32, FUNCTIONS);
-        let mut front_end = HollowFrontEnd::new(surroundings, seed);
+        let workload = Workload::new(size.min(u64::from(u32::MAX)) as u32, FUNCTIONS);
+        let mut front_end = HollowFrontEnd::new(workload, seed);
         front_end.run(WARM_UP);
         let mut measurements = measure_single_changes(&mut front_end);
         measurements.extend(measure_zone_loss(&mut front_end));
@@ -123,7 +124,7 @@
         measurements.extend(measure_whole_list(&mut front_end));
         let measurement = |metric, bytes: usize| Measurement { metric, value: bytes as f64 };
         measurements.push(measurement(CHANGE_BYTES, frame_bytes(1)));
-        let zone_loss_bytes = lost_zone_entries(&surroundings).len() * frame_bytes(1);
+        let zone_loss_bytes = lost_zone_entries(&workload).len() * frame_bytes(1);
         measurements.push(measurement(ZONE_LOSS_BYTES, zone_loss_bytes));
         measurements.push(measurement(WHOLE_LIST_BYTES, frame_bytes(size as usize)));
         measurements.push(measurement(HEAP, front_end.into_heap_bytes() as usize));
@@ -136,7 +137,7 @@
     front_end.take_costs();
     front_end.run(2 * SECOND);
     let unchanged = front_end.take_costs();
-    let workers = front_end.surroundings().workers;
+    let workers = front_end.workload().workers;
     let mut list_us = 0.0;
     for change in 0..CHANGED_WORKERS {
         let worker = 1 + change * (workers / CHANGED_WORKERS).max(1) % workers;
@@ -162,7 +163,7 @@
 
 /// A zone is lost in one list event and, after its return, in several.
 fn measure_zone_loss(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
-    let removed = lost_zone_entries(front_end.surroundings());
+    let removed = lost_zone_entries(front_end.workload());
     let ready = |e: &WorkerEntry| WorkerEntry { availability: Availability::Ready, ..e.clone() };
     let single_event_us = front_end.apply_list(ListKind::Changes, removed.clone());
     front_end.run(2 * SECOND);
@@ -188,7 +189,7 @@
 /// A part of a zone restarts: one after the other, workers drain, are removed and return with a new
 /// process, which is cold.
 fn measure_rolling_restart(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Measurement {
-    let zone = lost_zone_entries(front_end.surroundings());
+    let zone = lost_zone_entries(front_end.workload());
     let restarted = &zone[..zone.len().div_ceil(RESTART_DIVISOR)];
     let interval = RESTART_DURATION / (3 * restarted.len().max(1)) as Micros;
     front_end.take_costs();
@@ -207,7 +208,7 @@
 
 /// The whole list is received, as after a disconnection.
 fn measure_whole_list(front_end: &mut HollowFrontEnd<badgerwind::Router>) -> Vec<Measurement> {
-    let entries = front_end.surroundings().worker_entries();
+    let entries = front_end.workload().worker_entries();
     let bytes = encode_frame(1, ListKind::Whole, &entries);
     front_end.take_costs();
     let list_us = front_end.apply_list(ListKind::Whole, entries);
@@ -279,13 +280,12 @@
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let surroundings = Surroundings::new(size.min(u64::from(u32::MAX)) as u32, FUNCTIONS);
-        let after =
-            |change: &[WorkerEntry]| first_workers(surroundings, seed, WARM_UP, COMPARED_TIME, change);
+        let workload = Workload::new(size.min(u64::from(u32::MAX)) as u32, FUNCTIONS);
+        let after = |change: &[WorkerEntry]| first_workers(workload, seed, WARM_UP, COMPARED_TIME, change);
         let (unchanged, repeated) = (after(&[]), after(&[]));
         let worker = median_worker(&unchanged);
         let removed_worker = single_entry(worker, Availability::Removed);
-        let removed_zone = lost_zone_entries(&surroundings);
+        let removed_zone = lost_zone_entries(&workload);
         let (without_worker, without_zone) = (after(&removed_worker), after(&removed_zone));
         let measurement = |metric, share| Measurement { metric, value: per_thousand(share) };
         Ok(vec![
@@ -301,13 +301,13 @@
 /// The first worker of each call that arrives within `compared_time` after a change of the list. The front
 /// end runs for `warm_up` before the change; without entries, the list stays unchanged.
 pub fn first_workers(
-    surroundings: Surroundings,
+    workload: Workload,
     seed: u64,
     warm_up: Micros,
     compared_time: Micros,
     change: &[WorkerEntry],
 ) -> Vec<Option<WorkerId>> {
-    let mut front_end = HollowFrontEnd::new(surroundings, seed);
+    let mut front_end = HollowFrontEnd::new(workload, seed);
     front_end.run(warm_up);
     let first_call = front_end.arrived_calls() as usize;
     if !change.is_empty() {
@@ -395,14 +395,14 @@
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let surroundings = Surroundings::new(size.min(u64::from(u32::MAX)) as u32, FUNCTIONS);
-        let mut peers = Peers::new(surroundings, seed);
+        let workload = Workload::new(size.min(u64::from(u32::MAX)) as u32, FUNCTIONS);
+        let mut peers = Peers::new(workload, seed);
         peers.run(WARM_UP);
         let equal_lists = peers.run(20 * SECOND);
         let worker = median_worker(peers.first.first_workers());
         let worker_removed = peers.apply_change(single_entry(worker, Availability::Removed));
         peers.run(10 * SECOND);
-        let zone_removed = peers.apply_change(lost_zone_entries(&surroundings));
+        let zone_removed = peers.apply_change(lost_zone_entries(&workload));
         let after_10 = peers.run(10 * SECOND);
         peers.run(10 * SECOND);
         let after_30 = peers.run(10 * SECOND);
@@ -424,12 +424,12 @@
 }
 
 impl Peers {
-    fn new(surroundings: Surroundings, seed: u64) -> Self {
-        let settings = badgerwind::interface::Settings { my_number: 1, ..surroundings.settings() };
+    fn new(workload: Workload, seed: u64) -> Self {
+        let settings = badgerwind::interface::Settings { my_number: 1, ..workload.settings() };
         let router = badgerwind::Router::new(seed + 1, settings);
         Peers {
-            first: HollowFrontEnd::new(surroundings, seed),
-            second: HollowFrontEnd::with_path(router, surroundings, seed),
+            first: HollowFrontEnd::new(workload, seed),
+            second: HollowFrontEnd::with_path(router, workload, seed),
         }
     }
 
--- a/crates/badgerwind-scale/src/rows/outages.rs
+++ b/crates/badgerwind-scale/src/rows/outages.rs
@@ -1,7 +1,8 @@
 //! Row of the costs of a front end's own evidence while service discovery is unreachable. The real state
 //! machine decides on each call; simulated executors answer after a fixed time.
 
-use super::front_end::{CALLS_PER_SECOND, SECOND};
+use super::front_end::CALLS_PER_SECOND;
+use super::network::SECOND;
 use super::router::{HEAP_BOUND, PROCESSOR_TIME_BOUND};
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
--- a/crates/badgerwind-scale/src/rows/router.rs
+++ b/crates/badgerwind-scale/src/rows/router.rs
@@ -2,7 +2,8 @@
 //! and by the number of functions.
 
 use super::cold_starts::{Demand, FLEET_CALLS_PER_SECOND};
-use super::front_end::{Costs, HollowFrontEnd, Surroundings, CALLS_PER_SECOND, SECOND};
+use super::front_end::{Costs, HollowFrontEnd, Workload, CALLS_PER_SECOND};
+use super::network::SECOND;
 use super::workers::ForeignCalls;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
@@ -73,12 +74,12 @@
 }
 
 /// Costs of the call path after a warm-up, and the heap bytes that it holds at the end.
-pub fn steady_state_costs(surroundings: Surroundings, seed: u64) -> (Costs, u64) {
+pub fn steady_state_costs(workload: Workload, seed: u64) -> (Costs, u64) {
     let shortened = |duration: Micros| {
-        let workers = Micros::from(surroundings.workers).max(FULL_TIME_WORKERS);
+        let workers = Micros::from(workload.workers).max(FULL_TIME_WORKERS);
         (duration * FULL_TIME_WORKERS / workers).max(MIN_SIMULATED_TIME)
     };
-    let mut front_end = HollowFrontEnd::new(surroundings, seed);
+    let mut front_end = HollowFrontEnd::new(workload, seed);
     front_end.run(shortened(WARM_UP));
     front_end.take_costs();
     front_end.run(shortened(MEASURED_TIME));
@@ -123,8 +124,8 @@
 }
 
 impl WorkersRow {
-    fn surroundings(&self, workers: u32) -> Surroundings {
-        Surroundings { when_absent: self.when_absent, ..Surroundings::new(workers, FUNCTIONS) }
+    fn workload(&self, workers: u32) -> Workload {
+        Workload { when_absent: self.when_absent, ..Workload::new(workers, FUNCTIONS) }
     }
 }
 
@@ -166,8 +167,8 @@
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ScaleError> {
-        let (costs, heap_bytes) = steady_state_costs(self.surroundings(worker_count(size)), seed);
-        let (reference, _) = steady_state_costs(self.surroundings(REFERENCE_WORKERS), seed);
+        let (costs, heap_bytes) = steady_state_costs(self.workload(worker_count(size)), seed);
+        let (reference, _) = steady_state_costs(self.workload(REFERENCE_WORKERS), seed);
         let mut measurements = cost_measurements(&costs, heap_bytes);
         let growth =
             costs.per_call(costs.processor_us) / reference.per_call(reference.processor_us).max(1e-9);
@@ -203,7 +204,7 @@
 impl FunctionsRow {
     /// Mean number of functions that the decision module remembers in the steady state.
     fn steady_state_functions(&self, functions: u64) -> f64 {
-        let keep_alive = Surroundings::new(self.workers, functions).keep_alive as f64 / SECOND as f64;
+        let keep_alive = Workload::new(self.workers, functions).keep_alive as f64 / SECOND as f64;
         Demand::new(functions, 1.0, CALLS_PER_SECOND)
             .mean_functions_called(FUNCTION_EXPIRY_KEEP_ALIVES * keep_alive)
     }
@@ -265,9 +266,9 @@
             let top_function_rate = Demand::new(size, 1.0, FLEET_CALLS_PER_SECOND).top_function_rate();
             ForeignCalls { top_function_rate, exponent: 1.0 }
         });
-        let surroundings = Surroundings { foreign_calls, ..Surroundings::new(self.workers, size) };
-        let list_heap = HollowFrontEnd::new(surroundings, seed).into_heap_bytes() as f64;
-        let mut front_end = HollowFrontEnd::new(surroundings, seed);
+        let workload = Workload { foreign_calls, ..Workload::new(self.workers, size) };
+        let list_heap = HollowFrontEnd::new(workload, seed).into_heap_bytes() as f64;
+        let mut front_end = HollowFrontEnd::new(workload, seed);
         front_end.run(WARM_UP);
         front_end.take_costs();
         front_end.run(HEAP_TIME - WARM_UP);
@@ -284,7 +285,7 @@
         add(STEADY_STATE_FUNCTIONS, steady_state_functions);
         add(STEADY_STATE_HEAP, list_heap + heap_per_function * steady_state_functions);
         if let Some(duration) = self.late_heap_time {
-            let mut front_end = HollowFrontEnd::new(surroundings, seed);
+            let mut front_end = HollowFrontEnd::new(workload, seed);
             front_end.run(duration);
             add(HEAP_AFTER_180_S, front_end.into_heap_bytes() as f64);
         }
--- a/crates/badgerwind-scale/src/rows/zones.rs
+++ b/crates/badgerwind-scale/src/rows/zones.rs
@@ -6,7 +6,7 @@
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use crate::rows::members::{control_bounds, ENVELOPE_BYTES, PLANNED_FRONT_ENDS};
-use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND, SECOND};
+use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND, SECOND, ZONES};
 use badgerwind_zones::{
     Aggregator, Evidence, Executor, Member, Message, Node, Observation, Settings, Stage, ZoneDigest,
     ZoneReport,
@@ -21,8 +21,6 @@
 const TICK_INTERVAL: Micros = HEARTBEAT_INTERVAL / 4;
 /// Time that a cold runner takes to warm up; it determines the steps of a return.
 const WARM_UP: Micros = 4 * SECOND;
-/// Zones of the planned fleet.
-const ZONES: usize = 21;
 /// Number of voters, as recommended to operators.
 const VOTERS: usize = 3;
 /// Calls a second of a front end of the planned fleet.
--- a/crates/badgerwind-scale/tests/config.rs
+++ b/crates/badgerwind-scale/tests/config.rs
@@ -2,13 +2,14 @@
 //! check detects a violation.
 
 use badgerwind_config::Kind;
-use badgerwind_scale::config_world::{FrontEndFault, Scenario, ServiceFault, Simulation, SECOND};
+use badgerwind_scale::config_simulation::{FrontEndFault, Scenario, ServiceFault, Simulation};
 use badgerwind_scale::row::{Measurement, Row};
 use badgerwind_scale::rows::config::{self, ConfigClient};
 use badgerwind_scale::rows::config_in_force::ConfigInForce;
 use badgerwind_scale::rows::control::{
     simulate_rejoin, ConfigMachineLost, ConfigRejoin, ConfigRestart, ConfigService,
 };
+use badgerwind_scale::rows::network::SECOND;
 
 /// Time by which all front ends have started and their requests are open.
 const STARTED: u64 = 3 * SECOND;
--- a/crates/badgerwind-scale/tests/front_end.rs
+++ b/crates/badgerwind-scale/tests/front_end.rs
@@ -1,7 +1,8 @@
 //! Tests of the hollow front end: calls arrive at their rate, are finished, and find copies where the model
 //! of the workers has loaded them.
 
-use badgerwind_scale::rows::front_end::{Costs, HollowFrontEnd, Surroundings, SECOND};
+use badgerwind_scale::rows::front_end::{Costs, HollowFrontEnd, Workload};
+use badgerwind_scale::rows::network::SECOND;
 use badgerwind_scale::rows::workers::ForeignCalls;
 
 const WORKERS: u32 = 40;
@@ -10,14 +11,14 @@
 const SEED: u64 = 1;
 
 /// Costs over [`SECONDS`], without the processor time, which differs between runs.
-fn costs(surroundings: Surroundings, seed: u64) -> Costs {
-    let mut front_end = HollowFrontEnd::new(surroundings, seed);
+fn costs(workload: Workload, seed: u64) -> Costs {
+    let mut front_end = HollowFrontEnd::new(workload, seed);
     front_end.run(SECONDS * SECOND);
     Costs { processor_us: 0.0, ..front_end.take_costs() }
 }
 
-fn small() -> Surroundings {
-    Surroundings::new(WORKERS, FUNCTIONS)
+fn small() -> Workload {
+    Workload::new(WORKERS, FUNCTIONS)
 }
 
 #[test]
@@ -40,7 +41,7 @@
     let alone = costs(small(), SEED);
     assert!(alone.misses > 0 && alone.load_orders > 0 && alone.cold_calls > 0, "{alone:?}");
     let foreign_calls = Some(ForeignCalls { top_function_rate: 1e6, exponent: 1.0 });
-    let in_fleet = costs(Surroundings { foreign_calls, ..small() }, SEED);
+    let in_fleet = costs(Workload { foreign_calls, ..small() }, SEED);
     assert_eq!(in_fleet.misses, 0);
     // Only a call that gets a lane of an additional copy, ordered while all lanes were busy, waits for a
     // load.
--- a/crates/badgerwind-scale/tests/lists.rs
+++ b/crates/badgerwind-scale/tests/lists.rs
@@ -3,9 +3,10 @@
 use badgerwind::interface::{Availability, ListKind, WorkerEntry};
 use badgerwind_platform::config::NameCounts;
 use badgerwind_platform::discovery::EventFollower;
-use badgerwind_scale::rows::front_end::{worker_entry, Surroundings, SECOND, ZONES};
+use badgerwind_scale::rows::front_end::{worker_entry, Workload, ZONES};
 use badgerwind_scale::rows::list_frames::{encode_frame, frame_bytes};
 use badgerwind_scale::rows::lists::{differing_share, first_workers, share_sent_to};
+use badgerwind_scale::rows::network::SECOND;
 
 const WARM_UP: u64 = 2 * SECOND;
 const COMPARED_TIME: u64 = 4 * SECOND;
@@ -14,13 +15,13 @@
     NameCounts { zones: ZONES as usize, kinds: 1 }
 }
 
-fn surroundings() -> Surroundings {
-    Surroundings { calls_per_second: 40.0, ..Surroundings::new(42, 30) }
+fn workload() -> Workload {
+    Workload { calls_per_second: 40.0, ..Workload::new(42, 30) }
 }
 
 /// The first worker of each call after a change of the list.
 fn calls(change: &[WorkerEntry]) -> Vec<Option<u32>> {
-    first_workers(surroundings(), 1, WARM_UP, COMPARED_TIME, change)
+    first_workers(workload(), 1, WARM_UP, COMPARED_TIME, change)
 }
 
 fn removed(workers: impl Iterator<Item = u32>) -> Vec<WorkerEntry> {
@@ -29,7 +30,7 @@
 
 #[test]
 fn discovery_reader_decodes_the_frames() {
-    let entries = surroundings().worker_entries();
+    let entries = workload().worker_entries();
     let bytes = encode_frame(1, ListKind::Whole, &entries);
     assert_eq!(bytes.len(), frame_bytes(entries.len()));
     let (mut follower, mut changes) = (EventFollower::new(0), Vec::new());
@@ -46,7 +47,7 @@
 #[test]
 fn whole_list_of_more_than_20_000_workers_is_rejected() {
     let read = |workers| {
-        let bytes = encode_frame(1, ListKind::Whole, &Surroundings::new(workers, 1).worker_entries());
+        let bytes = encode_frame(1, ListKind::Whole, &Workload::new(workers, 1).worker_entries());
         EventFollower::new(0).on_bytes(&name_counts(), &bytes, &mut Vec::new())
     };
     assert!(read(20_000).is_ok());
--- a/crates/badgerwind-scale/tests/router.rs
+++ b/crates/badgerwind-scale/tests/router.rs
@@ -4,7 +4,7 @@
 use badgerwind::interface::{Action, Event, RequestId, Settings, Time, WorkerId};
 use badgerwind::Router;
 use badgerwind_scale::rows::call_counts::{call_counts, check_growth, CallCounts};
-use badgerwind_scale::rows::front_end::{CallPath, Surroundings};
+use badgerwind_scale::rows::front_end::{CallPath, Workload};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 
@@ -48,13 +48,13 @@
 }
 
 fn substitute_counts(workers: u32, scans: bool) -> CallCounts {
-    call_counts(SubstitutePath { workers, scans }, Surroundings::new(workers, FUNCTIONS), SEED)
+    call_counts(SubstitutePath { workers, scans }, Workload::new(workers, FUNCTIONS), SEED)
 }
 
 fn router_counts(workers: u32) -> CallCounts {
-    let surroundings = Surroundings::new(workers, FUNCTIONS);
-    let settings: Settings = surroundings.settings();
-    call_counts(Router::new(SEED, settings), surroundings, SEED)
+    let workload = Workload::new(workers, FUNCTIONS);
+    let settings: Settings = workload.settings();
+    call_counts(Router::new(SEED, settings), workload, SEED)
 }
 
 #[test]
