--- a/crates/badgerwind-scale/src/config_simulation/front_end.rs
+++ b/crates/badgerwind-scale/src/config_simulation/front_end.rs
@@ -16,20 +16,20 @@
 /// oldest has ended.
 const MAX_DRAINING: usize = 4;
 
-/// Defaults of the settings.
-const TIMING: Timing =
+/// Timing of the client in the default settings.
+pub const DEFAULT_TIMING: Timing =
     Timing { stage_timeout: 10 * SECOND, min_backoff: SECOND / 2, max_backoff: 30 * SECOND };
 
 /// Durations of the slow operations of a front end, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Durations {
-    /// Reading of keys and replay of recorded calls.
+    /// Reading keys and replaying recorded calls.
     pub prepare: Time,
-    /// Writing and syncing of the settings to disk.
+    /// Writing the settings to disk and syncing them.
     pub store: Time,
-    /// Handover of the change to the front, the runners and the engine.
+    /// Putting the settings into force, including the start of a new router.
     pub apply: Time,
-    /// How long a replaced router continues, to complete its calls.
+    /// How long a replaced router runs on to complete its calls.
     pub drain: Time,
 }
 
@@ -39,9 +39,9 @@
     }
 }
 
-/// A defect of the front ends that a test injects to prove that its check detects it.
+/// A defect of the front ends, injected by tests to show that a check detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum FrontEndFault {
+pub enum FrontEndMutant {
     /// No defect.
     #[default]
     None,
@@ -90,7 +90,7 @@
     /// When each replaced router ends, oldest first.
     draining: VecDeque<Time>,
     durations: Durations,
-    fault: FrontEndFault,
+    mutant: FrontEndMutant,
 }
 
 /// An action of a hollow front end that the simulation carries out.
@@ -119,7 +119,7 @@
         name: String,
         (region, services): (usize, Vec<usize>),
         file: &Node,
-        (durations, fault): (Durations, FrontEndFault),
+        (durations, mutant): (Durations, FrontEndMutant),
     ) -> Result<Self, String> {
         let client = new_client(&name, file, Vec::new())?;
         Ok(FrontEnd {
@@ -138,7 +138,7 @@
             stored: Vec::new(),
             draining: VecDeque::new(),
             durations,
-            fault,
+            mutant,
         })
     }
 
@@ -204,7 +204,7 @@
         match action {
             Action::SendRequest { kind, request_id, mut request } => {
                 request.node.metadata.health = health(now);
-                if self.fault == FrontEndFault::NamesAllVersions {
+                if self.mutant == FrontEndMutant::NamesAllVersions {
                     request.resource_names = self.all_versions();
                 }
                 Effect::SendRequest { kind, request_id, request }
@@ -256,7 +256,7 @@
 fn new_client(name: &str, file: &Node, stored: Vec<Part>) -> Result<Client, String> {
     let node = (name.to_owned(), "main".to_owned());
     let describe = |problems: Vec<badgerwind_settings::Problem>| format!("{problems:?}");
-    let (client, _, problems) = Client::new(node, file.clone(), stored, TIMING).map_err(describe)?;
+    let (client, _, problems) = Client::new(node, file.clone(), stored, DEFAULT_TIMING).map_err(describe)?;
     if problems.is_empty() {
         Ok(client)
     } else {
--- a/crates/badgerwind-scale/src/config_simulation/mod.rs
+++ b/crates/badgerwind-scale/src/config_simulation/mod.rs
@@ -9,9 +9,9 @@
 pub mod settings;
 mod simulation;
 
-pub use front_end::{Applied, Durations, FrontEndFault};
+pub use front_end::{Applied, Durations, FrontEndMutant, DEFAULT_TIMING};
 pub use network::{request_bytes, response_bytes, Network};
-pub use service::{Service, ServiceFault, ServiceLoad};
+pub use service::{Service, ServiceLoad, ServiceMutant};
 pub use simulation::{Scenario, Simulation};
 
 /// Rate of published versions at the planned size: 31,000 a day.
--- a/crates/badgerwind-scale/src/config_simulation/service.rs
+++ b/crates/badgerwind-scale/src/config_simulation/service.rs
@@ -5,7 +5,7 @@
 
 use super::network::response_bytes;
 use crate::cost::ProcessorMeter;
-use crate::rows::network::SECOND;
+use crate::rows::network::{TrafficCount, SECOND};
 use badgerwind_config::client::Time;
 use badgerwind_config::waves::{RolloutPolicy, Stage, Waves};
 use badgerwind_config::wire::DiscoveryRequest;
@@ -26,9 +26,9 @@
 
 const SLOT_COUNT: usize = (POLL_MICROS / SLOT_MICROS) as usize;
 
-/// A defect of the control services that a test injects to prove that its check detects it.
+/// A defect of the control services, injected by tests to show that a check detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ServiceFault {
+pub enum ServiceMutant {
     /// No defect.
     #[default]
     None,
@@ -51,25 +51,28 @@
     pub versions_sent: u64,
     /// Number of evaluations of an open request.
     pub offers_evaluated: u64,
-    /// Processor time for parsing requests, advancing waves and encoding responses.
-    pub processor_microseconds: f64,
+    /// Processor time for parsing requests, advancing waves and encoding responses, in microseconds.
+    pub processor_us: f64,
     /// Messages and their bytes in each second, by the second's number.
-    pub by_second: BTreeMap<u64, (u64, u64)>,
+    pub by_second: BTreeMap<u64, TrafficCount>,
 }
 
 impl ServiceLoad {
     fn record_message(&mut self, now: Time, bytes: u64) {
         self.messages += 1;
         let second = self.by_second.entry(now / SECOND).or_default();
-        second.0 += 1;
-        second.1 += bytes;
+        second.messages += 1;
+        second.bytes += bytes;
     }
 
     /// The largest number of messages and the largest number of bytes in one second of a time range. The two
     /// maxima may be from different seconds.
-    pub fn busiest_second(&self, from: Time, until: Time) -> (u64, u64) {
+    pub fn busiest_second(&self, from: Time, until: Time) -> TrafficCount {
         let seconds = self.by_second.range(from / SECOND..=until / SECOND);
-        seconds.fold((0, 0), |max, (_, second)| (max.0.max(second.0), max.1.max(second.1)))
+        seconds.fold(TrafficCount::default(), |max, (_, second)| TrafficCount {
+            messages: max.messages.max(second.messages),
+            bytes: max.bytes.max(second.bytes),
+        })
     }
 }
 
@@ -112,7 +115,7 @@
     /// Whether every request and every scan counts as a change, as in the real service, or only one that
     /// can alter a response.
     every_change: bool,
-    fault: ServiceFault,
+    mutant: ServiceMutant,
     /// Whether it has failed and no longer responds.
     pub failed: bool,
     /// Work that it has done.
@@ -123,7 +126,7 @@
     /// Creates a service without versions. With `every_change`, it evaluates open requests as often as the
     /// real service; otherwise only after changes that can alter a response. The responses and their times
     /// are the same.
-    pub fn new(name: String, rollout: RolloutPolicy, every_change: bool, fault: ServiceFault) -> Self {
+    pub fn new(name: String, rollout: RolloutPolicy, every_change: bool, mutant: ServiceMutant) -> Self {
         Service {
             waves: Waves::new(rollout),
             name,
@@ -134,7 +137,7 @@
             changed_at: 0,
             nonce: 0,
             every_change,
-            fault,
+            mutant,
             failed: false,
             load: ServiceLoad::default(),
         }
@@ -155,7 +158,7 @@
         }
         self.waves.tick(now);
         self.record_change(now, &before);
-        self.load.processor_microseconds += meter.microseconds();
+        self.load.processor_us += meter.microseconds();
     }
 
     /// Handles a request. Returns a response if a version can be offered at once; otherwise the request
@@ -183,7 +186,7 @@
         let open = OpenRequest { request_id, request, evaluated_at_change: None, slot };
         self.open_requests.insert((front_end, kind), open);
         let response = self.evaluate(now, front_end, kind);
-        self.load.processor_microseconds += meter.microseconds();
+        self.load.processor_us += meter.microseconds();
         response
     }
 
@@ -197,7 +200,7 @@
         let slot = (now / SLOT_MICROS) as usize % SLOT_COUNT;
         let due: Vec<(usize, Kind)> = self.poll_slots[slot].iter().copied().collect();
         let responses = due.into_iter().filter_map(|(n, kind)| self.evaluate(now, n, kind)).collect();
-        self.load.processor_microseconds += meter.microseconds();
+        self.load.processor_us += meter.microseconds();
         responses
     }
 
@@ -246,9 +249,9 @@
         open.evaluated_at_change = Some(self.change_count);
         self.load.offers_evaluated += 1;
         let running = open.request.running;
-        let offered = match self.fault {
-            ServiceFault::None => self.waves.offer(&open.request.front_end, kind, running),
-            ServiceFault::OffersEveryVersion => next_version(&self.waves, kind, running),
+        let offered = match self.mutant {
+            ServiceMutant::None => self.waves.offer(&open.request.front_end, kind, running),
+            ServiceMutant::OffersEveryVersion => next_version(&self.waves, kind, running),
         };
         let (version, text) = offered?;
         let open = self.open_requests.remove(&(front_end, kind))?;
--- a/crates/badgerwind-scale/src/config_simulation/simulation.rs
+++ b/crates/badgerwind-scale/src/config_simulation/simulation.rs
@@ -1,8 +1,8 @@
 //! A discrete-event simulation of front ends, control services and the messages between them.
 
-use super::front_end::{Applied, Durations, Effect, FrontEnd, FrontEndFault};
+use super::front_end::{Applied, Durations, Effect, FrontEnd, FrontEndMutant};
 use super::network::{request_bytes, Network, POLL_TIMEOUT};
-use super::service::{OutgoingResponse, Service, ServiceFault, ServiceLoad, SCAN_MICROS, SLOT_MICROS};
+use super::service::{OutgoingResponse, Service, ServiceLoad, ServiceMutant, SCAN_MICROS, SLOT_MICROS};
 use super::settings;
 use crate::rows::network::{REGIONS, SECOND};
 use badgerwind_config::client::{Input, Time};
@@ -47,10 +47,10 @@
     pub every_change: bool,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// Defect of the front ends.
-    pub front_end_fault: FrontEndFault,
-    /// Defect of the control services.
-    pub service_fault: ServiceFault,
+    /// Injected defect of the front ends.
+    pub front_end_mutant: FrontEndMutant,
+    /// Injected defect of the control services.
+    pub service_mutant: ServiceMutant,
 }
 
 impl Scenario {
@@ -83,8 +83,8 @@
             network: Network::default(),
             every_change: false,
             seed,
-            front_end_fault: FrontEndFault::None,
-            service_fault: ServiceFault::None,
+            front_end_mutant: FrontEndMutant::None,
+            service_mutant: ServiceMutant::None,
         }
     }
 }
@@ -156,8 +156,8 @@
     pub fn new(scenario: Scenario) -> Result<Simulation, String> {
         let settings_file = settings::settings_file(scenario.functions)?;
         let service = |n: usize| {
-            let (rollout, fault) = (scenario.rollout, scenario.service_fault);
-            Service::new(format!("control-{n}"), rollout, scenario.every_change, fault)
+            let (rollout, mutant) = (scenario.rollout, scenario.service_mutant);
+            Service::new(format!("control-{n}"), rollout, scenario.every_change, mutant)
         };
         let services = (0..scenario.services).map(service).collect();
         let front_end = |n: usize| {
@@ -165,7 +165,7 @@
             let count = MAX_SERVICES.min(scenario.services);
             let services = (0..count).map(|k| (first + k) % scenario.services).collect();
             let place = (first % REGIONS, services);
-            let behaviour = (scenario.durations, scenario.front_end_fault);
+            let behaviour = (scenario.durations, scenario.front_end_mutant);
             FrontEnd::new(format!("front-{n:05}"), place, &settings_file, behaviour)
         };
         let front_ends = (0..scenario.front_ends).map(front_end).collect::<Result<_, _>>()?;
--- a/crates/badgerwind-scale/src/rows/config.rs
+++ b/crates/badgerwind-scale/src/rows/config.rs
@@ -1,13 +1,15 @@
 //! Rows of the cost of the configuration stream at a front end, by the size of the settings and by the
 //! number of listed workers.
 
-use crate::config_simulation::{request_bytes, response_bytes, settings, VERSIONS_PER_SECOND};
+use crate::config_simulation::{
+    request_bytes, response_bytes, settings, DEFAULT_TIMING, VERSIONS_PER_SECOND,
+};
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use badgerwind::interface::{Availability, ListKind, WorkerEntry};
 use badgerwind::Router;
-use badgerwind_config::client::{Action, Client, Input, Timing};
+use badgerwind_config::client::{Action, Client, Input};
 use badgerwind_config::shadow::{driver_limits, replay, RecordedCall};
 use badgerwind_config::{storage, Kind};
 use badgerwind_control::request::ResourceRequest;
@@ -41,9 +43,6 @@
 /// Number of versions of each kind over which the processor time is averaged.
 const VERSIONS_PER_KIND: u64 = 3;
 
-/// Defaults of the settings.
-const TIMING: Timing = Timing { stage_timeout: 10_000_000, min_backoff: 500_000, max_backoff: 30_000_000 };
-
 const fn metric(name: &'static str, unit: &'static str) -> Metric {
     Metric { name, unit }
 }
@@ -81,7 +80,7 @@
 struct VersionCost {
     bytes_in: u64,
     bytes_out: u64,
-    microseconds: f64,
+    processor_us: f64,
 }
 
 /// Offers versions to a client one at a time, and carries out its actions immediately.
@@ -97,8 +96,8 @@
     fn new(functions: u64) -> Result<Self, String> {
         let file = settings::settings_file(functions)?;
         let name = ("front-00000".to_owned(), "main".to_owned());
-        let (client, ..) =
-            Client::new(name, file, Vec::new(), TIMING).map_err(|problems| format!("{problems:?}"))?;
+        let (client, ..) = Client::new(name, file, Vec::new(), DEFAULT_TIMING)
+            .map_err(|problems| format!("{problems:?}"))?;
         let mut harness = ClientHarness { client, open_requests: BTreeMap::new(), settings: None };
         let mut actions = Vec::new();
         harness.client.start(0, &mut actions);
@@ -106,7 +105,7 @@
         Ok(harness)
     }
 
-    /// Offers a version and applies it.
+    /// Offers a version, which the client reads, checks, stores and applies. Returns the cost.
     fn offer(&mut self, kind: Kind, version: u64, text: &str) -> Result<VersionCost, String> {
         let request = ResourceRequest { front_end: "front-00000".into(), kind, running: None };
         let response = request.response(version, text, "control-0", version);
@@ -121,7 +120,7 @@
         let mut actions = Vec::new();
         self.client.handle(0, Input::Response { kind, request_id, response: Some(response) }, &mut actions);
         let bytes_out = self.execute(actions);
-        let microseconds = meter.microseconds();
+        let processor_us = meter.microseconds();
         let running = self.client.report().into_iter().find(|r| r.kind == kind).and_then(|r| r.running);
         if running != Some(version) {
             return Err(format!(
@@ -130,7 +129,7 @@
                 self.client.report()
             ));
         }
-        Ok(VersionCost { bytes_in, bytes_out, microseconds })
+        Ok(VersionCost { bytes_in, bytes_out, processor_us })
     }
 
     /// Carries out the client's actions until none is left. Returns the encoded size of its requests.
@@ -172,7 +171,7 @@
     let first = 100 + seed % 100;
     for version in first..first + VERSIONS_PER_KIND {
         let cost = harness.offer(kind, version, &settings::part_text(kind, functions, version))?;
-        mean.microseconds += cost.microseconds / VERSIONS_PER_KIND as f64;
+        mean.processor_us += cost.processor_us / VERSIONS_PER_KIND as f64;
         (mean.bytes_in, mean.bytes_out) = (cost.bytes_in, cost.bytes_out);
     }
     Ok(mean)
@@ -215,7 +214,8 @@
     (0..REPLAYED_CALLS).map(call).collect()
 }
 
-fn replay_microseconds(settings: &Settings, functions: u64, listed: u64) -> Result<f64, String> {
+/// Processor time of a replay, in microseconds.
+fn replay_time(settings: &Settings, functions: u64, listed: u64) -> Result<f64, String> {
     let (entries, calls) = (worker_entries(listed), recorded_calls(functions));
     let meter = ProcessorMeter::start();
     let result = replay(settings, &entries, &calls)?;
@@ -226,7 +226,7 @@
     Ok(microseconds)
 }
 
-/// Processor time to start a router with the list, and its heap.
+/// Processor time to start a router with the list, in microseconds, and its heap in bytes.
 fn router_cost(settings: &Settings, listed: u64) -> (f64, u64) {
     let (heap, meter) = (HeapMeter::start(), ProcessorMeter::start());
     let router = Router::new(1, settings.router.clone());
@@ -248,11 +248,11 @@
         }
         let settings_heap = heap.net_bytes();
         let settings = harness.settings.clone().ok_or("no settings were applied")?;
-        let replay = replay_microseconds(&settings, size, DEFAULT_WORKERS)?;
+        let replay = replay_time(&settings, size, DEFAULT_WORKERS)?;
         let (router_time, router_heap) = router_cost(&settings, DEFAULT_WORKERS);
         let routers_heap = router_heap * ROUTERS;
         let bytes = |kind: Kind| (costs[&kind].bytes_in + costs[&kind].bytes_out) as f64;
-        let time = |kind: Kind| costs[&kind].microseconds;
+        let time = |kind: Kind| costs[&kind].processor_us;
         let values = [
             (CLASSES_BYTES, bytes(Kind::Classes)),
             (ROUTES_BYTES, bytes(Kind::Routes)),
@@ -346,7 +346,7 @@
     fn measurements(size: u64) -> Result<Vec<Measurement>, String> {
         let file = settings::settings_file(REPLAY_FUNCTIONS)?;
         let settings = read_tree(&file).map_err(|problems| format!("{problems:?}"))?;
-        let replay = replay_microseconds(&settings, REPLAY_FUNCTIONS, size)?;
+        let replay = replay_time(&settings, REPLAY_FUNCTIONS, size)?;
         Ok(vec![
             Measurement { metric: REPLAY, value: replay },
             Measurement { metric: REPLAY_PER_SECOND, value: replay * VERSIONS_PER_SECOND },
--- a/crates/badgerwind-scale/src/rows/control.rs
+++ b/crates/badgerwind-scale/src/rows/control.rs
@@ -7,7 +7,7 @@
 use crate::cost::HeapMeter;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use crate::rows::network::SECOND;
+use crate::rows::network::{TrafficCount, SECOND};
 use badgerwind_config::client::Report;
 use badgerwind_config::waves::Waves;
 use badgerwind_config::wire::Health;
@@ -22,7 +22,7 @@
 /// Time limit for all front ends to acknowledge a version.
 const MAX_VERSION_TIME: u64 = 20 * SECOND;
 
-/// Simulated time between checks of whether the awaited state is reached.
+/// Interval at which the simulation is checked for the expected state.
 const CHECK_INTERVAL: u64 = SECOND / 20;
 
 /// Bound on the processor time of a control service, in microseconds per second: one core. This is an
@@ -71,8 +71,8 @@
         let deadline = published + MAX_VERSION_TIME;
         let acknowledged = run_until_acknowledged(&mut simulation, size, Kind::Classes, deadline)?;
         let after = simulation.load(0).clone();
-        let busy_time = after.processor_microseconds - idle.processor_microseconds;
-        let idle_time = idle.processor_microseconds - started.processor_microseconds;
+        let busy_time = after.processor_us - idle.processor_us;
+        let idle_time = idle.processor_us - started.processor_us;
         let elapsed = (acknowledged - published) as f64 / SECOND as f64;
         let version_time = (busy_time - idle_time * elapsed).max(0.0);
         let version_bytes = (total_bytes(&after) - total_bytes(&idle)) as f64;
@@ -118,8 +118,8 @@
     Ok(simulation.now())
 }
 
-/// Traffic of front ends that each repeat a request for each of the four kinds every 20 s, because there is
-/// no new version. The size of a request is the mean of the first requests, which are all messages until
+/// Bytes a second of front ends that each repeat a request for each of the four kinds every 20 s, because
+/// there is no new version. The size of a request is the mean of the first requests, which are all messages until
 /// `started`.
 fn idle_bytes_per_second(started: &ServiceLoad, size: u64) -> f64 {
     let request = started.bytes_in as f64 / started.messages.max(1) as f64;
@@ -234,11 +234,11 @@
                 recovered = Some(simulation.now() - FAILED_AT);
             }
         }
-        let (messages, bytes) = simulation.load(1).busiest_second(FAILED_AT, FAILED_AT + 9 * SECOND);
+        let busiest_second = simulation.load(1).busiest_second(FAILED_AT, FAILED_AT + 9 * SECOND);
         let seconds = recovered.map_or(60.0, |time| time as f64 / SECOND as f64);
         let values = [
-            (LOST_MESSAGES, messages as f64),
-            (LOST_BYTES, bytes as f64),
+            (LOST_MESSAGES, busiest_second.messages as f64),
+            (LOST_BYTES, busiest_second.bytes as f64),
             (LOST_FRONT_ENDS, simulation.open_requests(1) as f64 / 4.0),
             (LOST_TIME, seconds),
         ];
@@ -311,8 +311,8 @@
 struct RestartCost {
     versions: u64,
     bytes: u64,
-    /// Messages and bytes of the busiest second.
-    busiest_second: (u64, u64),
+    /// Largest numbers of messages and of bytes in one second.
+    busiest_second: TrafficCount,
 }
 
 fn simulate_restart(size: u64, seed: u64, keep_disk: bool) -> Result<RestartCost, String> {
@@ -349,11 +349,11 @@
         let values = [
             (NEW_DISK_VERSIONS, per_front_end(new_disk.versions)),
             (NEW_DISK_BYTES, per_front_end(new_disk.bytes)),
-            (NEW_DISK_MESSAGES, new_disk.busiest_second.0 as f64),
-            (NEW_DISK_BUSIEST, new_disk.busiest_second.1 as f64),
+            (NEW_DISK_MESSAGES, new_disk.busiest_second.messages as f64),
+            (NEW_DISK_BUSIEST, new_disk.busiest_second.bytes as f64),
             (STORED_VERSIONS, per_front_end(stored.versions)),
             (STORED_BYTES, per_front_end(stored.bytes)),
-            (STORED_BUSIEST, stored.busiest_second.1 as f64),
+            (STORED_BUSIEST, stored.busiest_second.bytes as f64),
         ];
         Ok(values.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
     }
@@ -431,8 +431,8 @@
     pub versions_sent: u64,
     /// Bytes that the control service received and sent afterwards.
     pub bytes: u64,
-    /// Messages and bytes of the busiest second.
-    pub busiest_second: (u64, u64),
+    /// Largest numbers of messages and of bytes in one second.
+    pub busiest_second: TrafficCount,
     /// Time until all front ends ran the newest versions, in microseconds.
     pub time: u64,
 }
@@ -497,8 +497,8 @@
             (MISSED, cost.versions_missed as f64),
             (REJOIN_VERSIONS, per_front_end(cost.versions_sent)),
             (REJOIN_BYTES, per_front_end(cost.bytes)),
-            (REJOIN_MESSAGES, cost.busiest_second.0 as f64),
-            (REJOIN_BUSIEST, cost.busiest_second.1 as f64),
+            (REJOIN_MESSAGES, cost.busiest_second.messages as f64),
+            (REJOIN_BUSIEST, cost.busiest_second.bytes as f64),
             (REJOIN_TIME, cost.time as f64 / SECOND as f64),
         ];
         Ok(values.into_iter().map(|(metric, value)| Measurement { metric, value }).collect())
--- a/crates/badgerwind-scale/src/rows/members.rs
+++ b/crates/badgerwind-scale/src/rows/members.rs
@@ -44,7 +44,7 @@
 const TIMER_TICK: u32 = 0;
 const TIMER_SCRIPTED_PING: u32 = 1;
 
-/// A deliberate defect, with which a test verifies that a check on growth can fail.
+/// A defect injected by tests to show that a check detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
     /// A member sends each ping to all others.
@@ -121,7 +121,7 @@
         fleet
     }
 
-    /// Adds a deliberate defect.
+    /// Injects a defect.
     pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Fleet {
         self.mutant = mutant;
         self
--- a/crates/badgerwind-scale/tests/config.rs
+++ b/crates/badgerwind-scale/tests/config.rs
@@ -2,7 +2,7 @@
 //! check detects a violation.
 
 use badgerwind_config::Kind;
-use badgerwind_scale::config_simulation::{FrontEndFault, Scenario, ServiceFault, Simulation};
+use badgerwind_scale::config_simulation::{FrontEndMutant, Scenario, ServiceMutant, Simulation};
 use badgerwind_scale::row::{Measurement, Row};
 use badgerwind_scale::rows::config::{self, ConfigClient};
 use badgerwind_scale::rows::config_in_force::ConfigInForce;
@@ -55,11 +55,11 @@
 }
 
 /// Mean size of a front end's requests, during the first and during the last few of many versions.
-fn acknowledgement_bytes(fault: FrontEndFault) -> (f64, f64) {
+fn acknowledgement_bytes(mutant: FrontEndMutant) -> (f64, f64) {
     const VERSIONS: u64 = 40;
     const SAMPLE: usize = 5;
     let base = Scenario::new(3, 1, 1);
-    let scenario = Scenario { rollout: Scenario::ALL_AT_ONCE, front_end_fault: fault, ..base };
+    let scenario = Scenario { rollout: Scenario::ALL_AT_ONCE, front_end_mutant: mutant, ..base };
     let mut simulation = Simulation::new(scenario).unwrap();
     simulation.run_until(STARTED);
     let mut sent = Vec::new();
@@ -77,8 +77,8 @@
 }
 
 /// Checks that the size of an acknowledgement does not depend on the number of versions that have run.
-fn check_acknowledgement_size(fault: FrontEndFault) -> Result<(), String> {
-    let (first, last) = acknowledgement_bytes(fault);
+fn check_acknowledgement_size(mutant: FrontEndMutant) -> Result<(), String> {
+    let (first, last) = acknowledgement_bytes(mutant);
     // The 10% allow for more digits of the version number, in the request and in the report.
     if last <= first * 1.1 {
         Ok(())
@@ -89,17 +89,17 @@
 
 #[test]
 fn acknowledgement_size_does_not_grow_with_the_number_of_versions_run() {
-    check_acknowledgement_size(FrontEndFault::None).unwrap();
-    let mutant = check_acknowledgement_size(FrontEndFault::NamesAllVersions);
+    check_acknowledgement_size(FrontEndMutant::None).unwrap();
+    let mutant = check_acknowledgement_size(FrontEndMutant::NamesAllVersions);
     assert!(mutant.is_err(), "the check must detect the growth");
 }
 
 /// Checks that a reconnected front end receives each kind at most once, regardless of how many versions it
 /// missed.
-fn check_one_version_per_kind_after_isolation(fault: ServiceFault) -> Result<(), String> {
+fn check_one_version_per_kind_after_isolation(mutant: ServiceMutant) -> Result<(), String> {
     const ISOLATED: u64 = 4;
     for seconds in [60, 240] {
-        let scenario = Scenario { service_fault: fault, ..ConfigRejoin::scenario(ISOLATED, 3) };
+        let scenario = Scenario { service_mutant: mutant, ..ConfigRejoin::scenario(ISOLATED, 3) };
         let cost = simulate_rejoin(scenario, ISOLATED, seconds * SECOND)?;
         if cost.versions_missed < 10 || cost.versions_sent > 2 * ISOLATED {
             return Err(format!("{cost:?}"));
@@ -110,8 +110,8 @@
 
 #[test]
 fn only_the_newest_version_of_each_kind_is_sent_after_isolation() {
-    check_one_version_per_kind_after_isolation(ServiceFault::None).unwrap();
-    let mutant = check_one_version_per_kind_after_isolation(ServiceFault::OffersEveryVersion);
+    check_one_version_per_kind_after_isolation(ServiceMutant::None).unwrap();
+    let mutant = check_one_version_per_kind_after_isolation(ServiceMutant::OffersEveryVersion);
     assert!(mutant.is_err(), "the check must detect that all versions are sent");
 }
 
