--- a/crates/badgerwind-scale/src/config_simulation/front_end.rs
+++ b/crates/badgerwind-scale/src/config_simulation/front_end.rs
@@ -60,6 +60,20 @@
     pub version: u64,
 }
 
+/// The parameters of a front end.
+pub struct FrontEndSetup {
+    /// The name under which it sends requests.
+    pub name: String,
+    /// Index of its region.
+    pub region: usize,
+    /// Indices of the control services in its settings, in order of preference.
+    pub services: Vec<usize>,
+    /// Durations of its slow operations.
+    pub durations: Durations,
+    /// The injected defect.
+    pub mutant: FrontEndMutant,
+}
+
 /// A hollow front end.
 pub struct FrontEnd {
     /// The name under which it sends requests.
@@ -115,12 +129,8 @@
 
 impl FrontEnd {
     /// Creates a front end that has not started yet and has no stored settings.
-    pub fn new(
-        name: String,
-        (region, services): (usize, Vec<usize>),
-        file: &Node,
-        (durations, mutant): (Durations, FrontEndMutant),
-    ) -> Result<Self, String> {
+    pub fn new(setup: FrontEndSetup, file: &Node) -> Result<Self, String> {
+        let FrontEndSetup { name, region, services, durations, mutant } = setup;
         let client = new_client(&name, file, Vec::new())?;
         Ok(FrontEnd {
             name,
--- a/crates/badgerwind-scale/src/config_simulation/service.rs
+++ b/crates/badgerwind-scale/src/config_simulation/service.rs
@@ -85,6 +85,17 @@
     slot: usize,
 }
 
+/// Identifies a request by the front end that sent it.
+#[derive(Clone, Copy)]
+pub struct RequestOrigin {
+    /// Index of the front end.
+    pub front_end: usize,
+    /// The requested type of resource.
+    pub kind: Kind,
+    /// The identifier that the front end gave the request.
+    pub request_id: u64,
+}
+
 /// A response to send to a front end.
 pub struct OutgoingResponse {
     /// Index of the front end.
@@ -166,10 +177,11 @@
     pub fn handle_request(
         &mut self,
         now: Time,
-        (front_end, kind, request_id): (usize, Kind, u64),
+        origin: RequestOrigin,
         body: &[u8],
         bytes: u64,
     ) -> Option<OutgoingResponse> {
+        let RequestOrigin { front_end, kind, request_id } = origin;
         let meter = ProcessorMeter::start();
         self.load.record_message(now, bytes);
         self.load.requests += 1;
@@ -206,13 +218,8 @@
 
     /// Ends a request without a new version after its poll timeout. Returns `None` if the request is not
     /// open.
-    pub fn expire_request(
-        &mut self,
-        now: Time,
-        front_end: usize,
-        kind: Kind,
-        request_id: u64,
-    ) -> Option<OutgoingResponse> {
+    pub fn expire_request(&mut self, now: Time, origin: RequestOrigin) -> Option<OutgoingResponse> {
+        let RequestOrigin { front_end, kind, request_id } = origin;
         self.open_requests.get(&(front_end, kind)).filter(|open| open.request_id == request_id)?;
         self.close_request(front_end, kind);
         let (bytes, body) = response_bytes(None);
@@ -228,12 +235,17 @@
         }
     }
 
-    /// Fails the service. Returns the front end, kind and identifier of each open request.
-    pub fn fail(&mut self) -> Vec<(usize, Kind, u64)> {
+    /// Fails the service. Returns the requests that were open.
+    pub fn fail(&mut self) -> Vec<RequestOrigin> {
         self.failed = true;
         self.poll_slots = Default::default();
         let requests = std::mem::take(&mut self.open_requests).into_iter();
-        requests.map(|((n, kind), open)| (n, kind, open.request_id)).collect()
+        let origin = |((front_end, kind), open): ((usize, Kind), OpenRequest)| RequestOrigin {
+            front_end,
+            kind,
+            request_id: open.request_id,
+        };
+        requests.map(origin).collect()
     }
 
     /// Number of open requests.
--- a/crates/badgerwind-scale/src/config_simulation/simulation.rs
+++ b/crates/badgerwind-scale/src/config_simulation/simulation.rs
@@ -1,8 +1,10 @@
 //! A discrete-event simulation of front ends, control services and the messages between them.
 
-use super::front_end::{Applied, Durations, Effect, FrontEnd, FrontEndMutant};
+use super::front_end::{Applied, Durations, Effect, FrontEnd, FrontEndMutant, FrontEndSetup};
 use super::network::{request_bytes, Network, POLL_TIMEOUT};
-use super::service::{OutgoingResponse, Service, ServiceLoad, ServiceMutant, SCAN_MICROS, SLOT_MICROS};
+use super::service::{
+    OutgoingResponse, RequestOrigin, Service, ServiceLoad, ServiceMutant, SCAN_MICROS, SLOT_MICROS,
+};
 use super::settings;
 use crate::rows::network::{REGIONS, SECOND};
 use badgerwind_config::client::{Input, Time};
@@ -102,13 +104,11 @@
     Wake { front_end: usize, incarnation: u32 },
 }
 
-/// Identifies a request.
+/// Identifies a request over all incarnations of its front end.
 #[derive(Clone, Copy)]
 struct RequestKey {
-    front_end: usize,
+    origin: RequestOrigin,
     incarnation: u32,
-    kind: Kind,
-    request_id: u64,
 }
 
 struct ScheduledEvent {
@@ -164,9 +164,14 @@
             let first = n % scenario.services;
             let count = MAX_SERVICES.min(scenario.services);
             let services = (0..count).map(|k| (first + k) % scenario.services).collect();
-            let place = (first % REGIONS, services);
-            let behaviour = (scenario.durations, scenario.front_end_mutant);
-            FrontEnd::new(format!("front-{n:05}"), place, &settings_file, behaviour)
+            let setup = FrontEndSetup {
+                name: format!("front-{n:05}"),
+                region: first % REGIONS,
+                services,
+                durations: scenario.durations,
+                mutant: scenario.front_end_mutant,
+            };
+            FrontEnd::new(setup, &settings_file)
         };
         let front_ends = (0..scenario.front_ends).map(front_end).collect::<Result<_, _>>()?;
         let mut simulation = Simulation {
@@ -223,9 +228,9 @@
 
     /// Fails a control service: its connections close and it no longer responds.
     pub fn fail_service(&mut self, service: usize) {
-        for (front_end, kind, request_id) in self.services[service].fail() {
-            let incarnation = self.front_ends[front_end].incarnation;
-            self.fail_request(RequestKey { front_end, incarnation, kind, request_id });
+        for origin in self.services[service].fail() {
+            let incarnation = self.front_ends[origin.front_end].incarnation;
+            self.fail_request(RequestKey { origin, incarnation });
         }
     }
 
@@ -315,9 +320,7 @@
                 self.on_request(service, request, &body, bytes)
             }
             Event::PollTimeout { service, request } => {
-                let RequestKey { front_end, kind, request_id, .. } = request;
-                let response = self.services[service].expire_request(self.now, front_end, kind, request_id);
-                if let Some(response) = response {
+                if let Some(response) = self.services[service].expire_request(self.now, request.origin) {
                     self.send_response(service, response);
                 }
             }
@@ -344,7 +347,8 @@
         for effect in effects {
             match effect {
                 Effect::SendRequest { kind, request_id, request } => {
-                    self.send_request(RequestKey { front_end, incarnation, kind, request_id }, &request);
+                    let origin = RequestOrigin { front_end, kind, request_id };
+                    self.send_request(RequestKey { origin, incarnation }, &request);
                 }
                 Effect::DeliverLater { at, input } => {
                     self.schedule(at, Event::Input { front_end, incarnation, input });
@@ -357,10 +361,11 @@
     }
 
     fn send_request(&mut self, request: RequestKey, message: &DiscoveryRequest) {
-        let front_end = &mut self.front_ends[request.front_end];
+        let RequestOrigin { front_end: sender, kind, request_id } = request.origin;
+        let front_end = &mut self.front_ends[sender];
         let (service, failovers) = (front_end.service(), front_end.failovers);
-        front_end.open_requests.insert(request.kind, request.request_id);
-        let (bytes, body) = request_bytes(address(service), request.kind, message);
+        front_end.open_requests.insert(kind, request_id);
+        let (bytes, body) = request_bytes(address(service), kind, message);
         if front_end.isolated {
             return self.schedule(self.now + CONNECT_TIMEOUT, Event::RequestFails { request, failovers });
         }
@@ -369,22 +374,22 @@
         if self.services[service].failed {
             return self.schedule(self.now + 2 * delay, Event::RequestFails { request, failovers });
         }
-        self.front_ends[request.front_end].bytes_out += bytes;
+        self.front_ends[sender].bytes_out += bytes;
         self.schedule(self.now + delay, Event::RequestArrives { service, request, body, bytes });
         let timeout = self.now + POLL_TIMEOUT.as_micros() as Time + RESPONSE_MARGIN;
         self.schedule(timeout, Event::RequestFails { request, failovers });
     }
 
     fn on_request(&mut self, service: usize, request: RequestKey, body: &[u8], bytes: u64) {
-        let RequestKey { front_end, kind, request_id, incarnation } = request;
-        let sender = &self.front_ends[front_end];
+        let RequestKey { origin, incarnation } = request;
+        let sender = &self.front_ends[origin.front_end];
         // The connection is closed if the front end has abandoned the request or restarted.
-        let closed =
-            sender.incarnation != incarnation || sender.open_requests.get(&kind) != Some(&request_id);
+        let closed = sender.incarnation != incarnation
+            || sender.open_requests.get(&origin.kind) != Some(&origin.request_id);
         if self.services[service].failed || closed {
             return;
         }
-        match self.services[service].handle_request(self.now, (front_end, kind, request_id), body, bytes) {
+        match self.services[service].handle_request(self.now, origin, body, bytes) {
             Some(response) => self.send_response(service, response),
             None => {
                 let at = self.now + POLL_TIMEOUT.as_micros() as Time;
@@ -398,44 +403,47 @@
         let receiver = &self.front_ends[front_end];
         let incarnation = receiver.incarnation;
         let delay = self.scenario.network.delay(service % REGIONS == receiver.region, &mut self.rng);
-        let request = RequestKey { front_end, incarnation, kind, request_id };
+        let origin = RequestOrigin { front_end, kind, request_id };
+        let request = RequestKey { origin, incarnation };
         self.schedule(self.now + delay, Event::ResponseArrives { request, body, bytes });
     }
 
     fn on_response(&mut self, request: RequestKey, body: &[u8], bytes: u64) {
-        let front_end = &mut self.front_ends[request.front_end];
-        let open = front_end.open_requests.get(&request.kind) == Some(&request.request_id);
+        let RequestOrigin { front_end: sender, kind, request_id } = request.origin;
+        let front_end = &mut self.front_ends[sender];
+        let open = front_end.open_requests.get(&kind) == Some(&request_id);
         if front_end.isolated || front_end.incarnation != request.incarnation || !open {
             return;
         }
-        front_end.open_requests.remove(&request.kind);
+        front_end.open_requests.remove(&kind);
         front_end.messages_in += 1;
         front_end.bytes_in += bytes;
         let response: Option<DiscoveryResponse> = serde_json::from_slice(body).ok();
-        let input = Input::Response { kind: request.kind, request_id: request.request_id, response };
-        self.deliver(request.front_end, request.incarnation, input);
+        let input = Input::Response { kind, request_id, response };
+        self.deliver(sender, request.incarnation, input);
     }
 
     fn fail_request(&mut self, request: RequestKey) {
-        let failovers = self.front_ends[request.front_end].failovers;
+        let failovers = self.front_ends[request.origin.front_end].failovers;
         self.schedule(self.now, Event::RequestFails { request, failovers });
     }
 
     fn on_request_failed(&mut self, request: RequestKey, failovers: usize) {
-        let front_end = &mut self.front_ends[request.front_end];
-        let open = front_end.open_requests.get(&request.kind) == Some(&request.request_id);
+        let RequestOrigin { front_end: sender, kind, request_id } = request.origin;
+        let front_end = &mut self.front_ends[sender];
+        let open = front_end.open_requests.get(&kind) == Some(&request_id);
         if front_end.incarnation != request.incarnation || !open {
             return;
         }
-        front_end.open_requests.remove(&request.kind);
+        front_end.open_requests.remove(&kind);
         // The next request is sent to the next control service. Requests to one service that fail together
         // cause a single failover.
         if front_end.failovers == failovers {
             front_end.failovers += 1;
         }
         let random = self.rng.random();
-        let input = Input::RequestFailed { kind: request.kind, request_id: request.request_id, random };
-        self.deliver(request.front_end, request.incarnation, input);
+        let input = Input::RequestFailed { kind, request_id, random };
+        self.deliver(sender, request.incarnation, input);
     }
 }
 
