--- a/crates/badgerwind-cli/tests/scale_processes.rs
+++ b/crates/badgerwind-cli/tests/scale_processes.rs
@@ -202,10 +202,7 @@
             "| {members} | membership, messages/s | {} |",
             compare(real_members.0, hollow_members.messages)
         ),
-        format!(
-            "| {members} | membership, B/s | {} |",
-            compare(real_members.1, hollow_members.bytes_on_wire)
-        ),
+        format!("| {members} | membership, B/s | {} |", compare(real_members.1, hollow_members.wire_bytes)),
         format!("| {members} | zones, messages/s | {} |", compare(real_zones.0, hollow_zones.0)),
         format!("| {members} | zones, B/s | {} |", compare(real_zones.1, hollow_zones.1)),
         format!("| {members} | zones, a voter, B/s | {} |", compare(real_voters.1, hollow_voter)),
--- a/crates/badgerwind-scale/src/cost.rs
+++ b/crates/badgerwind-scale/src/cost.rs
@@ -46,3 +46,12 @@
         (change.allocations + change.reallocations) as u64
     }
 }
+
+/// Net heap bytes that a clone of a value allocates.
+pub fn heap_of_clone<T: Clone>(value: &T) -> u64 {
+    let meter = HeapMeter::start();
+    let copy = value.clone();
+    let bytes = meter.net_bytes();
+    drop(copy);
+    bytes
+}
--- a/crates/badgerwind-scale/src/rows/budgets.rs
+++ b/crates/badgerwind-scale/src/rows/budgets.rs
@@ -5,15 +5,16 @@
 
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use crate::rows::load::{
+use crate::rows::member_costs::{
     all_regions, cost_metrics, heap_bytes, isolate_region, mean_cost, CostMetrics, MemberCost,
 };
+use crate::rows::members::ENVELOPE_BYTES;
 use crate::rows::network::{Area, Micros, TrafficCount, MILLISECOND, REGIONS, SECOND};
 use group::{Group, Plan};
 
 /// Bytes that a datagram between front ends adds to each message: the sender's number (4), the counter (8)
 /// and the tag (16).
-pub const FRAME_BYTES: f64 = 28.0;
+pub const FRAME_BYTES: f64 = ENVELOPE_BYTES as f64;
 
 /// Time limit for the members to own units after the start.
 const SETTLE_TIMEOUT: Micros = 60 * SECOND;
@@ -106,9 +107,9 @@
 fn take_costs(group: &mut Group, members: &[usize], seconds: f64) -> Vec<MemberCost> {
     let cost = |member: &usize| {
         let traffic = mean_traffic(group, &[*member], seconds);
-        let processor = group.processor_times.microseconds(*member) / seconds;
+        let processor_us = group.processor_times.microseconds(*member) / seconds;
         let heap = group.take_node(*member).map_or(0.0, heap_bytes);
-        MemberCost { processor, heap, ..traffic }
+        MemberCost { processor_us, heap, ..traffic }
     };
     members.iter().map(cost).collect()
 }
@@ -255,7 +256,7 @@
 /// Time over which a group is observed after a fault or after its end.
 const OBSERVATION_TIME: Micros = 15 * SECOND;
 /// Interval at which the owners of units are counted.
-const POLL_INTERVAL: Micros = 100 * MILLISECOND;
+const CHECK_INTERVAL: Micros = 100 * MILLISECOND;
 
 /// The observed effect of a fault.
 #[derive(Debug, Clone, Copy, Default)]
@@ -264,7 +265,7 @@
     pub coordinator_peak: TrafficCount,
     /// Peak traffic of any other member in one second.
     pub member_peak: TrafficCount,
-    /// Seconds from the last step of the fault to the last poll at which fewer than 99% of the running
+    /// Seconds from the last step of the fault to the last check at which fewer than 99% of the running
     /// members owned units.
     pub seconds_until_owning: f64,
     /// Seconds from the fault until there is a coordinator.
@@ -319,22 +320,23 @@
     })
 }
 
-/// Runs a group for a duration and polls it. Returns the seconds until the last poll at which fewer than 99%
-/// of the running members owned units, and until the first poll at which there was a coordinator.
+/// Runs a group for a duration and checks it at intervals. Returns the seconds until the last check at which
+/// fewer than 99% of the running members owned units, and until the first check at which there was a
+/// coordinator.
 fn observe(group: &mut Group, duration: Micros) -> (f64, f64) {
-    let (mut last_unowned_poll, mut first_coordinator_poll) = (0, None);
-    for poll in 1..=duration / POLL_INTERVAL {
-        group.run(POLL_INTERVAL);
+    let (mut last_unowned_check, mut first_coordinator_check) = (0, None);
+    for check in 1..=duration / CHECK_INTERVAL {
+        group.run(CHECK_INTERVAL);
         if group.owner_count() * 100 < group.running_count() * OWNER_PERCENT {
-            last_unowned_poll = poll;
+            last_unowned_check = check;
         }
-        if first_coordinator_poll.is_none() && group.coordinator().is_some() {
-            first_coordinator_poll = Some(poll);
+        if first_coordinator_check.is_none() && group.coordinator().is_some() {
+            first_coordinator_check = Some(check);
         }
     }
-    // Times shorter than one poll interval cannot be observed.
-    let seconds = |polls: u64| (polls.max(1) * POLL_INTERVAL) as f64 / SECOND as f64;
-    (seconds(last_unowned_poll), seconds(first_coordinator_poll.unwrap_or(duration / POLL_INTERVAL)))
+    // Times shorter than one check interval cannot be observed.
+    let seconds = |checks: u64| (checks.max(1) * CHECK_INTERVAL) as f64 / SECOND as f64;
+    (seconds(last_unowned_check), seconds(first_coordinator_check.unwrap_or(duration / CHECK_INTERVAL)))
 }
 
 const COORDINATOR_PEAK_MESSAGES: Metric =
--- a/crates/badgerwind-scale/src/rows/budgets/group.rs
+++ b/crates/badgerwind-scale/src/rows/budgets/group.rs
@@ -1,6 +1,6 @@
 //! A hollow group of members that share budgets: real nodes and the real codec over a simulated network.
 
-use crate::rows::load::{PeakTraffic, ProcessorTimes, SAMPLE_INTERVAL};
+use crate::rows::member_costs::{PeakTraffic, ProcessorTimes, SAMPLE_INTERVAL};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND, SECOND};
 use badgerwind_budgets::{LeaseSettings, Limit, LimitSet, Member, Message, Node, Recipient, Unit};
 use rand::rngs::StdRng;
--- a/crates/badgerwind-scale/src/rows/call_counts.rs
+++ b/crates/badgerwind-scale/src/rows/call_counts.rs
@@ -5,8 +5,10 @@
 use badgerwind::interface::Micros;
 use thiserror::Error;
 
-const WARM_UP_TIME: Micros = SECOND;
-const MEASURED_TIME: Micros = SECOND;
+/// Simulated time before the measurement.
+const WARM_UP: Micros = SECOND;
+/// Simulated time of the measurement.
+const MEASUREMENT_TIME: Micros = SECOND;
 
 /// Mean counts per call, including periodic maintenance.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -37,9 +39,9 @@
 /// program's global allocator is the counting one and no other thread runs.
 pub fn call_counts<P: CallPath>(path: P, workload: Workload, seed: u64) -> CallCounts {
     let mut front_end = HollowFrontEnd::with_path(path, workload, seed);
-    front_end.run(WARM_UP_TIME);
+    front_end.run(WARM_UP);
     front_end.take_costs();
-    front_end.run(MEASURED_TIME);
+    front_end.run(MEASUREMENT_TIME);
     let costs = front_end.take_costs();
     CallCounts {
         allocations: costs.per_call(costs.allocations as f64),
--- a/crates/badgerwind-scale/src/rows/config.rs
+++ b/crates/badgerwind-scale/src/rows/config.rs
@@ -295,8 +295,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "cost of one version at a front end: bytes of HTTP heads and bodies, processor time without network and disk, \
-         heap; the whole part is sent, at most 4 MiB (about 56,000 functions)"
+        "cost of one version at a front end: bytes of HTTP heads and bodies, processor time without network \
+         and disk, heap; the whole part is sent, at most 4 MiB (about 56,000 functions)"
     }
 
     fn variable(&self) -> &'static str {
--- a/crates/badgerwind-scale/src/rows/config_in_force.rs
+++ b/crates/badgerwind-scale/src/rows/config_in_force.rs
@@ -232,9 +232,9 @@
     }
 
     fn about(&self) -> &'static str {
-        "simulated time from publication until the version runs at a front end, 314 front ends per control service, \
-         published versions reach each service after one network delay, 0.18 s for replay, 10 functions; versions not \
-         in force at the end count as 30 s"
+        "simulated time from publication until the version runs at a front end, 314 front ends per control \
+         service, published versions reach each service after one network delay, 0.18 s for replay, 10 \
+         functions; versions not in force at the end count as 30 s"
     }
 
     fn variable(&self) -> &'static str {
--- a/crates/badgerwind-scale/src/rows/control.rs
+++ b/crates/badgerwind-scale/src/rows/control.rs
@@ -166,9 +166,9 @@
     }
 
     fn about(&self) -> &'static str {
-        "one version of classes (10 functions), offered to all front ends at once by one control service with real waves \
-         and messages; open requests are evaluated as often as by the real service; processor time without sockets and \
-         timers"
+        "one version of classes (10 functions), offered to all front ends at once by one control service \
+         with real waves and messages; open requests are evaluated as often as by the real service; \
+         processor time without sockets and timers"
     }
 
     fn variable(&self) -> &'static str {
@@ -256,8 +256,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "one of four control services fails; all its front ends have the same next service in their settings, which \
-         serves as many front ends before the failure"
+        "one of four control services fails; all its front ends have the same next service in their \
+         settings, which serves as many front ends before the failure"
     }
 
     fn variable(&self) -> &'static str {
@@ -369,8 +369,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "the front ends of one control service restart at the same time, with the stored settings or with a new disk; \
-         200 functions, one version of each of the four kinds"
+        "the front ends of one control service restart at the same time, with the stored settings or with a \
+         new disk; 200 functions, one version of each of the four kinds"
     }
 
     fn variable(&self) -> &'static str {
@@ -515,8 +515,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "front ends of one control service are isolated from it for an hour with 31,000 versions a day, and reconnect; \
-         five others stay connected; without waves, 10 functions"
+        "front ends of one control service are isolated from it for an hour with 31,000 versions a day, and \
+         reconnect; five others stay connected; without waves, 10 functions"
     }
 
     fn variable(&self) -> &'static str {
--- a/crates/badgerwind-scale/src/rows/hard_cases.rs
+++ b/crates/badgerwind-scale/src/rows/hard_cases.rs
@@ -1,5 +1,5 @@
 //! Row of demanding cases on a call's path: functions that are called once, a function whose rate of calls
-//! increases a thousandfold within a second, a lost cell, and a front end after its restart.
+//! suddenly increases more than a thousandfold, a lost cell, and a front end after its restart.
 
 use super::cold_starts::{Demand, FLEET_CALLS_PER_SECOND};
 use super::front_end::{Costs, HollowFrontEnd, Workload, CALLS_PER_SECOND, WORKERS_PER_CELL};
@@ -10,16 +10,21 @@
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use badgerwind::interface::{Availability, ListKind, Micros, WorkerEntry};
 
+/// Number of functions in the cases of the burst and of the lost cell.
 const FUNCTIONS: u64 = 1_000;
+/// Number of functions of the planned fleet.
 const MANY_FUNCTIONS: u64 = 400_000;
+/// Simulated time before the measurement.
 const WARM_UP: Micros = 10 * SECOND;
-const MEASURED_TIME: Micros = 10 * SECOND;
+/// Simulated time of the measurement.
+const MEASUREMENT_TIME: Micros = 10 * SECOND;
 /// Duration of the start of a burst, in which no additional copies are loaded yet.
 const BURST_START_DURATION: Micros = 2 * SECOND;
-/// Rank of the function that receives the burst, one of the rarely called functions.
+/// Rank of the function that receives the burst. Without the burst, it is called about once in 53 seconds.
 const BURST_FUNCTION: u64 = 900;
 /// Additional calls per second to this function.
 const BURST_RATE: f64 = CALLS_PER_SECOND;
+/// The cell that is lost. It has 99 workers, because the numbers of workers start at 1.
 const LOST_CELL: u32 = 0;
 
 const ONCE_PROCESSOR_TIME: Metric =
@@ -63,7 +68,7 @@
 
     fn about(&self) -> &'static str {
         "one Router at 127 calls per second: functions called once each; a function whose rate of calls \
-         increases a thousandfold within a second; a lost cell; a restart without state while the fleet's \
+         suddenly increases more than a thousandfold; a lost cell; a restart without state while the fleet's \
          copies stay loaded"
     }
 
@@ -92,7 +97,7 @@
     }
 
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
-        let calls = (2 * (WARM_UP + MEASURED_TIME) / SECOND) * CALLS_PER_SECOND as u64;
+        let calls = (2 * (WARM_UP + MEASUREMENT_TIME) / SECOND) * CALLS_PER_SECOND as u64;
         size.saturating_mul(2_000 + 4 * calls).saturating_add(16 * MANY_FUNCTIONS)
     }
 
@@ -125,7 +130,7 @@
     let workload = Workload { zipf_exponent: 0.0, ..Workload::new(workers, MANY_FUNCTIONS) };
     let list_heap = HollowFrontEnd::new(workload, seed).into_heap_bytes() as f64;
     let mut front_end = HollowFrontEnd::new(workload, seed);
-    front_end.run(MEASURED_TIME);
+    front_end.run(MEASUREMENT_TIME);
     let costs = front_end.take_costs();
     let heap_per_call = costs.per_call(front_end.into_heap_bytes() as f64 - list_heap);
     let remembered_functions = 8.0 * workload.keep_alive as f64 / SECOND as f64 * CALLS_PER_SECOND;
@@ -137,15 +142,15 @@
     ]
 }
 
-/// The rate of calls to one rarely called function increases a thousandfold.
+/// The rate of calls to one rarely called function suddenly increases more than a thousandfold.
 fn measure_burst(workers: u32, seed: u64) -> Vec<Measurement> {
     let mut front_end = HollowFrontEnd::new(Workload::new(workers, FUNCTIONS), seed);
     front_end.run(WARM_UP);
     front_end.take_costs();
-    front_end.start_burst(BURST_FUNCTION, BURST_RATE, MEASURED_TIME);
+    front_end.start_burst(BURST_FUNCTION, BURST_RATE, MEASUREMENT_TIME);
     front_end.run(BURST_START_DURATION);
     let first = front_end.take_costs();
-    front_end.run(MEASURED_TIME - BURST_START_DURATION);
+    front_end.run(MEASUREMENT_TIME - BURST_START_DURATION);
     let rest = front_end.take_costs();
     let calls = (first.calls + rest.calls).max(1) as f64;
     vec![
@@ -167,7 +172,7 @@
     front_end.apply_list(ListKind::Changes, removed);
     front_end.run(SECOND);
     let first = front_end.take_costs();
-    front_end.run(MEASURED_TIME - SECOND);
+    front_end.run(MEASUREMENT_TIME - SECOND);
     let rest = front_end.take_costs();
     let cold_share = (first.cold_calls + rest.cold_calls) as f64 / (first.calls + rest.calls).max(1) as f64;
     vec![
@@ -182,7 +187,7 @@
     let foreign_calls = Some(ForeignCalls { top_function_rate, exponent: 1.0 });
     let workload = Workload { foreign_calls, ..Workload::new(workers, MANY_FUNCTIONS) };
     let mut front_end = HollowFrontEnd::new(workload, seed);
-    front_end.run(MEASURED_TIME);
+    front_end.run(MEASUREMENT_TIME);
     let costs = front_end.take_costs();
     vec![
         measurement(RESTART_PROCESSOR_TIME, time_per_second(&costs)),
--- a/crates/badgerwind-scale/src/rows/member_costs.rs
+++ b/crates/badgerwind-scale/src/rows/member_costs.rs
@@ -7,7 +7,8 @@
 use stats_alloc::{Region, StatsAlloc};
 use std::alloc::System;
 
-/// Network of a group whose members are all in one region: delays from 0.25 ms to 4 ms, no loss.
+/// Network of a group in one region: delays from 0.25 ms to 3.6 ms, no loss. The members keep their locations
+/// in the simulated regions, but a hop between these takes only 1 ms.
 pub fn single_region() -> Conditions {
     Conditions { region_hop_delay: MILLISECOND, loss: 0.0, ..Conditions::wide_area() }
 }
@@ -131,7 +132,7 @@
     /// Encoded bytes sent and received.
     pub bytes: f64,
     /// Processor time in microseconds.
-    pub processor: f64,
+    pub processor_us: f64,
     /// Heap in bytes.
     pub heap: f64,
 }
@@ -176,7 +177,7 @@
             measurement(self.messages, cost.messages),
             measurement(self.bytes, cost.bytes),
             measurement(self.framed_bytes, cost.bytes + frame * cost.messages),
-            measurement(self.processor, cost.processor),
+            measurement(self.processor, cost.processor_us),
             measurement(self.heap, cost.heap),
         ]
     }
@@ -211,7 +212,7 @@
     MemberCost {
         messages: mean(|c| c.messages),
         bytes: mean(|c| c.bytes),
-        processor: mean(|c| c.processor),
+        processor_us: mean(|c| c.processor_us),
         heap: mean(|c| c.heap),
     }
 }
--- a/crates/badgerwind-scale/src/rows/members.rs
+++ b/crates/badgerwind-scale/src/rows/members.rs
@@ -1,7 +1,7 @@
 //! Membership (SWIM with Lifeguard): traffic, processor time and memory of a member as the fleet grows, and
 //! the cost of joins, deaths and partitions between regions.
 
-use crate::cost::{HeapMeter, ProcessorMeter};
+use crate::cost::{heap_of_clone, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use crate::rows::network::{Area, Conditions, Event, Micros, Network, MILLISECOND, SECOND};
@@ -25,8 +25,8 @@
 /// Number of real members in a sample: one in each zone.
 const SAMPLE_SIZE: usize = 21;
 /// Simulated time over which the steady state is measured.
-const STEADY_TIME: Micros = 30 * SECOND;
-/// Interval at which the members' views are checked.
+const MEASUREMENT_TIME: Micros = 30 * SECOND;
+/// Interval at which the members' views are checked for the expected state.
 const CHECK_INTERVAL: Micros = 250 * MILLISECOND;
 /// Simulated time after which a measurement fails if the fleet has not reached the expected state.
 const SETTLE_TIMEOUT: Micros = 1_800 * SECOND;
@@ -41,8 +41,10 @@
 /// Maximum number of pending relayed pings of scripted members; the oldest is discarded first.
 const MAX_RELAYED_PINGS: usize = 65_536;
 
-const TIMER_TICK: u32 = 0;
-const TIMER_SCRIPTED_PING: u32 = 1;
+/// Timer of the next tick.
+const TICK_TIMER: u32 = 0;
+/// Timer of the next ping by a scripted member.
+const SCRIPTED_PING_TIMER: u32 = 1;
 
 /// A defect injected by tests to show that a check detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -134,10 +136,10 @@
 
     fn start_timers(&mut self, index: usize) {
         let first = self.network.local_time(index) + self.rng.random_range(0..TICK_INTERVAL);
-        self.network.set_timer(index, TIMER_TICK, first);
+        self.network.set_timer(index, TICK_TIMER, first);
         if self.real < self.size {
             let first = self.network.local_time(index) + self.rng.random_range(0..PERIOD);
-            self.network.set_timer(index, TIMER_SCRIPTED_PING, first);
+            self.network.set_timer(index, SCRIPTED_PING_TIMER, first);
         }
     }
 
@@ -160,8 +162,8 @@
     }
 
     /// Runs the simulation for a duration.
-    pub fn run(&mut self, span: Micros) {
-        let until = self.network.now() + span;
+    pub fn run(&mut self, duration: Micros) {
+        let until = self.network.now() + duration;
         while let Some(event) = self.network.next_event(until) {
             self.handle(event);
         }
@@ -169,7 +171,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Timer { member, id: TIMER_SCRIPTED_PING } => self.scripted_ping(member),
+            Event::Timer { member, id: SCRIPTED_PING_TIMER } => self.scripted_ping(member),
             Event::Timer { member, .. } => self.tick(member),
             Event::Datagram { from, to, bytes } if to < self.real => self.receive(from, to, &bytes),
             Event::Datagram { from, to, bytes } => self.receive_scripted(from, to, &bytes),
@@ -184,7 +186,7 @@
         let out = encode_all(self.members[index].tick(now, &mut random));
         self.processor_us += meter.map_or(0.0, |m| m.microseconds());
         self.send(index, out);
-        self.network.set_timer(index, TIMER_TICK, now + TICK_INTERVAL);
+        self.network.set_timer(index, TICK_TIMER, now + TICK_INTERVAL);
     }
 
     fn receive(&mut self, from: usize, to: usize, bytes: &[u8]) {
@@ -226,8 +228,8 @@
     /// A scripted ping to a member. It receives one in each period on average, because each member pings all
     /// others in turn.
     fn scripted_ping(&mut self, to: usize) {
-        let again = self.network.local_time(to) + self.rng.random_range(0..2 * PERIOD);
-        self.network.set_timer(to, TIMER_SCRIPTED_PING, again);
+        let next = self.network.local_time(to) + self.rng.random_range(0..2 * PERIOD);
+        self.network.set_timer(to, SCRIPTED_PING_TIMER, next);
         self.send_scripted_sampled(to, Kind::Ping, to as Member);
     }
 
@@ -341,8 +343,8 @@
     }
 
     /// Mean traffic of a running real member since the last reset of the counts, for a measured time of
-    /// `span`.
-    pub fn traffic(&self, span: Micros) -> TrafficRate {
+    /// `duration`.
+    pub fn traffic(&self, duration: Micros) -> TrafficRate {
         let (mut messages, mut bytes, mut members) = (0_u64, 0_u64, 0_u64);
         for (index, _) in self.running() {
             let count = self.network.traffic(index);
@@ -350,13 +352,13 @@
             bytes += count.bytes;
             members += 1;
         }
-        let member_seconds = members.max(1) as f64 * seconds(span).max(f64::MIN_POSITIVE);
+        let member_seconds = members.max(1) as f64 * seconds(duration).max(f64::MIN_POSITIVE);
         let (messages, bytes) = (messages as f64 / member_seconds, bytes as f64 / member_seconds);
-        TrafficRate { messages, bytes, bytes_on_wire: bytes + messages * ENVELOPE_BYTES as f64 }
+        TrafficRate { messages, bytes, wire_bytes: bytes + messages * ENVELOPE_BYTES as f64 }
     }
 }
 
-/// Messages and bytes that a member sends and receives in a second.
+/// Messages and bytes that a member sends and receives per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TrafficRate {
     /// Messages a second.
@@ -364,7 +366,7 @@
     /// Encoded bytes a second, without envelopes.
     pub bytes: f64,
     /// Bytes a second with the envelopes of the datagrams.
-    pub bytes_on_wire: f64,
+    pub wire_bytes: f64,
 }
 
 type EncodedMessage = (usize, Kind, Vec<u8>);
@@ -373,13 +375,13 @@
     out.into_iter().map(|(to, message)| (usize::from(to), message.kind, message.encode())).collect()
 }
 
-fn seconds(span: Micros) -> f64 {
-    span as f64 / SECOND as f64
+fn seconds(duration: Micros) -> f64 {
+    duration as f64 / SECOND as f64
 }
 
 const MESSAGES: Metric = Metric { name: "messages in and out", unit: "messages/s" };
 const BYTES: Metric = Metric { name: "encoded bytes in and out", unit: "B/s" };
-const ON_WIRE: Metric = Metric { name: "bytes in and out with the datagrams' envelope", unit: "B/s" };
+const WIRE_BYTES: Metric = Metric { name: "bytes in and out with the datagrams' envelope", unit: "B/s" };
 const PROCESSOR: Metric = Metric { name: "processor time", unit: "us/s" };
 const HEAP: Metric = Metric { name: "heap", unit: "B" };
 
@@ -409,16 +411,16 @@
     }
 }
 
-/// Row: cost of a member in the steady state.
+/// A row that measures a member in the steady state by the number of front ends.
 #[derive(Debug)]
-pub struct Steady;
+pub struct SteadyRow;
 
 /// All rows of membership.
 pub fn rows() -> Vec<Box<dyn Row>> {
-    vec![Box::new(Steady), Box::new(Join), Box::new(Deaths), Box::new(RegionsApart)]
+    vec![Box::new(SteadyRow), Box::new(JoinRow), Box::new(DeathsRow), Box::new(IsolationRow)]
 }
 
-impl Row for Steady {
+impl Row for SteadyRow {
     fn name(&self) -> &'static str {
         "members-steady"
     }
@@ -442,7 +444,7 @@
         PLANNED_FRONT_ENDS
     }
     fn bounds(&self) -> Vec<Bound> {
-        control_bounds(ON_WIRE, PROCESSOR, HEAP)
+        control_bounds(WIRE_BYTES, PROCESSOR, HEAP)
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
         real_member_count(size) * size * ENTRY_BYTES
@@ -455,8 +457,8 @@
         let mut loopback = Fleet::with_conditions(Conditions::loopback(), counts, true, seed);
         loopback.run(2 * SECOND);
         loopback.network.reset_counts();
-        loopback.run(STEADY_TIME);
-        let loopback = loopback.traffic(STEADY_TIME);
+        loopback.run(MEASUREMENT_TIME);
+        let loopback = loopback.traffic(MEASUREMENT_TIME);
         measurements.push(measurement(
             "no answer later than the ack timeout: messages",
             "messages/s",
@@ -465,7 +467,7 @@
         measurements.push(measurement(
             "no answer later than the ack timeout: bytes with envelope",
             "B/s",
-            loopback.bytes_on_wire,
+            loopback.wire_bytes,
         ));
         Ok(measurements)
     }
@@ -476,27 +478,24 @@
     fleet.run(2 * SECOND);
     fleet.network.reset_counts();
     fleet.processor_us = 0.0;
-    fleet.run(STEADY_TIME);
-    let TrafficRate { messages, bytes, bytes_on_wire } = fleet.traffic(STEADY_TIME);
-    let meter = HeapMeter::start();
-    let copy = fleet.members.first().cloned();
-    let heap = meter.net_bytes();
-    drop(copy);
+    fleet.run(MEASUREMENT_TIME);
+    let TrafficRate { messages, bytes, wire_bytes } = fleet.traffic(MEASUREMENT_TIME);
+    let heap = fleet.members.first().map_or(0, heap_of_clone);
     let measurement = |metric, value| Measurement { metric, value };
     vec![
         measurement(MESSAGES, messages),
         measurement(BYTES, bytes),
-        measurement(ON_WIRE, bytes_on_wire),
-        measurement(PROCESSOR, fleet.processor_us / seconds(STEADY_TIME)),
+        measurement(WIRE_BYTES, wire_bytes),
+        measurement(PROCESSOR, fleet.processor_us / seconds(MEASUREMENT_TIME)),
         measurement(HEAP, heap as f64),
     ]
 }
 
-/// Row: all members start at the same time, then a tenth of them restarts at the same time.
+/// A row that measures how members that start or restart at the same time become known to all.
 #[derive(Debug)]
-pub struct Join;
+pub struct JoinRow;
 
-impl Row for Join {
+impl Row for JoinRow {
     fn name(&self) -> &'static str {
         "members-join"
     }
@@ -549,21 +548,21 @@
                 "B",
                 start.bytes * seconds(started),
             ),
-            measurement("start of all: bytes with envelope", "B/s", start.bytes_on_wire),
+            measurement("start of all: bytes with envelope", "B/s", start.wire_bytes),
             measurement("a tenth restarts: until all know all", "s", seconds(restarted)),
             measurement(
                 "a tenth restarts: encoded bytes of a member until then",
                 "B",
                 restart.bytes * seconds(restarted),
             ),
-            measurement("a tenth restarts: bytes with envelope", "B/s", restart.bytes_on_wire),
+            measurement("a tenth restarts: bytes with envelope", "B/s", restart.wire_bytes),
         ])
     }
 }
 
-/// Row: deaths of one member, of a rack and of a zone.
+/// A row that measures the detection of the deaths of one member, of a rack and of a zone.
 #[derive(Debug)]
-pub struct Deaths;
+pub struct DeathsRow;
 
 /// Measured detection of the death of a group of members.
 #[derive(Debug, Clone, Copy)]
@@ -571,7 +570,7 @@
     /// Simulated time until 99% of the pairs of a survivor and a dead member have detected the death.
     pub time: Micros,
     /// Bytes a second of a survivor until then, with envelopes.
-    pub bytes_on_wire: f64,
+    pub wire_bytes: f64,
     /// Messages a second of a survivor until then.
     pub messages: f64,
     /// Maximum number of false suspicions among the survivors at one time.
@@ -594,8 +593,8 @@
         max_false_suspicions = max_false_suspicions.max(fleet.false_suspicions());
     }
     let time = fleet.network.now() - start;
-    let TrafficRate { messages, bytes_on_wire, .. } = fleet.traffic(time);
-    Some(Detection { time, bytes_on_wire, messages, max_false_suspicions })
+    let TrafficRate { messages, wire_bytes, .. } = fleet.traffic(time);
+    Some(Detection { time, wire_bytes, messages, max_false_suspicions })
 }
 
 /// Members of one rack, from the second zone. Their share of the fleet is the same as in the planned fleet;
@@ -607,7 +606,7 @@
     zone
 }
 
-impl Row for Deaths {
+impl Row for DeathsRow {
     fn name(&self) -> &'static str {
         "members-deaths"
     }
@@ -652,21 +651,21 @@
             .ok_or_else(|| not_settled("the death of a zone was not detected"))?;
         Ok(vec![
             measurement("one dies: until 99% know", "s", seconds(one.time)),
-            measurement("one dies: bytes with envelope", "B/s", one.bytes_on_wire),
+            measurement("one dies: bytes with envelope", "B/s", one.wire_bytes),
             measurement(
                 "one dies: survivors' pairs in doubt at most",
                 "pairs",
                 one.max_false_suspicions as f64,
             ),
             measurement("a rack dies: until 99% know", "s", seconds(of_rack.time)),
-            measurement("a rack dies: bytes with envelope", "B/s", of_rack.bytes_on_wire),
+            measurement("a rack dies: bytes with envelope", "B/s", of_rack.wire_bytes),
             measurement(
                 "a rack dies: survivors' pairs in doubt at most",
                 "pairs",
                 of_rack.max_false_suspicions as f64,
             ),
             measurement("a zone dies: until 99% know", "s", seconds(of_zone.time)),
-            measurement("a zone dies: bytes with envelope", "B/s", of_zone.bytes_on_wire),
+            measurement("a zone dies: bytes with envelope", "B/s", of_zone.wire_bytes),
             measurement(
                 "a zone dies: survivors' pairs in doubt at most",
                 "pairs",
@@ -676,11 +675,11 @@
     }
 }
 
-/// Row: all regions are isolated from each other and then reconnected.
+/// A row that measures the isolation of all regions from each other and their reconnection.
 #[derive(Debug)]
-pub struct RegionsApart;
+pub struct IsolationRow;
 
-impl Row for RegionsApart {
+impl Row for IsolationRow {
     fn name(&self) -> &'static str {
         "members-apart"
     }
@@ -716,26 +715,30 @@
         fleet.run(2 * SECOND);
         fleet.network.reset_counts();
         fleet.network.isolate_regions();
-        let apart = fleet.run_until(|f| f.share_known_dead_across_regions() >= 0.99);
-        let apart =
-            apart.ok_or_else(|| not_settled("the isolated regions did not consider each other dead"))?;
-        let parting = fleet.traffic(apart).bytes_on_wire;
+        let detection_time = fleet.run_until(|f| f.share_known_dead_across_regions() >= 0.99);
+        let detection_time = detection_time
+            .ok_or_else(|| not_settled("the isolated regions did not consider each other dead"))?;
+        let bytes_during_detection = fleet.traffic(detection_time).wire_bytes;
         fleet.network.reset_counts();
         fleet.run(ISOLATION_TIME);
-        let alone = fleet.traffic(ISOLATION_TIME).bytes_on_wire;
+        let bytes_while_isolated = fleet.traffic(ISOLATION_TIME).wire_bytes;
         fleet.network.heal();
         fleet.network.reset_counts();
-        let together = fleet.run_until(|f| f.share_known_alive(&all) >= 0.99);
-        let together = together
+        let reconnection_time = fleet.run_until(|f| f.share_known_alive(&all) >= 0.99);
+        let reconnection_time = reconnection_time
             .ok_or_else(|| not_settled("the regions did not find each other after the reconnection"))?;
-        let meeting = fleet.traffic(together).bytes_on_wire;
+        let bytes_during_reconnection = fleet.traffic(reconnection_time).wire_bytes;
         Ok(vec![
-            measurement("regions part: until 99% take the others for dead", "s", seconds(apart)),
-            measurement("regions part: bytes with envelope", "B/s", parting),
-            measurement("apart: bytes with envelope", "B/s", alone),
-            measurement("together again: until 99% know each other", "s", seconds(together)),
-            measurement("together again: bytes with envelope", "B/s", meeting),
-            measurement("together again: bytes of a member until then", "B", meeting * seconds(together)),
+            measurement("regions part: until 99% take the others for dead", "s", seconds(detection_time)),
+            measurement("regions part: bytes with envelope", "B/s", bytes_during_detection),
+            measurement("apart: bytes with envelope", "B/s", bytes_while_isolated),
+            measurement("together again: until 99% know each other", "s", seconds(reconnection_time)),
+            measurement("together again: bytes with envelope", "B/s", bytes_during_reconnection),
+            measurement(
+                "together again: bytes of a member until then",
+                "B",
+                bytes_during_reconnection * seconds(reconnection_time),
+            ),
         ])
     }
 }
@@ -746,10 +749,10 @@
         let (mut pairs, mut known) = (0_u64, 0_u64);
         for (index, one) in self.running() {
             let region = self.network.location(index).region;
-            for (of, seen) in
-                one.view().filter(|(of, _)| self.network.location(usize::from(*of)).region != region)
+            for (other, seen) in
+                one.view().filter(|(other, _)| self.network.location(usize::from(*other)).region != region)
             {
-                debug_assert!(usize::from(of) < self.size);
+                debug_assert!(usize::from(other) < self.size);
                 pairs += 1;
                 known += u64::from(matches!(seen.state, State::Dead | State::Left));
             }
--- a/crates/badgerwind-scale/src/rows/mod.rs
+++ b/crates/badgerwind-scale/src/rows/mod.rs
@@ -10,7 +10,7 @@
 pub mod hard_cases;
 pub mod list_frames;
 pub mod lists;
-pub mod load;
+pub mod member_costs;
 pub mod members;
 pub mod network;
 pub mod outages;
--- a/crates/badgerwind-scale/src/rows/network.rs
+++ b/crates/badgerwind-scale/src/rows/network.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// A set of members that can be cut off.
+/// A set of members, the source or the destination of blocked datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Area {
     /// All members.
@@ -181,33 +181,33 @@
 }
 
 #[derive(Debug)]
-enum Pending {
+enum PendingEvent {
     Datagram { from: usize, to: usize, kind: &'static str, bytes: Vec<u8> },
     Timer { member: usize, id: u32, incarnation: u32 },
 }
 
 #[derive(Debug)]
-struct Entry {
+struct ScheduledEvent {
     at: Micros,
     sequence: u64,
-    pending: Pending,
+    pending: PendingEvent,
 }
 
-impl PartialEq for Entry {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Entry {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for ScheduledEvent {
     /// Reversed, because `BinaryHeap` is a max-heap and the earliest event must come first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
@@ -235,7 +235,7 @@
     endpoints: Vec<Endpoint>,
     /// Pairs of areas; datagrams from the first to the second are lost.
     blocked: Vec<(Area, Area)>,
-    queue: BinaryHeap<Entry>,
+    queue: BinaryHeap<ScheduledEvent>,
     sequence: u64,
     lost: u64,
 }
@@ -341,7 +341,7 @@
             return;
         }
         let at = self.now + self.delay(from, to);
-        self.push(at, Pending::Datagram { from, to, kind, bytes });
+        self.push(at, PendingEvent::Datagram { from, to, kind, bytes });
     }
 
     fn is_blocked(&self, from: usize, to: usize) -> bool {
@@ -367,21 +367,21 @@
     pub fn set_timer(&mut self, member: usize, id: u32, local_time: Micros) {
         let Endpoint { drift_ppm, incarnation, .. } = self.endpoints[member];
         let at = to_simulated_time(local_time, drift_ppm).max(self.now);
-        self.push(at, Pending::Timer { member, id, incarnation });
+        self.push(at, PendingEvent::Timer { member, id, incarnation });
     }
 
-    fn push(&mut self, at: Micros, pending: Pending) {
+    fn push(&mut self, at: Micros, pending: PendingEvent) {
         self.sequence += 1;
-        self.queue.push(Entry { at, sequence: self.sequence, pending });
+        self.queue.push(ScheduledEvent { at, sequence: self.sequence, pending });
     }
 
     /// Advances the time to the next event up to and including `until` and returns it. Without such an event,
     /// advances the time to `until` and returns `None`.
     pub fn next_event(&mut self, until: Micros) -> Option<Event> {
-        while self.queue.peek().is_some_and(|entry| entry.at <= until) {
-            let entry = self.queue.pop()?;
-            self.now = self.now.max(entry.at);
-            if let Some(event) = self.deliver(entry.pending) {
+        while self.queue.peek().is_some_and(|next| next.at <= until) {
+            let next = self.queue.pop()?;
+            self.now = self.now.max(next.at);
+            if let Some(event) = self.deliver(next.pending) {
                 return Some(event);
             }
         }
@@ -389,9 +389,9 @@
         None
     }
 
-    fn deliver(&mut self, pending: Pending) -> Option<Event> {
+    fn deliver(&mut self, pending: PendingEvent) -> Option<Event> {
         match pending {
-            Pending::Datagram { from, to, kind, bytes } => {
+            PendingEvent::Datagram { from, to, kind, bytes } => {
                 let receiver = &mut self.endpoints[to];
                 if !receiver.running {
                     self.lost += 1;
@@ -400,7 +400,7 @@
                 receiver.received.add(kind, bytes.len());
                 Some(Event::Datagram { from, to, bytes })
             }
-            Pending::Timer { member, id, incarnation } => {
+            PendingEvent::Timer { member, id, incarnation } => {
                 let endpoint = &self.endpoints[member];
                 let valid = endpoint.running && endpoint.incarnation == incarnation;
                 valid.then_some(Event::Timer { member, id })
--- a/crates/badgerwind-scale/src/rows/outages.rs
+++ b/crates/badgerwind-scale/src/rows/outages.rs
@@ -112,15 +112,23 @@
     }
 }
 
-/// A pending answer: time of receipt, executor, time of sending, and whether it answers a question.
-type PendingAnswer = Reverse<(Time, WorkerId, Time, bool)>;
+/// An answer that has not been received yet. Answers are ordered by their fields from first to last.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingAnswer {
+    received_at: Time,
+    worker: WorkerId,
+    sent_at: Time,
+    /// Whether it answers a question, and not a call.
+    is_question: bool,
+}
 
 /// A front end's evidence about executors during an outage of service discovery.
 struct SimulatedOutage {
     freshness: Freshness,
     workers: u32,
     rng: StdRng,
-    answers: BinaryHeap<PendingAnswer>,
+    /// Pending answers, earliest first.
+    answers: BinaryHeap<Reverse<PendingAnswer>>,
     function: FunctionId,
 }
 
@@ -154,23 +162,29 @@
             self.process_answers(now);
             let worker = self.rng.random_range(0..self.workers);
             match self.freshness.permit(now, worker) {
-                Permit::Granted => self.answers.push(Reverse((now + CALL_TIME, worker, now, false))),
+                Permit::Granted => self.schedule_answer(worker, now, CALL_TIME, false),
                 Permit::Ask => {
                     self.freshness.on_questions_queued(now, worker, self.function.clone());
-                    self.answers.push(Reverse((now + QUESTION_TIME, worker, now, true)));
+                    self.schedule_answer(worker, now, QUESTION_TIME, true);
                 }
                 Permit::Wait | Permit::Denied(_) => {}
             }
         }
     }
 
+    fn schedule_answer(&mut self, worker: WorkerId, sent_at: Time, delay: Micros, is_question: bool) {
+        let received_at = sent_at + delay;
+        self.answers.push(Reverse(PendingAnswer { received_at, worker, sent_at, is_question }));
+    }
+
     /// Processes the answers received until now. After the answer to a question, the call that waited for
     /// it is sent.
     fn process_answers(&mut self, now: Time) {
-        while let Some(Reverse((received_at, worker, sent_at, is_question))) =
-            self.answers.peek().copied().filter(|answer| answer.0 .0 <= now)
+        while let Some(Reverse(answer)) =
+            self.answers.peek().copied().filter(|answer| answer.0.received_at <= now)
         {
             self.answers.pop();
+            let PendingAnswer { received_at, worker, sent_at, is_question } = answer;
             if !is_question {
                 self.freshness.on_evidence(received_at, worker, Evidence::Served, true);
             } else {
@@ -178,13 +192,13 @@
                     let evidence = Evidence::Confirmed { since: sent_at, copies };
                     self.freshness.on_evidence(received_at, worker, evidence, true);
                 }
-                self.answers.push(Reverse((received_at + CALL_TIME, worker, received_at, false)));
+                self.schedule_answer(worker, received_at, CALL_TIME, false);
             }
         }
     }
 
     /// Heap bytes of the queue of answers, which belongs to the simulation and not to the front end.
     fn answer_queue_bytes(&self) -> f64 {
-        (self.answers.capacity() * std::mem::size_of::<PendingAnswer>()) as f64
+        (self.answers.capacity() * std::mem::size_of::<Reverse<PendingAnswer>>()) as f64
     }
 }
--- a/crates/badgerwind-scale/src/rows/register.rs
+++ b/crates/badgerwind-scale/src/rows/register.rs
@@ -4,7 +4,7 @@
 
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
-use crate::rows::load::{
+use crate::rows::member_costs::{
     all_regions, cost_metrics, heap_bytes, isolate_region, mean_cost, single_region, CostMetrics, MemberCost,
 };
 use crate::rows::network::{Conditions, Micros, TrafficCount, MILLISECOND, REGIONS, SECOND};
@@ -115,9 +115,9 @@
 fn take_costs(group: &mut Group, members: &[usize], seconds: f64) -> Vec<MemberCost> {
     let cost = |member: &usize| {
         let traffic = mean_traffic(group, &[*member], seconds);
-        let processor = group.processor_times.microseconds(*member) / seconds;
+        let processor_us = group.processor_times.microseconds(*member) / seconds;
         let heap = group.take_node(*member).map_or(0.0, heap_bytes);
-        MemberCost { processor, heap, ..traffic }
+        MemberCost { processor_us, heap, ..traffic }
     };
     members.iter().map(cost).collect()
 }
@@ -241,7 +241,7 @@
 /// Time over which a group is observed after a fault or after its end.
 const OBSERVATION_TIME: Micros = 12 * SECOND;
 /// Interval at which the lease holders are counted.
-const POLL_INTERVAL: Micros = 50 * MILLISECOND;
+const CHECK_INTERVAL: Micros = 50 * MILLISECOND;
 /// Log entries retained during the isolation of a region: fewer than are written in that time, so that its
 /// ten seconds have the effect of an hour.
 const ISOLATION_RETAINED_ENTRIES: u64 = 32;
@@ -255,7 +255,7 @@
     pub voter_peak: TrafficCount,
     /// Peak traffic of any follower in one second.
     pub follower_peak: TrafficCount,
-    /// Seconds from the last step of the fault to the last poll at which fewer than 99% of the running
+    /// Seconds from the last step of the fault to the last check at which fewer than 99% of the running
     /// members held a lease.
     pub seconds_until_leased: f64,
     /// Seconds from the fault until there is a leader.
@@ -313,22 +313,23 @@
     })
 }
 
-/// Runs a group for a duration and polls it. Returns the seconds until the last poll at which fewer than 99%
-/// of the running members held a lease, and until the first poll at which there was a leader.
+/// Runs a group for a duration and checks it at intervals. Returns the seconds until the last check at which
+/// fewer than 99% of the running members held a lease, and until the first check at which there was a
+/// leader.
 fn observe(group: &mut Group, duration: Micros) -> (f64, f64) {
-    let (mut last_unleased_poll, mut first_leader_poll) = (0, None);
-    for poll in 1..=duration / POLL_INTERVAL {
-        group.run(POLL_INTERVAL);
+    let (mut last_unleased_check, mut first_leader_check) = (0, None);
+    for check in 1..=duration / CHECK_INTERVAL {
+        group.run(CHECK_INTERVAL);
         if group.lease_holder_count() * 100 < group.running_count() * 99 {
-            last_unleased_poll = poll;
+            last_unleased_check = check;
         }
-        if first_leader_poll.is_none() && group.leader().is_some() {
-            first_leader_poll = Some(poll);
+        if first_leader_check.is_none() && group.leader().is_some() {
+            first_leader_check = Some(check);
         }
     }
-    // Times shorter than one poll interval cannot be observed.
-    let seconds = |polls: u64| (polls.max(1) * POLL_INTERVAL) as f64 / SECOND as f64;
-    (seconds(last_unleased_poll), seconds(first_leader_poll.unwrap_or(duration / POLL_INTERVAL)))
+    // Times shorter than one check interval cannot be observed.
+    let seconds = |checks: u64| (checks.max(1) * CHECK_INTERVAL) as f64 / SECOND as f64;
+    (seconds(last_unleased_check), seconds(first_leader_check.unwrap_or(duration / CHECK_INTERVAL)))
 }
 
 const VOTER_PEAK_MESSAGES: Metric =
--- a/crates/badgerwind-scale/src/rows/register/group.rs
+++ b/crates/badgerwind-scale/src/rows/register/group.rs
@@ -1,7 +1,7 @@
 //! A hollow group of register members: real nodes and the real codec over a simulated network, with voters'
 //! disks whose writes take time.
 
-use crate::rows::load::{PeakTraffic, ProcessorTimes, SAMPLE_INTERVAL};
+use crate::rows::member_costs::{PeakTraffic, ProcessorTimes, SAMPLE_INTERVAL};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND};
 use badgerwind_register::{
     Event as LogEvent, Incarnation, Index, Input, Member, MemoryDisk, Message, Node, Output, Settings, Setup,
--- a/crates/badgerwind-scale/src/rows/router.rs
+++ b/crates/badgerwind-scale/src/rows/router.rs
@@ -20,7 +20,7 @@
 /// Simulated time before the measurement.
 const WARM_UP: Micros = 10 * SECOND;
 /// Simulated time of the measurement.
-const MEASURED_TIME: Micros = 20 * SECOND;
+const MEASUREMENT_TIME: Micros = 20 * SECOND;
 /// With more workers than this, the simulated times are shortened in inverse proportion to bound the run
 /// time.
 const FULL_TIME_WORKERS: Micros = 16_000;
@@ -82,7 +82,7 @@
     let mut front_end = HollowFrontEnd::new(workload, seed);
     front_end.run(shortened(WARM_UP));
     front_end.take_costs();
-    front_end.run(shortened(MEASURED_TIME));
+    front_end.run(shortened(MEASUREMENT_TIME));
     (front_end.take_costs(), front_end.into_heap_bytes())
 }
 
@@ -139,8 +139,8 @@
     }
 
     fn about(&self) -> &'static str {
-        "one Router, 1,000 functions (Zipf 1.0), 127 calls per second, answers after 60 to 140 ms; \
-         measured for 20 s after a warm-up of 10 s"
+        "one Router, 1,000 functions (Zipf 1.0), 127 calls per second, 90% of the answers after 60 to 140 \
+         ms; measured for 20 s after a warm-up of 10 s"
     }
 
     fn variable(&self) -> &'static str {
--- a/crates/badgerwind-scale/src/rows/zones.rs
+++ b/crates/badgerwind-scale/src/rows/zones.rs
@@ -2,7 +2,7 @@
 //! aggregates reports, as the numbers of front ends and runners grow, and the cost of the loss and the return
 //! of a zone.
 
-use crate::cost::{HeapMeter, ProcessorMeter};
+use crate::cost::{heap_of_clone, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use crate::rows::members::{control_bounds, ENVELOPE_BYTES, PLANNED_FRONT_ENDS};
@@ -19,8 +19,8 @@
 pub const HEARTBEAT_INTERVAL: Micros = 100 * MILLISECOND;
 /// Interval of a front end's ticks; the runtime makes four per heartbeat interval.
 const TICK_INTERVAL: Micros = HEARTBEAT_INTERVAL / 4;
-/// Time that a cold runner takes to warm up; it determines the steps of a return.
-const WARM_UP: Micros = 4 * SECOND;
+/// Time that a cold runner takes to warm up, which determines the steps of a zone's return.
+const RUNNER_WARM_UP_TIME: Micros = 4 * SECOND;
 /// Number of voters, as recommended to operators.
 const VOTERS: usize = 3;
 /// Calls a second of a front end of the planned fleet.
@@ -44,10 +44,10 @@
 const FLEET_CALLS_PER_SECOND: f64 = 10.0;
 /// The zone that is lost.
 const LOST_ZONE: usize = 1;
-/// Simulated time limit for a fleet to reach a state.
-const TIME_LIMIT: Micros = 180 * SECOND;
-/// Interval at which the state of a fleet is checked.
-const POLL_INTERVAL: Micros = 100 * MILLISECOND;
+/// Simulated time after which a measurement fails if the fleet has not reached the expected state.
+const SETTLE_TIMEOUT: Micros = 180 * SECOND;
+/// Interval at which the fleet is checked for the expected state.
+const CHECK_INTERVAL: Micros = 100 * MILLISECOND;
 
 const MESSAGES: Metric = Metric { name: "messages in and out", unit: "messages/s" };
 const BYTES: Metric = Metric { name: "encoded bytes in and out", unit: "B/s" };
@@ -65,7 +65,7 @@
 
 fn zone_settings(front_ends: usize) -> Settings {
     let voters = (0..front_ends.min(VOTERS)).map(|m| m as Member).collect();
-    Settings::for_timing(voters, HEARTBEAT_INTERVAL, WARM_UP)
+    Settings::for_timing(voters, HEARTBEAT_INTERVAL, RUNNER_WARM_UP_TIME)
 }
 
 /// Runners of equal capacity, assigned to the zones round-robin.
@@ -73,13 +73,13 @@
     (0..count).map(|r| (r as Executor, r % ZONES, 1.0))
 }
 
-/// Report of a front end that received answers from all zones.
+/// A report of a front end that received answers from all zones.
 fn healthy_report(serial: u32, runners_per_zone: u16) -> Message {
     let zone = ZoneReport { answered: runners_per_zone, ..ZoneReport::default() };
     Message::Report { serial, zones: vec![zone; ZONES] }
 }
 
-/// Digest according to which all zones are healthy.
+/// A digest in which all zones are healthy.
 fn healthy_digest(serial: u32, members: u16) -> Message {
     let zone = ZoneDigest { lost: -600, late: -600, reached_by: members, ..ZoneDigest::default() };
     Message::Digest { serial, members, zones: vec![zone; ZONES] }
@@ -97,7 +97,7 @@
     /// Messages in and out.
     pub messages: u64,
     /// Processor time in microseconds.
-    pub processor: f64,
+    pub processor_us: f64,
     /// Heap of the aggregator with a report of each front end, in bytes.
     pub heap: u64,
 }
@@ -124,13 +124,10 @@
         bytes += report.len() as u64 + answer.as_ref().map_or(0, |a| a.len() as u64);
         messages += 1 + u64::from(answer.is_some());
     }
-    let processor = meter.microseconds() / front_ends.max(1) as f64;
-    let meter = HeapMeter::start();
-    let copy = aggregator.clone();
-    let heap = meter.net_bytes();
-    drop(copy);
+    let processor_us = meter.microseconds() / front_ends.max(1) as f64;
+    let heap = heap_of_clone(&aggregator);
     let count = front_ends.max(1) as u64;
-    VoterCost { bytes: bytes / count, messages: messages / count, processor, heap }
+    VoterCost { bytes: bytes / count, messages: messages / count, processor_us, heap }
 }
 
 /// Answers a report as `Node::receive` does at a voter.
@@ -190,8 +187,8 @@
             of(MESSAGES, messages),
             of(BYTES, bytes),
             of(WIRE_BYTES, bytes + messages * ENVELOPE_BYTES as f64),
-            measurement("processor time of a report", "us", cost.processor),
-            of(PROCESSOR, cost.processor * reports),
+            measurement("processor time of a report", "us", cost.processor_us),
+            of(PROCESSOR, cost.processor_us * reports),
             of(HEAP, cost.heap as f64),
         ])
     }
@@ -210,7 +207,7 @@
     // All runners have answered once, so that the table of evidence is full.
     (0..runner_count).for_each(|r| node.record(0, r as Executor, Observation::Answered, 0));
     let members = 11_000;
-    let (mut bytes, mut messages, mut processor) = (0_u64, 0_u64, 0.0);
+    let (mut bytes, mut messages, mut processor_us) = (0_u64, 0_u64, 0.0);
     let calls_per_tick = CALLS_PER_SECOND * seconds(TICK_INTERVAL);
     let mut pending_calls = 0.0;
     let mut now = SECOND;
@@ -227,7 +224,7 @@
             .into_iter()
             .map(|(to, message)| (to, serial(&message), message.encode()))
             .collect();
-        processor += meter.microseconds();
+        processor_us += meter.microseconds();
         for (voter, serial, report) in out {
             let digest = healthy_digest(serial, members).encode();
             bytes += (report.len() + digest.len()) as u64;
@@ -236,20 +233,17 @@
             if let Some(message) = Message::decode(&digest) {
                 node.receive(now, voter, &message);
             }
-            processor += meter.microseconds();
+            processor_us += meter.microseconds();
         }
     }
-    let meter = HeapMeter::start();
-    let copy = node.clone();
-    let heap = meter.net_bytes();
-    drop(copy);
+    let heap = heap_of_clone(&node);
     let (duration, of) = (seconds(MEASUREMENT_TIME), |metric, value| Measurement { metric, value });
     let (bytes, messages) = (bytes as f64 / duration, messages as f64 / duration);
     vec![
         of(MESSAGES, messages),
         of(BYTES, bytes),
         of(WIRE_BYTES, bytes + messages * ENVELOPE_BYTES as f64),
-        of(PROCESSOR, processor / duration),
+        of(PROCESSOR, processor_us / duration),
         of(HEAP, heap as f64),
     ]
 }
@@ -269,7 +263,7 @@
     }
     fn about(&self) -> &'static str {
         "a front end that is not a voter, 127 calls a second, one answer of each runner before, three \
-         scripted voters; 21 zones, the most that a message carries; its traffic does not depend on the \
+         scripted voters; 21 zones of the 24 that a message can carry; its traffic does not depend on the \
          number of front ends"
     }
     fn variable(&self) -> &'static str {
@@ -468,15 +462,15 @@
         self.nodes.iter().map(count_left).sum()
     }
 
-    /// Runs until a condition holds and returns the duration; `None` if that exceeds a limit of simulated
+    /// Runs until a condition holds and returns the duration; `None` after the timeout of 180 s of simulated
     /// time.
     pub fn run_until(&mut self, condition: impl Fn(&Fleet) -> bool) -> Option<Micros> {
         let started_at = self.network.now();
-        while self.network.now() < started_at + TIME_LIMIT {
+        while self.network.now() < started_at + SETTLE_TIMEOUT {
             if condition(self) {
                 return Some(self.network.now() - started_at);
             }
-            self.run(POLL_INTERVAL);
+            self.run(CHECK_INTERVAL);
         }
         None
     }
@@ -509,7 +503,7 @@
         Role::FrontEndControl
     }
     fn about(&self) -> &'static str {
-        "one zone of 16 is lost and returns, two runners per zone, ten calls a second from each front end: \
+        "one zone of 21 is lost and returns, two runners per zone, ten calls a second from each front end: \
          simulated times, traffic of a front end that is not a voter, probes of the whole fleet; all front \
          ends are real"
     }
--- a/crates/badgerwind-scale/src/run.rs
+++ b/crates/badgerwind-scale/src/run.rs
@@ -84,11 +84,18 @@
     pub metrics: Vec<MetricResult>,
 }
 
+/// A measured value at one size.
+struct Sample {
+    metric: Metric,
+    size: u64,
+    value: f64,
+}
+
 /// Measures a row at all requested sizes.
 pub fn measure_row(row: &dyn Row, options: &RunOptions) -> Result<RowResult, ScaleError> {
     let sizes = validated_sizes(row, options)?;
     let started = Instant::now();
-    let mut samples: Vec<(Metric, u64, f64)> = Vec::new();
+    let mut samples: Vec<Sample> = Vec::new();
     for &size in &sizes {
         for repetition in 0..u64::from(options.repetitions.max(1)) {
             if started.elapsed() > options.time_limit {
@@ -96,7 +103,7 @@
                 return Err(ScaleError::OutOfTime { row: row.name(), size, elapsed });
             }
             let measured = row.measure(size, options.seed + repetition)?;
-            samples.extend(measured.into_iter().map(|m| (m.metric, size, m.value)));
+            samples.extend(measured.into_iter().map(|m| Sample { metric: m.metric, size, value: m.value }));
         }
     }
     Ok(summarize(row, options, &sizes, &samples))
@@ -122,14 +129,9 @@
     Ok(sizes)
 }
 
-fn summarize(
-    row: &dyn Row,
-    options: &RunOptions,
-    sizes: &[u64],
-    samples: &[(Metric, u64, f64)],
-) -> RowResult {
+fn summarize(row: &dyn Row, options: &RunOptions, sizes: &[u64], samples: &[Sample]) -> RowResult {
     let mut metrics: Vec<Metric> = Vec::new();
-    for &(metric, _, _) in samples {
+    for &Sample { metric, .. } in samples {
         if !metrics.contains(&metric) {
             metrics.push(metric);
         }
@@ -147,12 +149,7 @@
     }
 }
 
-fn metric_result(
-    row: &dyn Row,
-    metric: Metric,
-    sizes: &[u64],
-    samples: &[(Metric, u64, f64)],
-) -> MetricResult {
+fn metric_result(row: &dyn Row, metric: Metric, sizes: &[u64], samples: &[Sample]) -> MetricResult {
     let points: Vec<Point> = sizes.iter().filter_map(|&size| point(metric, size, samples)).collect();
     let means: Vec<(u64, f64)> = points.iter().map(|p| (p.size, p.mean)).collect();
     let fit = best_fit(&means);
@@ -164,8 +161,9 @@
     MetricResult { metric, points, fit, planned_value, extrapolated, bound, bound_ratio }
 }
 
-fn point(metric: Metric, size: u64, samples: &[(Metric, u64, f64)]) -> Option<Point> {
-    let values: Vec<f64> = samples.iter().filter(|f| f.0 == metric && f.1 == size).map(|f| f.2).collect();
+fn point(metric: Metric, size: u64, samples: &[Sample]) -> Option<Point> {
+    let values: Vec<f64> =
+        samples.iter().filter(|s| s.metric == metric && s.size == size).map(|s| s.value).collect();
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     let min = values.iter().copied().reduce(f64::min)?;
     let max = values.iter().copied().reduce(f64::max)?;
--- a/crates/badgerwind-scale/tests/budgets.rs
+++ b/crates/badgerwind-scale/tests/budgets.rs
@@ -3,7 +3,7 @@
 
 use badgerwind_scale::rows::budgets::group::{Mutant, Plan};
 use badgerwind_scale::rows::budgets::{measure_steady, plan, run_fault, Fault, SteadyCosts};
-use badgerwind_scale::rows::load::MemberCost;
+use badgerwind_scale::rows::member_costs::MemberCost;
 use badgerwind_scale::rows::network::{Micros, SECOND};
 
 const SMALL_GROUP: u64 = 30;
--- a/crates/badgerwind-scale/tests/register.rs
+++ b/crates/badgerwind-scale/tests/register.rs
@@ -2,7 +2,7 @@
 //! growth must also fail for a group with an injected defect that makes a cost grow with the number of
 //! members.
 
-use badgerwind_scale::rows::load::{all_regions, single_region, MemberCost};
+use badgerwind_scale::rows::member_costs::{all_regions, single_region, MemberCost};
 use badgerwind_scale::rows::network::{Micros, MILLISECOND, SECOND};
 use badgerwind_scale::rows::register::group::{Mutant, Plan, RecordLoad};
 use badgerwind_scale::rows::register::{measure_steady, plan, run_fault, Fault, SteadyCosts};
