--- a/crates/badgerwind-scale/src/config_simulation/mod.rs
+++ b/crates/badgerwind-scale/src/config_simulation/mod.rs
@@ -9,11 +9,16 @@
 pub mod settings;
 mod simulation;
 
+use crate::rows::network::SECOND;
+
 pub use front_end::{Applied, Durations, FrontEndMutant, DEFAULT_TIMING};
 pub use network::{request_bytes, response_bytes, Network};
 pub use service::{Service, ServiceLoad, ServiceMutant};
 pub use simulation::{Scenario, Simulation};
 
+/// Time by which all front ends have started and their requests are open.
+pub const STARTUP_TIME: u64 = 3 * SECOND;
+
 /// Rate of published versions at the planned size: 31,000 a day.
 pub const VERSIONS_PER_SECOND: f64 = 31_000.0 / 86_400.0;
 
--- a/crates/badgerwind-scale/src/rows/budgets.rs
+++ b/crates/badgerwind-scale/src/rows/budgets.rs
@@ -5,6 +5,7 @@
 
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
+use crate::rows::bounds::{MAX_CONTROL_TRAFFIC, MAX_LINK_TRAFFIC};
 use crate::rows::member_costs::{
     all_regions, cost_metrics, heap_bytes, isolate_region, mean_cost, CostMetrics, MemberCost,
 };
@@ -268,7 +269,8 @@
     /// Seconds from the last step of the fault to the last check at which fewer than 99% of the running
     /// members owned units.
     pub seconds_until_owning: f64,
-    /// Seconds from the fault until there is a coordinator.
+    /// Seconds until there is a coordinator, counted from the loss in [`Fault::ZoneLost`] and otherwise from the last
+    /// step of the fault.
     pub seconds_until_coordinator: f64,
 }
 
@@ -278,7 +280,7 @@
     group.reset_counts();
     let non_voters = group.non_voters();
     let tenth = non_voters.len().div_ceil(10);
-    let (seconds_until_owning, seconds_until_coordinator) = match fault {
+    let times = match fault {
         Fault::RestartTenth => {
             let members = &non_voters[..tenth];
             group.kill(members);
@@ -295,7 +297,10 @@
             group.kill(&zone);
             let during_outage = observe(&mut group, OUTAGE);
             group.start(&zone);
-            (observe(&mut group, OBSERVATION_TIME).0, during_outage.1)
+            RecoveryTimes {
+                until_coordinator: during_outage.until_coordinator,
+                ..observe(&mut group, OBSERVATION_TIME)
+            }
         }
         Fault::RegionIsolated => {
             isolate_region(group.network_mut(), REGIONS - 1);
@@ -315,15 +320,21 @@
     Ok(FaultEffect {
         coordinator_peak: group.peaks().max_among(&coordinators),
         member_peak: group.peaks().max_among(&members),
-        seconds_until_owning,
-        seconds_until_coordinator,
+        seconds_until_owning: times.until_owning,
+        seconds_until_coordinator: times.until_coordinator,
     })
 }
 
-/// Runs a group for a duration and checks it at intervals. Returns the seconds until the last check at which
-/// fewer than 99% of the running members owned units, and until the first check at which there was a
-/// coordinator.
-fn observe(group: &mut Group, duration: Micros) -> (f64, f64) {
+/// Seconds from the start of an observation.
+struct RecoveryTimes {
+    /// Until the last check at which fewer than 99% of the running members owned units.
+    until_owning: f64,
+    /// Until the first check at which there was a coordinator.
+    until_coordinator: f64,
+}
+
+/// Runs a group for a duration and checks it at intervals.
+fn observe(group: &mut Group, duration: Micros) -> RecoveryTimes {
     let (mut last_unowned_check, mut first_coordinator_check) = (0, None);
     for check in 1..=duration / CHECK_INTERVAL {
         group.run(CHECK_INTERVAL);
@@ -336,7 +347,10 @@
     }
     // Times shorter than one check interval cannot be observed.
     let seconds = |checks: u64| (checks.max(1) * CHECK_INTERVAL) as f64 / SECOND as f64;
-    (seconds(last_unowned_check), seconds(first_coordinator_check.unwrap_or(duration / CHECK_INTERVAL)))
+    RecoveryTimes {
+        until_owning: seconds(last_unowned_check),
+        until_coordinator: seconds(first_coordinator_check.unwrap_or(duration / CHECK_INTERVAL)),
+    }
 }
 
 const COORDINATOR_PEAK_MESSAGES: Metric =
@@ -418,12 +432,12 @@
         vec![
             Bound {
                 metric: COORDINATOR_PEAK_BYTES,
-                max: 125_000_000.0,
+                max: MAX_LINK_TRAFFIC,
                 source: "a link of 1 Gbit/s (assumed)",
             },
             Bound {
                 metric: MEMBER_PEAK_BYTES,
-                max: 6_144.0,
+                max: MAX_CONTROL_TRAFFIC,
                 source: "6 KB a second for control, in and out",
             },
         ]
--- a/crates/badgerwind-scale/src/rows/config.rs
+++ b/crates/badgerwind-scale/src/rows/config.rs
@@ -7,6 +7,7 @@
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
+use crate::rows::bounds::{MAX_CONTROL_TRAFFIC, MAX_HEAP, MAX_PROCESSOR_TIME};
 use badgerwind::interface::{Availability, ListKind, WorkerEntry};
 use badgerwind::Router;
 use badgerwind_config::client::{Action, Client, Input};
@@ -18,13 +19,6 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Bound on the processor time of a front end's control work, in microseconds per second.
-const MAX_PROCESSOR_TIME: f64 = 10_000.0;
-/// Bound on the traffic of a front end's control work, in both directions.
-const MAX_BYTES_PER_SECOND: f64 = 6_144.0;
-/// Bound on the heap of a front end's control work, in bytes.
-const MAX_HEAP: f64 = 134_217_728.0;
-
 /// Most recorded calls that a front end replays before a version runs.
 const REPLAYED_CALLS: u64 = 2_000;
 
@@ -312,7 +306,7 @@
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let bytes = |metric| Bound { metric, max: MAX_BYTES_PER_SECOND, source: "6 KB a second for control" };
+        let bytes = |metric| Bound { metric, max: MAX_CONTROL_TRAFFIC, source: "6 KB a second for control" };
         let time = |metric| Bound { metric, max: MAX_PROCESSOR_TIME, source: "1% of a core for control" };
         vec![
             bytes(CLASSES_BYTES_PER_SECOND),
--- a/crates/badgerwind-scale/src/rows/config_in_force.rs
+++ b/crates/badgerwind-scale/src/rows/config_in_force.rs
@@ -1,6 +1,8 @@
 //! Row of the time from the publication of a version until it is in force, by the size of the fleet.
 
-use crate::config_simulation::{Scenario, Simulation, FRONT_ENDS_PER_SERVICE, VERSIONS_PER_SECOND};
+use crate::config_simulation::{
+    Scenario, Simulation, FRONT_ENDS_PER_SERVICE, STARTUP_TIME, VERSIONS_PER_SECOND,
+};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use crate::rows::network::SECOND;
@@ -15,9 +17,6 @@
 /// Time within which a version must be in force everywhere, in microseconds.
 const MAX_DELAY: u64 = 3 * SECOND;
 
-/// Time by which all front ends have started and their requests are open.
-const STARTED: u64 = 3 * SECOND;
-
 /// Simulated time after the last version. A version that is not in force by then counts with this delay.
 const MAX_WAIT: u64 = 30 * SECOND;
 
@@ -134,8 +133,8 @@
 
 fn single_version_delays(scenario: &Scenario) -> Result<Delays, String> {
     let mut simulation = Simulation::new(scenario.clone())?;
-    simulation.publish(STARTED, Kind::Classes);
-    simulation.run_until(STARTED + MAX_WAIT);
+    simulation.publish(STARTUP_TIME, Kind::Classes);
+    simulation.run_until(STARTUP_TIME + MAX_WAIT);
     Ok(Delays::of(&simulation, scenario.front_ends as u64, false))
 }
 
@@ -154,9 +153,9 @@
     let mut times: Vec<u64> = (0..BURST_VERSIONS).map(|_| rng.random_range(0..BURST_TIME)).collect();
     times.sort_unstable();
     for time in times {
-        simulation.publish(STARTED + time, random_kind(&mut rng));
+        simulation.publish(STARTUP_TIME + time, random_kind(&mut rng));
     }
-    simulation.run_until(STARTED + BURST_TIME + MAX_WAIT);
+    simulation.run_until(STARTUP_TIME + BURST_TIME + MAX_WAIT);
     Ok(simulation)
 }
 
@@ -164,15 +163,15 @@
     let mut simulation = Simulation::new(scenario.clone())?;
     let mut rng = StdRng::seed_from_u64(scenario.seed);
     let gaps = Exp::new(VERSIONS_PER_SECOND).map_err(|e| e.to_string())?;
-    let mut at = STARTED;
+    let mut at = STARTUP_TIME;
     loop {
         at += (gaps.sample(&mut rng) * SECOND as f64) as u64;
-        if at > STARTED + DAY_TIME {
+        if at > STARTUP_TIME + DAY_TIME {
             break;
         }
         simulation.publish(at, random_kind(&mut rng));
     }
-    simulation.run_until(STARTED + DAY_TIME + MAX_WAIT);
+    simulation.run_until(STARTUP_TIME + DAY_TIME + MAX_WAIT);
     Ok(simulation)
 }
 
--- a/crates/badgerwind-scale/src/rows/control.rs
+++ b/crates/badgerwind-scale/src/rows/control.rs
@@ -2,11 +2,12 @@
 //! failure of another control service, and when front ends restart or reconnect.
 
 use crate::config_simulation::{
-    Scenario, ServiceLoad, Simulation, FRONT_ENDS_PER_SERVICE, VERSIONS_PER_SECOND,
+    Scenario, ServiceLoad, Simulation, FRONT_ENDS_PER_SERVICE, STARTUP_TIME, VERSIONS_PER_SECOND,
 };
 use crate::cost::HeapMeter;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
+use crate::rows::bounds::MAX_CONTROL_MACHINE_TIME;
 use crate::rows::network::{TrafficCount, SECOND};
 use badgerwind_config::client::Report;
 use badgerwind_config::waves::Waves;
@@ -16,19 +17,12 @@
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp};
 
-/// Time by which all front ends have started and their requests are open.
-const STARTED: u64 = 3 * SECOND;
-
 /// Time limit for all front ends to acknowledge a version.
 const MAX_VERSION_TIME: u64 = 20 * SECOND;
 
 /// Interval at which the simulation is checked for the expected state.
 const CHECK_INTERVAL: u64 = SECOND / 20;
 
-/// Bound on the processor time of a control service, in microseconds per second: one core. This is an
-/// assumption, because the requirements give no bound.
-const MAX_PROCESSOR_TIME: f64 = 1e6;
-
 const fn metric(name: &'static str, unit: &'static str) -> Metric {
     Metric { name, unit }
 }
@@ -62,11 +56,11 @@
 
     fn measurements(size: u64, seed: u64) -> Result<Vec<Measurement>, String> {
         let mut simulation = Simulation::new(Self::scenario(size, seed))?;
-        simulation.run_until(STARTED);
+        simulation.run_until(STARTUP_TIME);
         let started = simulation.load(0).clone();
-        simulation.run_until(STARTED + SECOND);
+        simulation.run_until(STARTUP_TIME + SECOND);
         let idle = simulation.load(0).clone();
-        let published = STARTED + SECOND;
+        let published = STARTUP_TIME + SECOND;
         simulation.publish(published, Kind::Classes);
         let deadline = published + MAX_VERSION_TIME;
         let acknowledged = run_until_acknowledged(&mut simulation, size, Kind::Classes, deadline)?;
@@ -86,6 +80,7 @@
             (OFFERS, offers),
             (TIME, version_time),
             (IDLE_OFFERS, idle_offers),
+            // Each front end has four open requests, which the real service polls 100 times a second.
             (IDLE_TIMERS, (4 * 100 * size) as f64),
             (IDLE_BYTES, idle_bytes),
             (IDLE_TIME, idle_time),
@@ -186,7 +181,7 @@
     fn bounds(&self) -> Vec<Bound> {
         vec![Bound {
             metric: DAY_TIME,
-            max: MAX_PROCESSOR_TIME,
+            max: MAX_CONTROL_MACHINE_TIME,
             source: "one core of a control machine (assumed)",
         }]
     }
@@ -320,7 +315,7 @@
     let scenario = Scenario { rollout: Scenario::ALL_AT_ONCE, functions: RESTART_FUNCTIONS, ..base };
     let mut simulation = Simulation::new(scenario)?;
     for kind in Kind::ALL {
-        simulation.publish(STARTED, kind);
+        simulation.publish(STARTUP_TIME, kind);
     }
     simulation.run_until(RESTART_AT);
     let before = simulation.load(0).clone();
--- a/crates/badgerwind-scale/src/rows/front_end.rs
+++ b/crates/badgerwind-scale/src/rows/front_end.rs
@@ -24,9 +24,13 @@
 pub const WORKERS_PER_CELL: u32 = 100;
 /// Events that are due within this time are processed in one batch, as the driver does.
 const ROUND: Micros = 500;
+/// Aim of all calls.
 const AIM: Micros = SECOND;
+/// Deadline of all calls.
 const DEADLINE: Micros = 3 * SECOND;
+/// Number of lanes of a copy.
 const LANES: u32 = 2;
+/// Memory of a copy, as stated in each request.
 const FUNCTION_MEMORY_MB: f64 = 400.0;
 /// Load time of a function as stated in each request.
 const EXPECTED_LOAD_TIME: Micros = 900_000;
--- a/crates/badgerwind-scale/src/rows/hard_cases.rs
+++ b/crates/badgerwind-scale/src/rows/hard_cases.rs
@@ -1,10 +1,10 @@
 //! Row of demanding cases on a call's path: functions that are called once, a function whose rate of calls
 //! suddenly increases more than a thousandfold, a lost cell, and a front end after its restart.
 
+use super::bounds::{MAX_HEAP, MAX_PROCESSOR_TIME};
 use super::cold_starts::{Demand, FLEET_CALLS_PER_SECOND};
 use super::front_end::{Costs, HollowFrontEnd, Workload, CALLS_PER_SECOND, WORKERS_PER_CELL};
 use super::network::SECOND;
-use super::router::{HEAP_BOUND, PROCESSOR_TIME_BOUND};
 use super::workers::ForeignCalls;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
@@ -85,8 +85,8 @@
     }
 
     fn bounds(&self) -> Vec<Bound> {
-        let processor = |metric| Bound { metric, max: PROCESSOR_TIME_BOUND, source: "1% of a core" };
-        let heap = Bound { metric: ONCE_STEADY_STATE_HEAP, max: HEAP_BOUND, source: "128 MB a front end" };
+        let processor = |metric| Bound { metric, max: MAX_PROCESSOR_TIME, source: "1% of a core" };
+        let heap = Bound { metric: ONCE_STEADY_STATE_HEAP, max: MAX_HEAP, source: "128 MB a front end" };
         vec![
             processor(ONCE_PROCESSOR_TIME),
             processor(BURST_START_PROCESSOR_TIME),
--- a/crates/badgerwind-scale/src/rows/lists.rs
+++ b/crates/badgerwind-scale/src/rows/lists.rs
@@ -1,10 +1,10 @@
 //! Rows of the list of workers: costs of a changed worker, a lost zone and a whole list at a front end, and
 //! the calls that go to other workers as a result.
 
+use super::bounds::{MAX_CONTROL_TRAFFIC, MAX_HEAP, MAX_PROCESSOR_TIME};
 use super::front_end::{worker_entry, HollowFrontEnd, Workload, CALLS_PER_SECOND, ZONES};
 use super::list_frames::{encode_frame, frame_bytes};
 use super::network::SECOND;
-use super::router::{HEAP_BOUND, PROCESSOR_TIME_BOUND};
 use crate::cost::ProcessorMeter;
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
@@ -52,7 +52,7 @@
 
 /// All rows of this module.
 pub fn rows() -> Vec<Box<dyn Row>> {
-    vec![Box::new(ListChanges), Box::new(MovedCalls), Box::new(ListAges)]
+    vec![Box::new(ListChanges), Box::new(MovedCalls), Box::new(ListPropagation)]
 }
 
 fn single_entry(worker: WorkerId, availability: Availability) -> Vec<WorkerEntry> {
@@ -98,15 +98,15 @@
     fn bounds(&self) -> Vec<Bound> {
         let processor_source = "1% of a core";
         vec![
-            Bound { metric: ZONE_LOSS_PROCESSOR_TIME, max: PROCESSOR_TIME_BOUND, source: processor_source },
-            Bound { metric: RESTART_PROCESSOR_TIME, max: PROCESSOR_TIME_BOUND, source: processor_source },
-            Bound { metric: TIME_AFTER_WHOLE_LIST, max: PROCESSOR_TIME_BOUND, source: processor_source },
+            Bound { metric: ZONE_LOSS_PROCESSOR_TIME, max: MAX_PROCESSOR_TIME, source: processor_source },
+            Bound { metric: RESTART_PROCESSOR_TIME, max: MAX_PROCESSOR_TIME, source: processor_source },
+            Bound { metric: TIME_AFTER_WHOLE_LIST, max: MAX_PROCESSOR_TIME, source: processor_source },
             Bound {
                 metric: WHOLE_LIST_BYTES,
-                max: 6_144.0,
+                max: MAX_CONTROL_TRAFFIC,
                 source: "6 KB a second, were it sent each second",
             },
-            Bound { metric: HEAP, max: HEAP_BOUND, source: "128 MB a front end" },
+            Bound { metric: HEAP, max: MAX_HEAP, source: "128 MB a front end" },
         ]
     }
 
@@ -358,9 +358,9 @@
 const PROPAGATION_DELAY: Micros = 3 * SECOND;
 
 /// Agreement of two front ends that receive list changes at different times.
-struct ListAges;
+struct ListPropagation;
 
-impl Row for ListAges {
+impl Row for ListPropagation {
     fn name(&self) -> &'static str {
         "router-list-ages"
     }
--- a/crates/badgerwind-scale/src/rows/member_costs.rs
+++ b/crates/badgerwind-scale/src/rows/member_costs.rs
@@ -3,6 +3,9 @@
 
 use crate::cost::ProcessorMeter;
 use crate::row::{Bound, Measurement, Metric};
+use crate::rows::bounds::{
+    MAX_CONTROL_MACHINE_TIME, MAX_CONTROL_TRAFFIC, MAX_HEAP, MAX_LINK_TRAFFIC, MAX_PROCESSOR_TIME,
+};
 use crate::rows::network::{Area, Conditions, Micros, Network, TrafficCount, MILLISECOND, REGIONS, SECOND};
 use stats_alloc::{Region, StatsAlloc};
 use std::alloc::System;
@@ -185,22 +188,34 @@
     /// Bounds on the control work of a front end.
     pub fn front_end_bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: self.bytes, max: 6_144.0, source: "6 KB a second for control, in and out" },
+            Bound {
+                metric: self.bytes,
+                max: MAX_CONTROL_TRAFFIC,
+                source: "6 KB a second for control, in and out",
+            },
             Bound {
                 metric: self.framed_bytes,
-                max: 6_144.0,
+                max: MAX_CONTROL_TRAFFIC,
                 source: "6 KB a second for control, in and out",
             },
-            Bound { metric: self.processor, max: 10_000.0, source: "1% of a core for control" },
-            Bound { metric: self.heap, max: 134_217_728.0, source: "128 MB for control" },
+            Bound { metric: self.processor, max: MAX_PROCESSOR_TIME, source: "1% of a core for control" },
+            Bound { metric: self.heap, max: MAX_HEAP, source: "128 MB for control" },
         ]
     }
 
     /// Bounds on a control machine: one core, and a link of 1 Gbit/s.
     pub fn control_machine_bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: self.framed_bytes, max: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
-            Bound { metric: self.processor, max: 1_000_000.0, source: "one core of a control machine" },
+            Bound {
+                metric: self.framed_bytes,
+                max: MAX_LINK_TRAFFIC,
+                source: "a link of 1 Gbit/s (assumed)",
+            },
+            Bound {
+                metric: self.processor,
+                max: MAX_CONTROL_MACHINE_TIME,
+                source: "one core of a control machine",
+            },
         ]
     }
 }
--- a/crates/badgerwind-scale/src/rows/members.rs
+++ b/crates/badgerwind-scale/src/rows/members.rs
@@ -4,6 +4,7 @@
 use crate::cost::{heap_of_clone, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
+use crate::rows::bounds::{MAX_CONTROL_TRAFFIC, MAX_HEAP, MAX_PROCESSOR_TIME};
 use crate::rows::network::{Area, Conditions, Event, Micros, Network, MILLISECOND, SECOND};
 use badgerwind_members::{
     DetectionSettings, Incarnation, Kind, Member, Members, Message, State, Update, MAX_UPDATES,
@@ -389,9 +390,13 @@
 /// same bounds, so that a ratio above 1 exceeds them already.
 pub fn control_bounds(bytes: Metric, processor: Metric, heap: Metric) -> Vec<Bound> {
     vec![
-        Bound { metric: bytes, max: 6_144.0, source: "6 KB a second for all control, in and out" },
-        Bound { metric: processor, max: 10_000.0, source: "1% of a core for all control" },
-        Bound { metric: heap, max: 134_217_728.0, source: "128 MB for all control" },
+        Bound {
+            metric: bytes,
+            max: MAX_CONTROL_TRAFFIC,
+            source: "6 KB a second for all control, in and out",
+        },
+        Bound { metric: processor, max: MAX_PROCESSOR_TIME, source: "1% of a core for all control" },
+        Bound { metric: heap, max: MAX_HEAP, source: "128 MB for all control" },
     ]
 }
 
@@ -518,7 +523,11 @@
     }
     fn bounds(&self) -> Vec<Bound> {
         let rate = Metric { name: "start of all: bytes with envelope", unit: "B/s" };
-        vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
+        vec![Bound {
+            metric: rate,
+            max: MAX_CONTROL_TRAFFIC,
+            source: "6 KB a second for all control, in and out",
+        }]
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * size * ENTRY_BYTES
@@ -629,7 +638,11 @@
     }
     fn bounds(&self) -> Vec<Bound> {
         let rate = Metric { name: "a zone dies: bytes with envelope", unit: "B/s" };
-        vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
+        vec![Bound {
+            metric: rate,
+            max: MAX_CONTROL_TRAFFIC,
+            source: "6 KB a second for all control, in and out",
+        }]
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * size * ENTRY_BYTES
@@ -702,7 +715,11 @@
     }
     fn bounds(&self) -> Vec<Bound> {
         let rate = Metric { name: "together again: bytes with envelope", unit: "B/s" };
-        vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
+        vec![Bound {
+            metric: rate,
+            max: MAX_CONTROL_TRAFFIC,
+            source: "6 KB a second for all control, in and out",
+        }]
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * size * ENTRY_BYTES
--- a/crates/badgerwind-scale/src/rows/mod.rs
+++ b/crates/badgerwind-scale/src/rows/mod.rs
@@ -1,5 +1,6 @@
 //! All rows, in modules by part of the product.
 
+pub mod bounds;
 pub mod budgets;
 pub mod call_counts;
 pub mod cold_starts;
--- a/crates/badgerwind-scale/src/rows/outages.rs
+++ b/crates/badgerwind-scale/src/rows/outages.rs
@@ -1,9 +1,9 @@
 //! Row of the costs of a front end's own evidence while service discovery is unreachable. The real state
 //! machine decides on each call; simulated executors answer after a fixed time.
 
+use super::bounds::{MAX_CONTROL_TRAFFIC, MAX_HEAP, MAX_PROCESSOR_TIME};
 use super::front_end::CALLS_PER_SECOND;
 use super::network::SECOND;
-use super::router::{HEAP_BOUND, PROCESSOR_TIME_BOUND};
 use crate::cost::{HeapMeter, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
@@ -38,8 +38,6 @@
 
 /// Number of front ends in a region.
 const FRONT_ENDS_PER_REGION: f64 = 1_570.0;
-/// Maximum number of control bytes that a front end sends and receives per second.
-const BYTES_PER_SECOND_BOUND: f64 = 6_144.0;
 
 /// All rows of this module.
 pub fn rows() -> Vec<Box<dyn Row>> {
@@ -78,13 +76,9 @@
 
     fn bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: PROCESSOR_TIME, max: PROCESSOR_TIME_BOUND, source: "1% of a core" },
-            Bound { metric: HEAP, max: HEAP_BOUND, source: "128 MB a front end" },
-            Bound {
-                metric: BYTES_PER_SECOND,
-                max: BYTES_PER_SECOND_BOUND,
-                source: "6 KB a second a front end",
-            },
+            Bound { metric: PROCESSOR_TIME, max: MAX_PROCESSOR_TIME, source: "1% of a core" },
+            Bound { metric: HEAP, max: MAX_HEAP, source: "128 MB a front end" },
+            Bound { metric: BYTES_PER_SECOND, max: MAX_CONTROL_TRAFFIC, source: "6 KB a second a front end" },
         ]
     }
 
--- a/crates/badgerwind-scale/src/rows/register.rs
+++ b/crates/badgerwind-scale/src/rows/register.rs
@@ -4,6 +4,7 @@
 
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
+use crate::rows::bounds::{MAX_CONTROL_TRAFFIC, MAX_LINK_TRAFFIC};
 use crate::rows::member_costs::{
     all_regions, cost_metrics, heap_bytes, isolate_region, mean_cost, single_region, CostMetrics, MemberCost,
 };
@@ -258,7 +259,8 @@
     /// Seconds from the last step of the fault to the last check at which fewer than 99% of the running
     /// members held a lease.
     pub seconds_until_leased: f64,
-    /// Seconds from the fault until there is a leader.
+    /// Seconds until there is a leader, counted from the loss in [`Fault::ZoneLost`] and otherwise from the last
+    /// step of the fault.
     pub seconds_until_leader: f64,
     /// Number of incarnations that ended.
     pub incarnations_ended: u64,
@@ -272,7 +274,7 @@
     let mut group = if fault == Fault::Start { Group::new(plan) } else { start_settled(plan, row)? };
     let ended_before = group.ended_incarnation_count();
     group.reset_counts();
-    let (seconds_until_leased, seconds_until_leader) = match fault {
+    let times = match fault {
         Fault::Start => {
             group.start(&group.all_members());
             observe(&mut group, OBSERVATION_TIME)
@@ -295,7 +297,10 @@
             group.kill(&zone);
             let during_outage = observe(&mut group, OUTAGE);
             group.start(&zone);
-            (observe(&mut group, OBSERVATION_TIME).0, during_outage.1)
+            RecoveryTimes {
+                until_leader: during_outage.until_leader,
+                ..observe(&mut group, OBSERVATION_TIME)
+            }
         }
         Fault::RegionIsolated => {
             isolate_region(group.network_mut(), REGIONS - 1);
@@ -307,16 +312,22 @@
     Ok(FaultEffect {
         voter_peak: group.peaks().max_among(&group.voters()),
         follower_peak: group.peaks().max_among(&group.followers()),
-        seconds_until_leased,
-        seconds_until_leader,
+        seconds_until_leased: times.until_leased,
+        seconds_until_leader: times.until_leader,
         incarnations_ended: (group.ended_incarnation_count() - ended_before) as u64,
     })
 }
 
-/// Runs a group for a duration and checks it at intervals. Returns the seconds until the last check at which
-/// fewer than 99% of the running members held a lease, and until the first check at which there was a
-/// leader.
-fn observe(group: &mut Group, duration: Micros) -> (f64, f64) {
+/// Seconds from the start of an observation.
+struct RecoveryTimes {
+    /// Until the last check at which fewer than 99% of the running members held a lease.
+    until_leased: f64,
+    /// Until the first check at which there was a leader.
+    until_leader: f64,
+}
+
+/// Runs a group for a duration and checks it at intervals.
+fn observe(group: &mut Group, duration: Micros) -> RecoveryTimes {
     let (mut last_unleased_check, mut first_leader_check) = (0, None);
     for check in 1..=duration / CHECK_INTERVAL {
         group.run(CHECK_INTERVAL);
@@ -329,7 +340,10 @@
     }
     // Times shorter than one check interval cannot be observed.
     let seconds = |checks: u64| (checks.max(1) * CHECK_INTERVAL) as f64 / SECOND as f64;
-    (seconds(last_unleased_check), seconds(first_leader_check.unwrap_or(duration / CHECK_INTERVAL)))
+    RecoveryTimes {
+        until_leased: seconds(last_unleased_check),
+        until_leader: seconds(first_leader_check.unwrap_or(duration / CHECK_INTERVAL)),
+    }
 }
 
 const VOTER_PEAK_MESSAGES: Metric =
@@ -425,10 +439,10 @@
     }
     fn bounds(&self) -> Vec<Bound> {
         vec![
-            Bound { metric: VOTER_PEAK_BYTES, max: 125_000_000.0, source: "a link of 1 Gbit/s (assumed)" },
+            Bound { metric: VOTER_PEAK_BYTES, max: MAX_LINK_TRAFFIC, source: "a link of 1 Gbit/s (assumed)" },
             Bound {
                 metric: FOLLOWER_PEAK_BYTES,
-                max: 6_144.0,
+                max: MAX_CONTROL_TRAFFIC,
                 source: "6 KB a second for control, in and out",
             },
         ]
--- a/crates/badgerwind-scale/src/rows/router.rs
+++ b/crates/badgerwind-scale/src/rows/router.rs
@@ -1,6 +1,7 @@
 //! Rows of a call's path through a front end: costs of the decision module by the number of listed workers
 //! and by the number of functions.
 
+use super::bounds::{MAX_HEAP, MAX_PROCESSOR_TIME};
 use super::cold_starts::{Demand, FLEET_CALLS_PER_SECOND};
 use super::front_end::{Costs, HollowFrontEnd, Workload, CALLS_PER_SECOND};
 use super::network::SECOND;
@@ -9,12 +10,8 @@
 use crate::row::{Bound, Measurement, Metric, Role, Row};
 use badgerwind::interface::{Micros, WhenAbsent};
 
-/// Maximum heap of the decision module at a front end, in bytes.
-pub const HEAP_BOUND: f64 = 134_217_728.0;
-/// Maximum processor time at a front end: 1% of a core, in microseconds per second.
-pub const PROCESSOR_TIME_BOUND: f64 = 10_000.0;
 /// Maximum ratio of the processor time per call at 16,000 workers to that at 120.
-const TIME_GROWTH_BOUND: f64 = 1.5;
+const MAX_TIME_GROWTH: f64 = 1.5;
 const REFERENCE_WORKERS: u32 = 120;
 const FUNCTIONS: u64 = 1_000;
 /// Simulated time before the measurement.
@@ -112,8 +109,8 @@
 fn call_path_bounds() -> Vec<Bound> {
     let processor_source = "1% of a core at 127 calls a second, as reference";
     vec![
-        Bound { metric: TIME_PER_SECOND, max: PROCESSOR_TIME_BOUND, source: processor_source },
-        Bound { metric: HEAP, max: HEAP_BOUND, source: "128 MB a front end" },
+        Bound { metric: TIME_PER_SECOND, max: MAX_PROCESSOR_TIME, source: processor_source },
+        Bound { metric: HEAP, max: MAX_HEAP, source: "128 MB a front end" },
     ]
 }
 
@@ -157,7 +154,7 @@
 
     fn bounds(&self) -> Vec<Bound> {
         let mut bounds = call_path_bounds();
-        bounds.push(Bound { metric: TIME_GROWTH, max: TIME_GROWTH_BOUND, source: "issue 43, part 3" });
+        bounds.push(Bound { metric: TIME_GROWTH, max: MAX_TIME_GROWTH, source: "issue 43, part 3" });
         bounds
     }
 
@@ -244,7 +241,7 @@
 
     fn bounds(&self) -> Vec<Bound> {
         let mut bounds = call_path_bounds();
-        let heap = |metric| Bound { metric, max: HEAP_BOUND, source: "128 MB a front end" };
+        let heap = |metric| Bound { metric, max: MAX_HEAP, source: "128 MB a front end" };
         bounds.extend([heap(HEAP_AFTER_180_S), heap(STEADY_STATE_HEAP)]);
         bounds
     }
--- a/crates/badgerwind-scale/src/rows/workers.rs
+++ b/crates/badgerwind-scale/src/rows/workers.rs
@@ -177,6 +177,7 @@
         self.instances.remove(&(worker, function));
     }
 
+    /// Random numbers that depend only on the seed and the arguments.
     fn rng(&self, worker: WorkerId, function: u64, number: u64) -> StdRng {
         let mut hasher = fnv::FnvHasher::default();
         hasher.write_u64(self.seed);
@@ -186,6 +187,7 @@
         StdRng::seed_from_u64(hasher.finish())
     }
 
+    /// The function's copies at a worker, after unloading those whose keep-alive has expired.
     fn current_instance(&mut self, now: Time, worker: WorkerId, function: u64) -> &mut Instance {
         let keep_alive = self.model.keep_alive;
         let instance = self.instances.entry((worker, function)).or_default();
--- a/crates/badgerwind-scale/src/rows/zones.rs
+++ b/crates/badgerwind-scale/src/rows/zones.rs
@@ -5,6 +5,7 @@
 use crate::cost::{heap_of_clone, ProcessorMeter};
 use crate::error::ScaleError;
 use crate::row::{Bound, Measurement, Metric, Role, Row};
+use crate::rows::bounds::MAX_CONTROL_TRAFFIC;
 use crate::rows::members::{control_bounds, ENVELOPE_BYTES, PLANNED_FRONT_ENDS};
 use crate::rows::network::{Conditions, Event, Micros, Network, MILLISECOND, SECOND, ZONES};
 use badgerwind_zones::{
@@ -518,7 +519,11 @@
     }
     fn bounds(&self) -> Vec<Bound> {
         let rate = Metric { name: "lost: bytes with envelope", unit: "B/s" };
-        vec![Bound { metric: rate, max: 6_144.0, source: "6 KB a second for all control, in and out" }]
+        vec![Bound {
+            metric: rate,
+            max: MAX_CONTROL_TRAFFIC,
+            source: "6 KB a second for all control, in and out",
+        }]
     }
     fn estimated_heap_bytes(&self, size: u64) -> u64 {
         size * 64 * 1_024
--- a/crates/badgerwind-scale/tests/config.rs
+++ b/crates/badgerwind-scale/tests/config.rs
@@ -2,7 +2,9 @@
 //! check detects a violation.
 
 use badgerwind_config::Kind;
-use badgerwind_scale::config_simulation::{FrontEndMutant, Scenario, ServiceMutant, Simulation};
+use badgerwind_scale::config_simulation::{
+    FrontEndMutant, Scenario, ServiceMutant, Simulation, STARTUP_TIME,
+};
 use badgerwind_scale::row::{Measurement, Row};
 use badgerwind_scale::rows::config::{self, ConfigClient};
 use badgerwind_scale::rows::config_in_force::ConfigInForce;
@@ -11,9 +13,6 @@
 };
 use badgerwind_scale::rows::network::SECOND;
 
-/// Time by which all front ends have started and their requests are open.
-const STARTED: u64 = 3 * SECOND;
-
 fn value(measurements: &[Measurement], name: &str) -> f64 {
     let found = measurements.iter().find(|m| m.metric.name == name);
     found.unwrap_or_else(|| panic!("no metric {name}: {measurements:?}")).value
@@ -61,7 +60,7 @@
     let base = Scenario::new(3, 1, 1);
     let scenario = Scenario { rollout: Scenario::ALL_AT_ONCE, front_end_mutant: mutant, ..base };
     let mut simulation = Simulation::new(scenario).unwrap();
-    simulation.run_until(STARTED);
+    simulation.run_until(STARTUP_TIME);
     let mut sent = Vec::new();
     for _ in 0..VERSIONS {
         let before = simulation.load(0).clone();
@@ -166,7 +165,7 @@
     let base = Scenario::new(FRONT_ENDS, 1, 1);
     let scenario = Scenario { rollout: Scenario::ALL_AT_ONCE, ..base };
     let mut simulation = Simulation::new(scenario).unwrap();
-    simulation.run_until(STARTED);
+    simulation.run_until(STARTUP_TIME);
     let before = simulation.load(0).clone();
     for _ in 0..VERSIONS {
         let at = simulation.now();
