--- a/crates/badgerwind-config/src/client.rs
+++ b/crates/badgerwind-config/src/client.rs
@@ -435,7 +435,7 @@
     ) -> Result<Option<Part>, (Option<(u64, Digest)>, Status)> {
         let state = &self.kinds[&kind];
         if response.type_url != kind.type_url() {
-            let text = format!("type_url is {}, but {} was requested", response.type_url, kind.type_url());
+            let text = format!("type_url is {}, asked was {}", response.type_url, kind.type_url());
             return Err((None, status(INVALID_ARGUMENT, text)));
         }
         let Ok(version) = response.version_info.parse::<u64>() else {
@@ -443,17 +443,14 @@
                 None,
                 status(
                     INVALID_ARGUMENT,
-                    format!("version_info \"{}\" is not a whole number", response.version_info),
+                    format!("version_info \"{}\" is no whole number", response.version_info),
                 ),
             ));
         };
         let [resource] = &response.resources[..] else {
             return Err((
                 None,
-                status(
-                    INVALID_ARGUMENT,
-                    format!("{} resources; exactly one was requested", response.resources.len()),
-                ),
+                status(INVALID_ARGUMENT, format!("{} resources, one was asked", response.resources.len())),
             ));
         };
         let part = Part::parse(kind, version, &resource.value);
@@ -474,8 +471,8 @@
             }
             if version < running.version {
                 let text = format!(
-                    "version {version} is older than {}, which runs: the control service may have been restored from \
-                     a backup; to roll back on purpose, publish the old content under a new number",
+                    "version {version} is older than {}, which runs: a control service restored from a backup; \
+                     to roll back on purpose, publish the old content under a new number",
                     running.version
                 );
                 return Err((None, status(FAILED_PRECONDITION, text)));
@@ -484,7 +481,7 @@
         if let Some((_, _, error)) =
             state.rejected_versions.iter().find(|(v, d, _)| *v == version && *d == digest)
         {
-            return Err((None, status(FAILED_PRECONDITION, format!("rejected before: {error}"))));
+            return Err((None, status(FAILED_PRECONDITION, format!("turned down before: {error}"))));
         }
         part.map(Some).map_err(|p| (Some((version, digest)), status(INVALID_ARGUMENT, join_problems(&p))))
     }
--- a/crates/badgerwind-config/src/shadow.rs
+++ b/crates/badgerwind-config/src/shadow.rs
@@ -169,15 +169,12 @@
     }
     if result.served_before >= MIN_SERVED_CALLS && result.served == 0 {
         return Err(format!(
-            "in the shadow none of {} calls was served; {} of them were when recorded",
+            "in the shadow none of {} calls was served; {} of them were when they came",
             result.calls, result.served_before
         ));
     }
     if result.calls == 0 && calls.iter().filter(|c| c.served).count() >= MIN_SERVED_CALLS {
-        return Err(format!(
-            "none of the {} calls recorded last has a class, tenant and function that the settings declare",
-            calls.len()
-        ));
+        return Err(format!("none of the {} calls of the last while would be known any more", calls.len()));
     }
     Ok(result)
 }
--- a/crates/badgerwind-config/src/waves.rs
+++ b/crates/badgerwind-config/src/waves.rs
@@ -197,7 +197,8 @@
         let answered = wave.baselines.len() + wave.rejected.len();
         let share = wave.rejected.len() as f64 / answered.max(1) as f64;
         if !wave.rejected.is_empty() && share > self.policy.max_rejected_share {
-            let why = format!("{} of {answered} front ends that answered rejected it", wave.rejected.len());
+            let why =
+                format!("{} of {answered} front ends that answered turned it down", wave.rejected.len());
             wave.stage = Stage::Stopped(why);
             return;
         }
--- a/crates/badgerwind-control/src/service.rs
+++ b/crates/badgerwind-control/src/service.rs
@@ -172,10 +172,7 @@
                                     None => return,
                                 }
                             }
-                            Ok(request) => bad_request(&format!(
-                                "type_url {} does not match the path {path}",
-                                request.type_url
-                            )),
+                            Ok(request) => bad_request(&format!("type_url {} at {path}", request.type_url)),
                             Err(e) => bad_request(&format!("not a DiscoveryRequest: {e}")),
                         }
                     }
--- a/crates/badgerwind-fleet/src/member.rs
+++ b/crates/badgerwind-fleet/src/member.rs
@@ -339,7 +339,7 @@
                     Output::IncarnationLost(0) => {}
                     Output::IncarnationLost(lost) => {
                         tracing::warn!(
-                            announcements = lost,
+                            words = lost,
                             "this member's incarnation has ended; its pending announcements are lost"
                         )
                     }
