--- a/crates/badgerwind-cli/tests/scale_processes.rs
+++ b/crates/badgerwind-cli/tests/scale_processes.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Zones in the settings: the maximum that one message carries.
+/// Zones in the settings. The hollow fleet simulates 21, so that its messages are longer.
 const ZONES: usize = 16;
 /// How long datagrams are counted.
 const COUNT_TIME: Duration = Duration::from_secs(20);
--- a/crates/badgerwind-config/src/parts.rs
+++ b/crates/badgerwind-config/src/parts.rs
@@ -101,10 +101,7 @@
             remedy: remedy.into(),
         };
         if text.len() > MAX_PART_BYTES {
-            return Err(vec![document_problem(
-                format!("the text has {} bytes", text.len()),
-                &format!("a part has at most {MAX_PART_BYTES} bytes"),
-            )]);
+            return Err(vec![document_problem(format!("{} bytes", text.len()), "a part is smaller")]);
         }
         let node = parse(&file, text).map_err(|p| vec![p])?;
         if node.name != "badgerwind" || node.attr("version") != Some("1") {
@@ -134,8 +131,8 @@
                 file,
                 line: local.line,
                 element: local.name.clone(),
-                message: "belongs to the single machine, and stays in its settings file".into(),
-                remedy: format!("a part's <webhook> may hold {}", ROUTE_ELEMENTS.join(", ")),
+                message: "is each machine's own, and stays in its file".into(),
+                remedy: format!("a part's webhook holds {}", ROUTE_ELEMENTS.join(", ")),
             }]);
         }
         let digest = Sha256::digest(text.as_bytes()).into();
--- a/crates/badgerwind-scale/src/rows/budgets.rs
+++ b/crates/badgerwind-scale/src/rows/budgets.rs
@@ -269,8 +269,8 @@
     /// Seconds from the last step of the fault to the last check at which fewer than 99% of the running
     /// members owned units.
     pub seconds_until_owning: f64,
-    /// Seconds until there is a coordinator, counted from the loss in [`Fault::ZoneLost`] and otherwise from the last
-    /// step of the fault.
+    /// Seconds until there is a coordinator, counted from the loss in [`Fault::ZoneLost`] and otherwise from
+    /// the last step of the fault.
     pub seconds_until_coordinator: f64,
 }
 
--- a/crates/badgerwind-scale/src/rows/control.rs
+++ b/crates/badgerwind-scale/src/rows/control.rs
@@ -114,8 +114,8 @@
 }
 
 /// Bytes a second of front ends that each repeat a request for each of the four kinds every 20 s, because
-/// there is no new version. The size of a request is the mean of the first requests, which are all messages until
-/// `started`.
+/// there is no new version. The size of a request is the mean of the first requests, which are all messages
+/// until `started`.
 fn idle_bytes_per_second(started: &ServiceLoad, size: u64) -> f64 {
     let request = started.bytes_in as f64 / started.messages.max(1) as f64;
     let response = crate::config_simulation::response_bytes(None).0 as f64;
--- a/crates/badgerwind-scale/src/rows/register.rs
+++ b/crates/badgerwind-scale/src/rows/register.rs
@@ -259,8 +259,8 @@
     /// Seconds from the last step of the fault to the last check at which fewer than 99% of the running
     /// members held a lease.
     pub seconds_until_leased: f64,
-    /// Seconds until there is a leader, counted from the loss in [`Fault::ZoneLost`] and otherwise from the last
-    /// step of the fault.
+    /// Seconds until there is a leader, counted from the loss in [`Fault::ZoneLost`] and otherwise from the
+    /// last step of the fault.
     pub seconds_until_leader: f64,
     /// Number of incarnations that ended.
     pub incarnations_ended: u64,
