--- a/crates/badgerwind-cli/tests/platform/fleet.rs
+++ b/crates/badgerwind-cli/tests/platform/fleet.rs
@@ -7,10 +7,11 @@
 use badgerwind_standins::platform::executor::{hit_line, succeed, Executor, ReceivedLine, ScriptStep};
 use badgerwind_standins::platform::web::{Answer, WebConnection, WebRequest};
 use badgerwind_standins::platform::{configuration, list_member, wait_until};
+use badgerwind_standins::reserved::unused_address;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
-use std::sync::atomic::{AtomicU8, Ordering};
+use std::net::{SocketAddr, UdpSocket};
+use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -39,13 +40,9 @@
 /// of its relay, and what it sends to another relay arrives from its own. Returns the addresses to listen at
 /// and those of the relays.
 fn relays(datagrams: &Arc<Datagrams>) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
-    // Front ends bind these ports next, and again after each restart. They are on a loopback address of this
-    // fleet alone, so that nobody else is given one of them.
-    static FLEETS: AtomicU8 = AtomicU8::new(1);
-    let pid = std::process::id().to_be_bytes();
-    let own = Ipv4Addr::new(127, 150 + (pid[2] & 0x3f), pid[3], FLEETS.fetch_add(1, Ordering::Relaxed));
-    let free: Vec<_> = (0..FRONT_ENDS).map(|_| UdpSocket::bind((own, 0)).unwrap()).collect();
-    let listen: Vec<_> = free.iter().map(|s| s.local_addr().unwrap()).collect();
+    // No socket is bound here to find free ports: a process that another test starts at that moment inherits
+    // it and holds the port until it executes its program, so that the front end could not bind it.
+    let listen: Vec<_> = (0..FRONT_ENDS).map(|_| unused_address()).collect();
     let relays: Vec<_> = (0..FRONT_ENDS).map(|_| Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap())).collect();
     let known = relays.iter().map(|s| s.local_addr().unwrap()).collect();
     for to in 0..FRONT_ENDS {
