--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -57,6 +57,12 @@
     (address, smol::spawn(async move { serve(listener, &folder, name, AT_ONCE).await }))
 }
 
+/// The names of the front ends that the control service knows, in ascending order.
+async fn front_end_ids(control: SocketAddr) -> Vec<String> {
+    let status: Status = serde_json::from_str(&get(control, "/status").await.1).unwrap();
+    status.front_ends.into_iter().map(|front_end| front_end.id).collect()
+}
+
 /// Starts a front end that gets its settings from this control service.
 async fn start_following(name: &str, control: SocketAddr) -> Rig {
     Rig::start(Plan { control: Some((name.into(), vec![control])), ..Plan::default() }).await
@@ -398,6 +404,12 @@
         let text = format!("POST /v3/discovery:routes?wait=60000 HTTP/1.1\r\nhost: a\r\ncontent-length: {length}\r\n\r\n{body}");
         slow.write_all(text.as_bytes()).await.unwrap();
         let rig = start_following("f", address).await;
+        // A wave's first share is drawn from the front ends that are known when its version is published.
+        rig.until("the control service knows both front ends", async || {
+            let known = front_end_ids(address).await;
+            known == ["f", "slow"]
+        })
+        .await;
         for version in 1..=3 {
             folder::publish(dir.path(), Kind::Routes, &routes(version)).unwrap();
             until_running(&rig, Kind::Routes, version).await;
