--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
-use version_reports::{routes, served_versions, until_running};
+use version_reports::{publish_unchecked, routes, served_versions, until_running};
 
 const AT_ONCE: RolloutPolicy = RolloutPolicy {
     first_share: 1.0,
@@ -72,12 +72,14 @@
     reports.iter().find(|r| r.kind == kind).and_then(|r| r.rejected.clone())
 }
 
-async fn until_rejected(rig: &Rig, kind: Kind, version: u64) -> String {
+/// Waits until the front end reports a version as rejected, and checks that its reason contains this text.
+async fn assert_rejected(rig: &Rig, kind: Kind, version: u64, expected: &str) {
     rig.until("the version is rejected", async || {
         rejected(&rig.config().await, kind).is_some_and(|r| r.0 == version)
     })
     .await;
-    rejected(&rig.config().await, kind).unwrap().1
+    let (_, reason) = rejected(&rig.config().await, kind).unwrap();
+    assert!(reason.contains(expected), "{kind:?} {version} is rejected with the reason: {reason}");
 }
 
 #[test]
@@ -119,31 +121,21 @@
         for n in 0..8 {
             assert_eq!(rig.send(&format!("m{n}"), CHECK, 100).await.status, 200);
         }
-        let publish_unchecked = |kind: Kind, n: u64, text: &str| {
-            std::fs::create_dir_all(dir.path().join(kind.name())).unwrap();
-            std::fs::write(dir.path().join(kind.name()).join(format!("{n}.xml")), text).unwrap();
-        };
-        publish_unchecked(Kind::Routes, 2, "<badgerwind version=\"1\"><webhook>");
-        assert!(until_rejected(&rig, Kind::Routes, 2)
-            .await
-            .contains("routes:2:1: <webhook>: is never closed"));
-        publish_unchecked(Kind::Routes, 3, &routes(3).replace("class=\"lodge\"", "class=\"nowhere\""));
-        assert!(until_rejected(&rig, Kind::Routes, 3).await.contains("class names \"nowhere\""));
-        publish_unchecked(Kind::Routes, 4, &routes(4).replace("portal.key", "missing.key"));
-        assert!(until_rejected(&rig, Kind::Routes, 4).await.contains("missing.key cannot be read"));
-        publish_unchecked(
-            Kind::Classes,
-            1,
-            &classes(2_000, "").replace("memory-mb=\"100\"", "memory-mb=\"0\""),
-        );
-        assert!(until_rejected(&rig, Kind::Classes, 1).await.contains("memory-mb is \"0\"; give a number"));
-        publish_unchecked(Kind::Classes, 2, &classes(80, ""));
-        assert!(until_rejected(&rig, Kind::Classes, 2)
-            .await
-            .contains("in the shadow none of 8 calls was served"));
+        let publish =
+            |kind: Kind, version: u64, text: &str| publish_unchecked(dir.path(), kind, version, text);
+        publish(Kind::Routes, 2, "<badgerwind version=\"1\"><webhook>");
+        assert_rejected(&rig, Kind::Routes, 2, "routes:2:1: <webhook>: is never closed").await;
+        publish(Kind::Routes, 3, &routes(3).replace("class=\"lodge\"", "class=\"nowhere\""));
+        assert_rejected(&rig, Kind::Routes, 3, "class names \"nowhere\"").await;
+        publish(Kind::Routes, 4, &routes(4).replace("portal.key", "missing.key"));
+        assert_rejected(&rig, Kind::Routes, 4, "missing.key cannot be read").await;
+        publish(Kind::Classes, 1, &classes(2_000, "").replace("memory-mb=\"100\"", "memory-mb=\"0\""));
+        assert_rejected(&rig, Kind::Classes, 1, "memory-mb is \"0\"; give a number").await;
+        publish(Kind::Classes, 2, &classes(80, ""));
+        assert_rejected(&rig, Kind::Classes, 2, "in the shadow none of 8 calls was served").await;
         assert_eq!(served_versions(&rig, 1..=4).await, [1]);
         assert_eq!((rig.running(Kind::Routes).await, rig.running(Kind::Classes).await), (Some(1), None));
-        publish_unchecked(Kind::Routes, 5, &routes(5));
+        publish(Kind::Routes, 5, &routes(5));
         until_running(&rig, Kind::Routes, 5).await;
         assert_eq!(served_versions(&rig, 1..=5).await, [5]);
     });
@@ -159,7 +151,7 @@
         let temporary_file = rig.folder.path().join("kept/config.new");
         std::fs::create_dir(&temporary_file).unwrap();
         folder::publish(dir.path(), Kind::Routes, &routes(1)).unwrap();
-        assert!(until_rejected(&rig, Kind::Routes, 1).await.contains("it cannot be kept: "));
+        assert_rejected(&rig, Kind::Routes, 1, "it cannot be kept: ").await;
         assert_eq!(served_versions(&rig, 1..=1).await, [0u64; 0]);
         std::fs::remove_dir(&temporary_file).unwrap();
         folder::publish(dir.path(), Kind::Routes, &routes(2)).unwrap();
@@ -254,7 +246,8 @@
         folder::publish(dir.path(), Kind::Fleet, &fleet("60s")).unwrap();
         until_running(&rig, Kind::Fleet, 1).await;
         for n in 4..24 {
-            assert_eq!(rig.send(&format!("m{n}"), CHECK, 1).await.status, 200);
+            let response = rig.send(&format!("m{n}"), CHECK, 1).await;
+            assert_eq!(response.status, 200, "{response:?}");
         }
         let at_drained_runner = |event: &Event| match event {
             Event::Arrived { runner, .. } | Event::Ordered { runner, copies: 1.., .. } => {
--- a/crates/badgerwind-cli/tests/rig/version_reports.rs
+++ b/crates/badgerwind-cli/tests/rig/version_reports.rs
@@ -36,6 +36,16 @@
     }
 }
 
+/// Puts a version into the folder of a control service without the checks of `folder::publish`. The file
+/// appears complete, so that the service never reads a part of it.
+pub fn publish_unchecked(folder: &Path, kind: Kind, version: u64, text: &str) {
+    let versions = folder.join(kind.name());
+    std::fs::create_dir_all(&versions).unwrap();
+    let temporary = versions.join(format!("{version}.part"));
+    std::fs::write(&temporary, text).unwrap();
+    std::fs::rename(&temporary, versions.join(format!("{version}.xml"))).unwrap();
+}
+
 /// The control service as a process, which is killed when its handle is dropped.
 pub struct Service(Process);
 
@@ -80,7 +90,6 @@
         };
         rigs.push(Rig::start(plan).await);
     }
-    std::fs::create_dir_all(dir.path().join("routes")).unwrap();
     let (mut service, mut checked, mut last_valid) = (None::<Service>, 0, 0);
     // After an invalid version each front end keeps the last valid one that it was offered, so the last one
     // is valid.
@@ -97,7 +106,7 @@
         } else {
             routes(version)
         };
-        std::fs::write(dir.path().join(format!("routes/{version}.xml")), text).unwrap();
+        publish_unchecked(dir.path(), Kind::Routes, version, &text);
         last_valid = if invalid { last_valid } else { version };
         // Of the paths of the reported version and its two neighbours, the front end must serve that of the
         // reported version alone. A front end that changed its version during the check is not counted.
