--- a/crates/badgerwind-cli/tests/config_stream.rs
+++ b/crates/badgerwind-cli/tests/config_stream.rs
@@ -13,6 +13,7 @@
 use badgerwind_control::{folder, serve, Status};
 use badgerwind_http::{Conn, Limits, Response};
 use badgerwind_protocol::list::Availability;
+use badgerwind_standins::reserved::unused_address;
 use futures_lite::future::zip;
 use rig::*;
 use smol::net::TcpListener;
@@ -375,11 +376,9 @@
 fn when_one_control_service_is_unreachable_the_other_is_used() {
     smol::block_on(async {
         let dir = tempfile::tempdir().unwrap();
-        let (unused, unreachable) = bind_loopback().await;
-        drop(unused);
         let (address, _service) = start_control(dir.path(), "b").await;
         folder::publish(dir.path(), Kind::Routes, &routes(1)).unwrap();
-        let control = Some(("f".to_owned(), vec![unreachable, address]));
+        let control = Some(("f".to_owned(), vec![unused_address(), address]));
         let rig = Rig::start(Plan { control, ..Plan::default() }).await;
         until_running(&rig, Kind::Routes, 1).await;
     });
--- a/crates/badgerwind-cli/tests/rig/mod.rs
+++ b/crates/badgerwind-cli/tests/rig/mod.rs
@@ -18,6 +18,7 @@
 use badgerwind_standins::keys::Keys;
 use badgerwind_standins::model::Spec;
 use badgerwind_standins::record::Recorder;
+use badgerwind_standins::reserved::unused_address;
 use badgerwind_standins::{list, runner};
 use badgerwind_webhook::{Key, KeyKind, KeyRing, RingKey};
 use process::Process;
@@ -257,15 +258,18 @@
             runners
                 .push(Runner { zone: (id - 1) % plan.zones, ..list_entry(id, address, Availability::Ready) });
         }
-        let (listener, list_address) = bind_loopback().await;
-        match &plan.cached_list {
-            None => tasks.push(smol::spawn(list::serve(listener, runners.clone(), recorder.clone()))),
+        let list_address = match &plan.cached_list {
+            None => {
+                let (listener, address) = bind_loopback().await;
+                tasks.push(smol::spawn(list::serve(listener, runners.clone(), recorder.clone())));
+                address
+            }
             Some(cached) => {
-                drop(listener);
                 let list = List { version: 3, whole: true, runners: cached.clone() };
                 std::fs::write(folder.path().join("list.json"), serde_json::to_vec(&list).unwrap()).unwrap();
+                unused_address()
             }
-        }
+        };
         for (name, text) in &plan.files {
             write_private(&folder.path().join(name), text);
         }
