--- a/crates/badgerwind-standins/src/reserved.rs
+++ b/crates/badgerwind-standins/src/reserved.rs
@@ -42,8 +42,8 @@
 const FIRST_PORT: u16 = 10_000;
 
 /// Returns an address that is not in use: the IP address is unique to this process among those that use this
-/// function, and each call returns another port. For UDP, where no second socket can reserve the port, and for servers that
-/// do not exist.
+/// function, and each call returns another port. For UDP, where no second socket can reserve the port, and for
+/// servers that do not exist.
 pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(FIRST_PORT);
     // Process ids have 22 bits; the second byte is at least 192, far from the usual loopback address.
