--- a/crates/badgerwind-cli/tests/platform/hostile.rs
+++ b/crates/badgerwind-cli/tests/platform/hostile.rs
@@ -7,6 +7,8 @@
 use badgerwind_standins::platform::web::{WebConnection, WebRequest};
 use serde_json::json;
 use std::net::TcpStream;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// A client gets an answer or a close within this time, plus what the test itself takes.
@@ -115,21 +117,39 @@
 
 #[test]
 fn many_concurrent_calls_and_aborts_leave_nothing_behind() {
-    let rig = Rig::start(vec![Box::new(|s| match s.kind.as_str() {
-        "FN" => vec![ScriptStep::Wait(Duration::from_millis(50)), ScriptStep::Write(hit_line(s))],
+    const ABORTED: u16 = 31;
+    const SERVED: u16 = 32;
+    const HEALTH_CHECK: u16 = 33;
+    let aborts_read = Arc::<AtomicBool>::default();
+    let may_answer = aborts_read.clone();
+    // An answer that comes before its call's abort is passed on, so the executor holds all answers until every
+    // abort has been read.
+    let hold = move |s: &ReceivedLine| match s.kind.as_str() {
+        "FN" => {
+            let may_answer = may_answer.clone();
+            let condition = Arc::new(move || may_answer.load(Ordering::Relaxed));
+            vec![ScriptStep::WaitUntil(condition), ScriptStep::Write(hit_line(s))]
+        }
         _ => succeed(s),
-    })]);
+    };
+    let rig = Rig::start_with(vec![Box::new(hold)], raise_aims);
     let mut webs: Vec<WebConnection> = (0..10).map(|_| rig.web()).collect();
     for (c, web) in webs.iter_mut().enumerate() {
-        for n in 0..32u16 {
-            web.send(n + 1, &WebRequest::new(c as u64 * 100 + u64::from(n))).unwrap();
+        for n in 1..=SERVED {
+            let request = WebRequest::new(c as u64 * 100 + u64::from(n));
+            web.send(n, &WebRequest { wait_ms: 120_000, ..request }).unwrap();
         }
-        for n in 0..31u16 {
-            web.abort(n + 1).unwrap();
+        for n in 1..=ABORTED {
+            web.abort(n).unwrap();
         }
     }
     for web in &mut webs {
-        assert_eq!(web.answer().unwrap().number, 32, "the call that was not aborted has its one answer");
+        web.send_health_check(HEALTH_CHECK).unwrap();
+        assert_eq!(web.answer().unwrap().number, HEALTH_CHECK, "everything before it has been read");
+    }
+    aborts_read.store(true, Ordering::Relaxed);
+    for web in &mut webs {
+        assert_eq!(web.answer().unwrap().number, SERVED, "the call that was not aborted has its one answer");
     }
     assert_eq!(rig.call(&WebRequest::new(9999)).status, 200);
 }
