--- a/crates/badgerwind-cli/tests/platform/hostile.rs
+++ b/crates/badgerwind-cli/tests/platform/hostile.rs
@@ -7,7 +7,7 @@
 use badgerwind_standins::platform::web::{WebConnection, WebRequest};
 use serde_json::json;
 use std::net::TcpStream;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -120,15 +120,23 @@
     const ABORTED: u16 = 31;
     const SERVED: u16 = 32;
     const HEALTH_CHECK: u16 = 33;
-    let aborts_read = Arc::<AtomicBool>::default();
-    let may_answer = aborts_read.clone();
+    let (aborts_read, written) = (Arc::<AtomicBool>::default(), Arc::<AtomicUsize>::default());
+    let (may_answer, count) = (aborts_read.clone(), written.clone());
     // An answer that comes before its call's abort is passed on, so the executor holds all answers until every
     // abort has been read.
     let hold = move |s: &ReceivedLine| match s.kind.as_str() {
         "FN" => {
-            let may_answer = may_answer.clone();
-            let condition = Arc::new(move || may_answer.load(Ordering::Relaxed));
-            vec![ScriptStep::WaitUntil(condition), ScriptStep::Write(hit_line(s))]
+            let (may_answer, count) = (may_answer.clone(), count.clone());
+            let is_open = Arc::new(move || may_answer.load(Ordering::Relaxed));
+            let counted = Arc::new(move || {
+                count.fetch_add(1, Ordering::Relaxed);
+                true
+            });
+            vec![
+                ScriptStep::WaitUntil(is_open),
+                ScriptStep::Write(hit_line(s)),
+                ScriptStep::WaitUntil(counted),
+            ]
         }
         _ => succeed(s),
     };
@@ -151,7 +159,13 @@
     for web in &mut webs {
         assert_eq!(web.answer().unwrap().number, SERVED, "the call that was not aborted has its one answer");
     }
+    let received = || rig.executors[0].received_of_kind("FN").len();
+    assert!(wait_until(|| written.load(Ordering::Relaxed) == received()));
     assert_eq!(rig.call(&WebRequest::new(9999)).status, 200);
+    for web in &mut webs {
+        web.send_health_check(HEALTH_CHECK).unwrap();
+        assert_eq!(web.answer().unwrap().number, HEALTH_CHECK, "an aborted call has no answer");
+    }
 }
 
 /// The answers buffered for a client that reads none of them are bounded, and other clients are served
